--- /dev/null
+++ b/tests/compatibility.rs
@@ -0,0 +1,136 @@
+//! Stored data and output formats of an earlier build (`tests/fixtures`): this build reads the files and prints the
+//! same bytes. The fixtures were written by the build of commit a8d3c0b and are never written again.
+
+mod common;
+
+use common::{TOKEN, read_reply, start, until};
+use rstest::rstest;
+use sanddyke::core::Handover;
+use sanddyke_store::ballots::Ballots;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Duration;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// A copy of a fixture in a folder of its own, since opening a database file writes to it.
+fn copy(name: &str) -> (tempfile::TempDir, PathBuf) {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join(name);
+    std::fs::copy(fixture(name), &path).unwrap();
+    (folder, path)
+}
+
+/// Nothing listens there: connections are refused.
+fn unreachable_engine() -> SocketAddr {
+    SocketAddr::new(common::own_address(), 4001)
+}
+
+#[rstest]
+#[case("schema", "schema.json")]
+#[case("openapi", "openapi.json")]
+fn documents_have_the_same_bytes(#[case] command: &str, #[case] name: &str) {
+    let printed = Command::new(env!("CARGO_BIN_EXE_sanddyke")).arg(command).output().unwrap();
+    assert!(printed.status.success());
+    assert!(printed.stdout == std::fs::read(fixture(name)).unwrap(), "{command} differs from {name}");
+}
+
+#[test]
+fn the_store_of_an_earlier_build_is_served() {
+    let (_folder, path) = copy("store.redb");
+    let engines = [unreachable_engine(), unreachable_engine()];
+    let program = start(&engines, json!({"store": {"path": path}}));
+    let expected: Value = serde_json::from_slice(&std::fs::read(fixture("api.json")).unwrap()).unwrap();
+    for (target, expected) in expected.as_object().unwrap() {
+        let reply = program.admin("GET", target, TOKEN);
+        assert_eq!(reply.status, 200, "{target}");
+        assert_eq!(reply.json(), *expected, "{target}");
+    }
+}
+
+#[test]
+fn the_voter_file_of_an_earlier_build_is_read() {
+    let (_folder, path) = copy("voter.redb");
+    let file = Ballots::open(&path, 1).unwrap();
+    assert_eq!(file.standing(), (0xfebc_de7e_9b4b_5d8b, true));
+    let promises = file.promises().unwrap();
+    assert!(!promises.hard_state.is_empty() && !promises.snapshot.is_empty());
+    #[cfg(feature = "cluster")]
+    {
+        use sanddyke_cluster::{Kept, Voter};
+        let kept =
+            Kept { hard_state: promises.hard_state, entries: promises.entries, snapshot: promises.snapshot };
+        let mut voter = Voter::start(0xfebc_de7e_9b4b_5d8b, &kept, true).unwrap();
+        struct Memory;
+        impl sanddyke_cluster::Disk for Memory {
+            fn keep(&mut self, _: &sanddyke_cluster::Batch) -> Result<(), String> {
+                Ok(())
+            }
+        }
+        // The only voter elects itself, and then applies its log.
+        for _ in 0..100 {
+            voter.tick();
+            voter.turn(&mut Memory).unwrap();
+        }
+        let table = voter.table();
+        let leases: Vec<(&str, u64, &str)> =
+            table.rows.iter().map(|(name, row)| (name.as_str(), row.version, row.note.as_str())).collect();
+        assert_eq!(table.voters.values().collect::<Vec<_>>(), ["m1"]);
+        assert_eq!(table.index, 15);
+        assert_eq!(leases, [("backup", 13, "898112569"), ("warden", 14, "")]);
+    }
+}
+
+#[test]
+fn the_snapshot_of_an_earlier_build_is_read_and_written_with_the_same_bytes() {
+    let bytes = std::fs::read(fixture("snapshot.learnt")).unwrap();
+    let written_ms = u64::from_le_bytes(bytes[12..20].try_into().unwrap());
+    let (payload, age) = sanddyke_snapshot::open(&bytes, written_ms + 5, Duration::from_secs(30)).unwrap();
+    assert_eq!(age, Duration::from_millis(5));
+    let learned: Handover = serde_json::from_slice(payload).unwrap();
+    let again = serde_json::to_vec(&learned).unwrap();
+    assert_eq!(String::from_utf8(again.clone()).unwrap(), String::from_utf8(payload.to_vec()).unwrap());
+    assert!(sanddyke_snapshot::seal(&again, written_ms).unwrap() == bytes, "the file differs");
+}
+
+/// All series with their labels and values; only the time served is not compared.
+#[cfg(feature = "cluster")]
+#[test]
+fn the_metrics_page_has_the_same_bytes() {
+    let folder = tempfile::tempdir().unwrap();
+    let peer = SocketAddr::new(common::own_address(), 9101).to_string();
+    let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
+                         "path": folder.path().join("m1.votes")});
+    let program = start(&[unreachable_engine()], json!({"name": "m1", "cluster": cluster}));
+    until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    let mut client = program.send("r", "lookup", 600, None, "SELECT ok");
+    assert_eq!(read_reply(&mut client).unwrap().status, 503);
+    let page = program.admin("GET", "/metrics", TOKEN).body;
+    assert_eq!(page, std::fs::read_to_string(fixture("metrics.txt")).unwrap());
+}
+
+/// Names and kinds of all fields of the fleet's view.
+#[cfg(feature = "cluster")]
+#[test]
+fn the_fleet_view_has_the_same_fields() {
+    let folder = tempfile::tempdir().unwrap();
+    let peer = SocketAddr::new(common::own_address(), 9101).to_string();
+    let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
+                         "path": folder.path().join("m1.votes")});
+    let program = start(&[], json!({"name": "m1", "cluster": cluster}));
+    until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    let view = program.admin("GET", "/v1/fleet", TOKEN).json();
+    let fields = |value: &Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>().join(" ");
+    assert_eq!(
+        fields(&view),
+        "ballot duties index me members refused sent vote voters waiting zone",
+        "{view}"
+    );
+    assert_eq!(fields(&view["duties"][0]), "fence holder left_ms name note noted", "{view}");
+    assert_eq!(view["duties"][0]["name"], "warden");
+    assert_eq!(view["sent"], json!([0, 0, 0]));
+}
