--- a/benches/core.rs
+++ b/benches/core.rs
@@ -9,7 +9,7 @@
 use sanddyke::core::{
     Arrival, AttemptNews, Command, ConnectionEnd, Core, Engine, EngineNews, Input, Table, TenantNews,
 };
-use sanddyke::interface::{EngineState, LoadReport};
+use sanddyke::decision::{EngineState, LoadReport};
 use sanddyke_tenancy::{Generation, State, Tenant, TenantId, TenantSpec};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/access/src/lib.rs
+++ b/crates/authorization/src/lib.rs
@@ -5,7 +5,7 @@
 //! constant time. Only the hash is kept, so neither the store nor a backup gives a secret away.
 //!
 //! ```
-//! use sanddyke_access::{Grant, Role, Tokens};
+//! use sanddyke_authorization::{Grant, Role, Tokens};
 //!
 //! let mut tokens = Tokens::default();
 //! let grant = Grant { role: Role::Viewer, tenants: Default::default(), note: "wall".into(), expires_ms: None };
--- a/crates/cluster/src/holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -15,7 +15,7 @@
 //! stopped between its look at the clock and its act), the fencing number decides: each act carries it, and whoever
 //! receives acts refuses a number below the highest that it has seen.
 
-use crate::duty::{Ask, Life, Table, Verdict};
+use crate::lease::{Ask, Life, Table, Verdict};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -13,16 +13,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod duty;
-pub mod holder;
-pub mod members;
+pub mod lease;
+pub mod lease_holder;
+pub mod membership;
 pub mod node;
-pub mod roll;
+pub mod rolling_restart;
 pub mod simulation;
 pub mod voter;
 
-pub use duty::{Ask, Grant, Life, Proposal, Row, Table, Verdict};
-pub use holder::{Deed, Holder, Micros, Why, Wish};
-pub use members::{Member, Members};
+pub use lease::{Ask, Grant, Life, Proposal, Row, Table, Verdict};
+pub use lease_holder::{Deed, Holder, Micros, Why, Wish};
+pub use membership::{Member, Members};
 pub use node::{Ballot, Input, Node, Output, Refused, Setup, VoterDisk};
 pub use voter::{Batch, Disk, Failed, Kept, TICK_US, Voter};
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/membership.rs
@@ -1,8 +1,8 @@
 //! Members: who is there, by the SWIM protocol of the foca library (probes, indirect probes, suspicion, gossip), on
 //! virtual time. The number and size of what a member says a second is level in the size of the fleet.
 
-use crate::duty::Life;
-use crate::holder::Micros;
+use crate::lease::Life;
+use crate::lease_holder::Micros;
 use foca::{Foca, Identity, Notification, PostcardCodec, Runtime, Timer};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,10 +1,10 @@
 //! One manager of a fleet: its membership, its leases, and its voter where it is one, behind one function that takes
 //! what happened and gives what is to be done.
 
-use crate::duty::{Ask, LONGEST_NAME, Life, Proposal, Table, Verdict};
-use crate::holder::{Deed, Holder, Micros, Why, Wish};
-use crate::members::{Member, Members, Word};
-use crate::roll::{self, Stand, Step};
+use crate::lease::{Ask, LONGEST_NAME, Life, Proposal, Table, Verdict};
+use crate::lease_holder::{Deed, Holder, Micros, Why, Wish};
+use crate::membership::{Member, Members, Word};
+use crate::rolling_restart::{self, Stand, Step};
 use crate::voter::{Batch, Disk, Failed, Kept, TICK_US, Voter};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 /// The form of what managers say to each other. One that hears a later form refuses it; forms of the same number stay
 /// readable: what is added goes to the end of [`Body`].
 pub const FORM: u16 = 1;
-/// Bytes of one message at most: the longest table of [`crate::duty::MOST_DUTIES`] duties has some 60 KB.
+/// Bytes of one message at most: the longest table of [`crate::lease::MOST_DUTIES`] duties has some 60 KB.
 pub const LONGEST_MESSAGE: usize = 256 * 1024;
 /// Bytes of the checksum (CRC-32) before each message. It guards against what is cut or spoilt on the way, not against
 /// somebody who means harm: for that the address must be shut to others.
@@ -433,7 +433,7 @@
             Input::Note(duty, on, note) => self.holder.note(now, duty, on, note, &mut self.deeds),
             Input::Turn(name, step) => {
                 let to = self.members.named(name).map(|member| member.address);
-                if let (Some(fence), Some(to)) = (self.holder.may_act(roll::DUTY, now), to) {
+                if let (Some(fence), Some(to)) = (self.holder.may_act(rolling_restart::DUTY, now), to) {
                     match to == self.setup.me.address {
                         true => out.push(Output::Turn(to, step)),
                         false => self.send(to, Body::Turn { fence, step }, out),
@@ -610,7 +610,7 @@
             Body::Turn { fence, step } => {
                 // The table is the voters' and outlives this manager: one that has just started knows no number yet,
                 // and heeds none until it has seen it.
-                let grant = self.table().rows.get(roll::DUTY).and_then(|row| row.grant.as_ref());
+                let grant = self.table().rows.get(rolling_restart::DUTY).and_then(|row| row.grant.as_ref());
                 if !grant.is_some_and(|grant| grant.fence == fence && grant.holder == told.from) {
                     return Err(Refused::OldNumber);
                 }
--- a/crates/cluster/src/roll.rs
+++ b/crates/cluster/src/rolling_restart.rs
@@ -9,8 +9,8 @@
 //! Each step that matters is noted before it is acted on: a step may be told twice, by two holders one after another,
 //! and does no harm. Whoever is told looks at the teller's fencing number.
 
-use crate::duty::Life;
-use crate::holder::Micros;
+use crate::lease::Life;
+use crate::lease_holder::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/cluster/src/simulation.rs
+++ b/crates/cluster/src/simulation.rs
@@ -10,9 +10,9 @@
 //! - voters that have carried out as much have the same table;
 //! - once all faults are over, each duty has a holder and all see each other within [`SETTLED_WITHIN`].
 
-use crate::duty::{Life, Table};
-use crate::holder::{DRIFT, Deed, Micros};
-use crate::members::Member;
+use crate::lease::{Life, Table};
+use crate::lease_holder::{DRIFT, Deed, Micros};
+use crate::membership::Member;
 use crate::node::{Ballot, Input, Node, Output, Setup, VoterDisk, keep_in};
 use crate::voter::{Batch, Disk, Kept, TICK_US};
 use oorandom::Rand64;
--- a/crates/cluster/src/voter.rs
+++ b/crates/cluster/src/voter.rs
@@ -1,7 +1,7 @@
 //! A voter: the raft library's state machine with its log in memory, and a [`Disk`] that has each promise before it is
 //! spoken. What it decides comes out as proposals in one order, the same at every voter.
 
-use crate::duty::{Proposal, Table};
+use crate::lease::{Proposal, Table};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Message, Snapshot,
@@ -189,7 +189,7 @@
     /// Messages for other voters, by number. What they rest on is on the disk.
     pub messages: Vec<(u64, Vec<u8>)>,
     /// Proposals that were carried out, with what became of them.
-    pub done: Vec<(Proposal, crate::duty::Verdict)>,
+    pub done: Vec<(Proposal, crate::lease::Verdict)>,
     /// The table has changed.
     pub changed: bool,
 }
--- a/crates/life/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -26,14 +26,14 @@
 //! | `LastAnswer` | no: serving | no: serving | no: serving | Ended | = |
 //!
 //! ```
-//! use sanddyke_life::{Event, Life, Phase, Socket};
+//! use sanddyke_lifecycle::{Event, Life, Phase, Socket};
 //!
 //! let mut life = Life::new(Socket::Own);
 //! life.apply(Event::Listed)?;
 //! assert_eq!(life.apply(Event::Heard)?, Some(Phase::Ready));
 //! assert_eq!(life.apply(Event::Quiesce)?, Some(Phase::Drained));
 //! assert!(life.takes_connections() && !life.keeps_connections() && !life.is_ready());
-//! # Ok::<(), sanddyke_life::Refused>(())
+//! # Ok::<(), sanddyke_lifecycle::Refused>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/life/tests/table.rs
+++ b/crates/lifecycle/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table of `lib.rs`, held to the code: each event in each phase, each pair of events in either order, and
 //! what must hold whatever comes.
 
-use sanddyke_life::{Event, Life, Phase, Refused, Socket};
+use sanddyke_lifecycle::{Event, Life, Phase, Refused, Socket};
 
 fn after(socket: Socket, events: &[Event]) -> Life {
     let mut life = Life::new(socket);
--- a/crates/draw/src/lib.rs
+++ b/crates/sampling/src/lib.rs
@@ -6,7 +6,7 @@
 //! items that are all full is looked at once, not for every draw.
 //!
 //! ```
-//! use sanddyke_draw::{Draws, Fit};
+//! use sanddyke_sampling::{Draws, Fit};
 //!
 //! let mut draws = Draws::new(1);
 //! draws.reset([10, 11, 12, 13]);
--- a/crates/window/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -2,7 +2,7 @@
 //! exponential law of latencies that has a given coefficient of variation (CV). No clock: times come in.
 //!
 //! ```
-//! use sanddyke_window::Window;
+//! use sanddyke_statistics::Window;
 //!
 //! let mut window = Window::new(100);
 //! window.push(1.0, Some((30.0, 20.0)), 0.0);
--- a/crates/store/src/crash.rs
+++ b/crates/store/src/crash.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use oorandom::Rand32;
-use sanddyke_access::{Grant, Role};
+use sanddyke_authorization::{Grant, Role};
 use sanddyke_tenancy::{Change, GroupSpec, State, TenantSpec};
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,15 +26,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ballots;
+mod encoding;
 mod guard;
-mod rows;
+pub mod voter_file;
 
+use encoding::{pack, unpack};
 use redb::{
     Database, Durability, ReadableDatabase, ReadableTable, TableDefinition, TableError, WriteTransaction,
 };
-use rows::{pack, unpack};
-use sanddyke_access::{Token, Tokens};
+use sanddyke_authorization::{Token, Tokens};
 use sanddyke_tenancy::{Generation, Group, Record, Registry, Subject, Tenant};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/store/src/ballots.rs
+++ b/crates/store/src/voter_file.rs
@@ -2,7 +2,7 @@
 //! CRC-32. A file that is damaged is not voted on: [`Ballots::open`] says so and leaves it as it was.
 
 use super::{StoreError, guard, missing, text, write_error};
-use crate::rows::{pack, unpack};
+use crate::encoding::{pack, unpack};
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::path::{Path, PathBuf};
 
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,9 +1,9 @@
-//! `sanddyke-rig`: runs experiments and keeps what they show.
+//! `sanddyke-testbed`: runs experiments and keeps what they show.
 
 use clap::{Parser, Subcommand};
-use sanddyke_rig::experiment::Experiment;
-use sanddyke_rig::report::Report;
-use sanddyke_rig::{RigError, faults, run, second};
+use sanddyke_testbed::experiment::Experiment;
+use sanddyke_testbed::report::Report;
+use sanddyke_testbed::{RigError, faults, run, second};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Run an experiment.
-    #[command(after_help = "Example:\n  sanddyke-rig run experiments/flood.toml --out docs/measurements")]
+    #[command(after_help = "Example:\n  sanddyke-testbed run experiments/flood.toml --out docs/measurements")]
     Run {
         /// The experiment.
         file: PathBuf,
@@ -69,7 +69,7 @@
         out: Option<PathBuf>,
     },
     /// Measure how long the second address takes to answer, under four conditions. Needs taskset.
-    #[command(after_help = "Example:\n  sanddyke-rig second --seconds 30 --out docs/measurements")]
+    #[command(after_help = "Example:\n  sanddyke-testbed second --seconds 30 --out docs/measurements")]
     Second {
         /// The program.
         #[arg(long, default_value = "target/release/sanddyke")]
@@ -164,8 +164,8 @@
 }
 
 async fn demo(program: &Path) -> Result<(), RigError> {
-    use sanddyke_rig::engine::{Spec, start};
-    use sanddyke_rig::fleet::{Fleet, Plan, TENANT};
+    use sanddyke_testbed::engine::{Spec, start};
+    use sanddyke_testbed::fleet::{Fleet, Plan, TENANT};
     let spec = Spec { cores: 4.0, memory_mb: 4096.0 };
     let engines = [start(spec).await?, start(spec).await?];
     let engines = engines.iter().map(|engine| engine.address).collect();
@@ -264,7 +264,7 @@
 }
 
 fn failed(error: &RigError) -> ExitCode {
-    eprintln!("sanddyke-rig: {error}");
+    eprintln!("sanddyke-testbed: {error}");
     ExitCode::FAILURE
 }
 
@@ -295,7 +295,7 @@
                 Ok(true) => ExitCode::SUCCESS,
                 Ok(false) => ExitCode::from(3),
                 Err(error) => {
-                    eprintln!("sanddyke-rig: {error}");
+                    eprintln!("sanddyke-testbed: {error}");
                     ExitCode::FAILURE
                 }
             };
@@ -321,7 +321,7 @@
             if off { ExitCode::from(3) } else { ExitCode::SUCCESS }
         }
         Err(error) => {
-            eprintln!("sanddyke-rig: {error}");
+            eprintln!("sanddyke-testbed: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -10,14 +10,14 @@
 use crate::clock::Clock;
 use crate::cluster::Cluster;
 use crate::core::{Report, Tally};
-use crate::front::http::message::{Request, Response};
-use crate::front::http::{first_by, read_request};
-use crate::front::{self, Seat};
-use crate::life::Lifeline;
+use crate::frontend::http::message::{Request, Response};
+use crate::frontend::http::{first_by, read_request};
+use crate::frontend::{self, Seat};
+use crate::lifecycle::Lifeline;
 use crate::service::Handle;
 use crate::tenants::Keeper;
 use bytes::BytesMut;
-use sanddyke_access::{Grant, Role, same};
+use sanddyke_authorization::{Grant, Role, same};
 use sanddyke_tenancy::TokenBucket;
 use serde_json::json;
 use std::collections::{BTreeSet, HashMap};
@@ -84,7 +84,7 @@
             }
         }
     };
-    front::accept(listener, MOST, "admin", admin.life.stop_accepting(), each).await;
+    frontend::accept(listener, MOST, "admin", admin.life.stop_accepting(), each).await;
 }
 
 async fn connection<S>(mut stream: S, seat: &Seat, admin: &Admin) -> std::io::Result<()>
@@ -103,7 +103,7 @@
         tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(close))).await??;
         if close {
             seat.ending();
-            return front::linger(&mut stream, &mut buffer).await;
+            return frontend::linger(&mut stream, &mut buffer).await;
         }
         seat.idle();
     }
@@ -189,7 +189,7 @@
 
     fn take(&self, who: &str, (rate, burst): (f64, f64), dear: bool) -> Result<(), Problem> {
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        if rates.len() > 2 * sanddyke_access::MOST_TOKENS {
+        if rates.len() > 2 * sanddyke_authorization::MOST_TOKENS {
             rates.clear(); // tokens come and go: those that are still used begin with a full bucket
         }
         let full = || (TokenBucket::full(), TokenBucket::full());
@@ -203,7 +203,7 @@
 
     /// The calls that version 1 has in another form.
     async fn old(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
-        if !caller.grant.allows(sanddyke_access::Act::See) {
+        if !caller.grant.allows(sanddyke_authorization::Act::See) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
         }
         let report = self.handle.inspect().await?;
--- a/src/admin/problem.rs
+++ b/src/admin/problem.rs
@@ -1,6 +1,6 @@
 //! Problem details (RFC 9457): each error has a code that stays, a status, and a sentence for people.
 
-use crate::front::http::message::Response;
+use crate::frontend::http::message::Response;
 use crate::tenants::Failure;
 use sanddyke_store::StoreError;
 use sanddyke_tenancy::Refusal;
--- a/src/admin/v1.rs
+++ b/src/admin/v1.rs
@@ -5,9 +5,9 @@
 use super::{Admin, Caller};
 use crate::cluster::Cluster;
 use crate::core::{Input, TenantReport};
-use crate::front::http::message::{Request, Response};
+use crate::frontend::http::message::{Request, Response};
 use crate::tenants::{Made, Seen, Wish};
-use sanddyke_access::{Act, Grant, Role, Token, digest};
+use sanddyke_authorization::{Act, Grant, Role, Token, digest};
 use sanddyke_store::{AuditEntry, Done};
 use sanddyke_tenancy::{
     Change, Document, Generation, GroupSpec, Plan, State, Subject, Tenant, TenantId, TenantSpec,
@@ -383,8 +383,8 @@
     /// An operator's word on a roll.
     #[cfg(feature = "cluster")]
     async fn roll(&self, call: Call, request: &Request, word: &str) -> Result<(), Problem> {
-        use crate::cluster::warden::{self, Word};
-        use sanddyke_cluster::roll::{How, State};
+        use crate::cluster::restart_controller::{self, Word};
+        use sanddyke_cluster::rolling_restart::{How, State};
         let word = match (call, word) {
             (Call::Roll, _) => {
                 let told: NewRoll = parse(&request.body)?;
@@ -399,7 +399,7 @@
             (_, "take-back") => Word::Turn(State::TakenBack),
             _ => return Err(Problem::new(404, "no_path", "no such path")),
         };
-        warden::order(self.fleet()?, word).await.map_err(|why| Problem::new(409, "fleet", why))
+        restart_controller::order(self.fleet()?, word).await.map_err(|why| Problem::new(409, "fleet", why))
     }
 
     #[cfg(not(feature = "cluster"))]
--- a/src/bin/sanddyke-benchlink/main.rs
+++ b/src/bin/sanddyke-simulator-adapter/main.rs
@@ -14,7 +14,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("sanddyke-benchlink: {message}");
+            eprintln!("sanddyke-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -5,18 +5,18 @@
 
 pub mod backup;
 #[cfg(feature = "cluster")]
-mod links;
+mod node_driver;
 #[cfg(feature = "cluster")]
-mod shell;
+mod peer_transport;
 #[cfg(feature = "cluster")]
-pub mod warden;
+pub mod restart_controller;
 
 #[cfg(feature = "cluster")]
-pub use shell::start;
+pub use node_driver::start;
 
 use crate::clock::Clock;
-use crate::life::Lifeline;
-use sanddyke_life::Phase;
+use crate::lifecycle::Lifeline;
+use sanddyke_lifecycle::Phase;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// The duty of whoever plays rolls.
-pub const WARDEN: &str = "warden";
+pub const ROLLING_RESTART_LEASE: &str = "warden";
 /// The program's life is looked at so often.
 const LOOK_EVERY: Duration = Duration::from_millis(25);
 
@@ -47,7 +47,7 @@
 enum Order {
     Note(String, u64, String),
     #[cfg(feature = "cluster")]
-    Turn(String, sanddyke_cluster::roll::Step),
+    Turn(String, sanddyke_cluster::rolling_restart::Step),
     Finished(String),
     HandOver(String, oneshot::Sender<Result<(), String>>),
     Admit(String, oneshot::Sender<Result<(), String>>),
@@ -128,7 +128,7 @@
 }
 
 #[cfg(feature = "cluster")]
-use sanddyke_cluster::roll::Stands;
+use sanddyke_cluster::rolling_restart::Stands;
 
 impl Cluster {
     /// The fleet as it is seen here.
@@ -167,7 +167,7 @@
 
     /// Tells a manager a step of a roll, as long as that duty is held here.
     #[cfg(feature = "cluster")]
-    pub async fn turn(&self, name: &str, step: sanddyke_cluster::roll::Step) {
+    pub async fn turn(&self, name: &str, step: sanddyke_cluster::rolling_restart::Step) {
         self.order(Order::Turn(name.to_owned(), step)).await;
     }
 
--- a/src/cluster/shell.rs
+++ b/src/cluster/node_driver.rs
@@ -1,15 +1,16 @@
 //! The node on its thread: the time, messages, orders and the voter's file go in; what is to be done is seen to.
 
-use super::links::{Arrived, Links};
-use super::{Cluster, DutyNews, DutyView, Held, MemberView, Order, Stands, View, warden};
+use super::peer_transport::{Arrived, Links};
+use super::{Cluster, DutyNews, DutyView, Held, MemberView, Order, Stands, View, restart_controller};
 use crate::clock::{Clock, Micros};
 use crate::config::Fleet;
-use crate::life::Lifeline;
+use crate::lifecycle::Lifeline;
 use sanddyke_cluster::{
-    Ballot, Batch, Deed, Disk, Input, Kept, Life, Member, Node, Output, Setup, TICK_US, VoterDisk, roll,
+    Ballot, Batch, Deed, Disk, Input, Kept, Life, Member, Node, Output, Setup, TICK_US, VoterDisk,
+    rolling_restart,
 };
 use sanddyke_store::StoreError;
-use sanddyke_store::ballots::{Ballots, More, Promises};
+use sanddyke_store::voter_file::{Ballots, More, Promises};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -250,11 +251,11 @@
                 Output::Note(note) => log::info!("cluster: {note}"),
                 Output::Turn(back, step) => {
                     let this = self.node.members().me().life.number;
-                    warden::carry_out(step, this, &self.own.0, &self.own.1);
-                    told.push((back, warden::stand(&self.own.0, &self.clock)));
+                    restart_controller::carry_out(step, this, &self.own.0, &self.own.1);
+                    told.push((back, restart_controller::stand(&self.own.0, &self.clock)));
                 }
                 Output::Stand(life, stand) => {
-                    self.stands.send_modify(|all| roll::hear(all, life, stand));
+                    self.stands.send_modify(|all| rolling_restart::hear(all, life, stand));
                 }
             }
         }
--- a/src/cluster/warden.rs
+++ b/src/cluster/restart_controller.rs
@@ -1,11 +1,11 @@
-//! The duty of rolls: managers take turns at being drained or restarted ([`sanddyke_cluster::roll`]). Whoever holds it
+//! The duty of rolls: managers take turns at being drained or restarted ([`sanddyke_cluster::rolling_restart`]). Whoever holds it
 //! plays the roll in its note, and the next holder goes on from there.
 
 use super::{Cluster, DutyNews};
 use crate::clock::Clock;
-use crate::life::Lifeline;
-use sanddyke_cluster::roll::{DUTY, How, Roll, Stand, State, Step, Turn, Watch};
-use sanddyke_life::{Event, Phase};
+use crate::lifecycle::Lifeline;
+use sanddyke_cluster::rolling_restart::{DUTY, How, Roll, Stand, State, Step, Turn, Watch};
+use sanddyke_lifecycle::{Event, Phase};
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
@@ -140,11 +140,11 @@
         },
     };
     let note = roll.note();
-    if note.len() > sanddyke_cluster::duty::LONGEST_NOTE {
+    if note.len() > sanddyke_cluster::lease::LONGEST_NOTE {
         return Err(format!(
             "too many managers for one roll: {} bytes of {}",
             note.len(),
-            sanddyke_cluster::duty::LONGEST_NOTE
+            sanddyke_cluster::lease::LONGEST_NOTE
         ));
     }
     cluster.note(DUTY, on, note.clone()).await;
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,15 +2,15 @@
 //! `LB_CONFIG` (a JSON file), `LB_NAME` and `LB_LISTEN`; elsewhere in an operator's TOML file, named by
 //! `SANDDYKE_CONFIG`. A message names the key that can't be used.
 
-use crate::back::Wire;
 use crate::clock::{Clock, Micros};
 use crate::core::Engine;
-use crate::directory::{Directory, Ldap};
+use crate::decision::EngineState;
 use crate::discovery::Listed;
-use crate::interface::EngineState;
 use crate::settings::{self, Front};
 use crate::tds::login::Login;
+use crate::tenant_directory::{Directory, Ldap};
 use crate::tenants::Known;
+use crate::upstream::Wire;
 use sanddyke_tenancy::{Document, Entry, FORMAT, TenantSpec};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -406,7 +406,7 @@
     /// The settings' tenants, as a store begins with them.
     pub fn document(&self) -> Document {
         let told = self.front.tenants.iter().zip(&self.front.settings.tenants);
-        let entry = |(name, told): (&String, &crate::interface::TenantSettings)| {
+        let entry = |(name, told): (&String, &crate::decision::TenantSettings)| {
             let spec =
                 TenantSpec { weight: told.share, quota_rps: told.quota_per_s, ..TenantSpec::default() };
             (name.clone(), Entry { spec, ..Entry::default() })
@@ -577,7 +577,11 @@
         voters: keys.voters,
         path: keys.path,
         zone: keys.zone,
-        duties: backup.into_iter().chain([crate::cluster::WARDEN]).map(str::to_owned).collect(),
+        duties: backup
+            .into_iter()
+            .chain([crate::cluster::ROLLING_RESTART_LEASE])
+            .map(str::to_owned)
+            .collect(),
         lease_us: lease_ms * 1000,
         backup_every_ms: keys.backup_every_ms,
     })
--- a/src/core/book.rs
+++ b/src/core/accounting.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Command, Core, Open};
 use crate::clock::Micros;
-use crate::interface::Outcome;
+use crate::decision::Outcome;
 use crate::settings::Front;
 use sanddyke_tenancy::{Roster, Slot};
 use serde::Serialize;
--- a/src/core/route.rs
+++ b/src/core/actions.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Command, Core, Standing, Timer};
 use crate::clock::Micros;
-use crate::interface::{Action, Outcome};
+use crate::decision::{Action, Outcome};
 
 impl Core {
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
--- a/src/core/admit.rs
+++ b/src/core/admission.rs
@@ -2,8 +2,8 @@
 
 use super::{Answer, Command, Core, Invalid, Open, Timer};
 use crate::clock::Micros;
-use crate::interface::{ClassId, Event, Request, RequestId, TenantId};
-use crate::statement;
+use crate::decision::{ClassId, Event, Request, RequestId, TenantId};
+use crate::sql;
 use sanddyke_tenancy::{Ask, Reason, Refused};
 
 /// Advice to clients that come while the program ends: it is back by then.
@@ -25,7 +25,7 @@
             class: ClassId(open.class),
             tenant: open.slot.map(TenantId),
             key: None, // no class here takes turns by key
-            data_set: statement::table_group(&open.arrival.statement).unwrap_or(0),
+            data_set: sql::table_group(&open.arrival.statement).unwrap_or(0),
             work_ms: None,
             memory_mb: None,
             remaining_ms: (open.deadline - now).as_ms(),
--- a/src/core/relay.rs
+++ b/src/core/attempt_events.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, AttemptNews, Command, Core};
 use crate::clock::Micros;
-use crate::interface::{Event, Outcome, RequestId};
+use crate::decision::{Event, Outcome, RequestId};
 
 impl Core {
     pub(super) fn relay(
--- a/src/core/send.rs
+++ b/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{Attempt, Call, CancelToken, Command, Core, Standing, Timer};
 use crate::clock::Micros;
-use crate::interface::{AttemptEnd, Effect, EngineState, Event, Outcome, RequestId};
+use crate::decision::{AttemptEnd, Effect, EngineState, Event, Outcome, RequestId};
 
 /// An engine that has not shown by then that it has read a stop is taken to have.
 const HALT_WITHIN: Micros = Micros(5_000_000);
@@ -109,8 +109,8 @@
         request: u64,
         attempt: u32,
         outcome: Outcome,
-        usage: Option<crate::interface::Usage>,
-        report: Option<crate::interface::LoadReport>,
+        usage: Option<crate::decision::Usage>,
+        report: Option<crate::decision::LoadReport>,
         out: &mut Vec<Command>,
     ) {
         let Some(ended) = self.attempts.remove(&(request, attempt)) else { return };
--- a/src/core/handover.rs
+++ b/src/core/learned_state.rs
@@ -2,8 +2,8 @@
 
 use super::{Core, FNV};
 use crate::clock::Micros;
-use crate::interface::EngineId;
-use crate::logic::learnt::{Learnt, LearntClass, LearntEngine, LearntPace};
+use crate::decision::EngineId;
+use crate::decision::learned_state::{Learnt, LearntClass, LearntEngine, LearntPace};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -59,7 +59,7 @@
     /// Whether most of the ready engines have answered something: only then are requests placed as well as by a
     /// process that has run for long. Where engines can't be asked, it is so from the start.
     pub fn is_heard(&self) -> bool {
-        use crate::interface::EngineState::Ready;
+        use crate::decision::EngineState::Ready;
         let ready = || self.engines.values().filter(|engine| engine.state == Ready);
         let heard = ready().filter(|engine| engine.heard).count();
         !self.front.settings.limits.probes || heard * HEARD_PART.1 >= ready().count() * HEARD_PART.0
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -4,25 +4,25 @@
 //! [`route`] carries out what the module decides, [`send`] starts and stops attempts, [`relay`] brings word
 //! of them back, and [`book`] gives the one final answer and counts it.
 
-mod admit;
-mod book;
-mod handover;
-mod relay;
-mod route;
-mod send;
-mod take_in;
+mod accounting;
+mod actions;
+mod admission;
+mod attempt_events;
+mod attempts;
+mod learned_state;
 mod types;
+mod validation;
 
-pub use book::{Books, Tally};
-pub use handover::Handover;
-pub use take_in::Invalid;
+pub use accounting::{Books, Tally};
+pub use learned_state::Handover;
 pub use types::*;
+pub use validation::Invalid;
 
 use crate::clock::Micros;
-use crate::interface::{
+use crate::decision::Gateway;
+use crate::decision::{
     Action, CellId, EngineEntry, EngineState, Event, KindId, ListNews, TenantSettings, ZoneId,
 };
-use crate::logic::Gateway;
 use crate::settings::{Front, number};
 use sanddyke_tenancy::{Generation, Roster, Slot, State, Tenant, TenantId, TenantSpec};
 use std::cmp::Reverse;
@@ -58,7 +58,7 @@
     sent: Micros,
     cancel_token: CancelToken,
     /// Set once it was given up: the end that the module is told when the stop has had time to arrive.
-    halted: Option<crate::interface::Outcome>,
+    halted: Option<crate::decision::Outcome>,
 }
 
 /// Attempts of a request that have been started.
@@ -198,7 +198,7 @@
                     );
                 }
                 let event = Event::Probed {
-                    engine: crate::interface::EngineId(engine),
+                    engine: crate::decision::EngineId(engine),
                     outcome: end.outcome(),
                     elapsed_ms: elapsed.as_ms(),
                     report,
@@ -267,9 +267,9 @@
         };
         let mut entries = Vec::with_capacity(told.len());
         for engine in told {
-            let id = handover::engine_number(&engine.name);
+            let id = learned_state::engine_number(&engine.name);
             entries.push(EngineEntry {
-                id: crate::interface::EngineId(id),
+                id: crate::decision::EngineId(id),
                 started_at: engine.started.map(Micros::as_ms),
                 cell: engine.cell.map(CellId),
                 state: engine.state,
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! The core at its edges, without a socket.
 
 use super::*;
-use crate::interface::Note;
+use crate::decision::Note;
 use std::net::{Ipv4Addr, SocketAddr};
 
 fn core() -> (Core, Vec<Command>) {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -2,7 +2,7 @@
 
 use super::{Handover, Invalid, Tally};
 use crate::clock::Micros;
-use crate::interface::{EngineState, LoadReport, Note, Outcome, Usage};
+use crate::decision::{EngineState, LoadReport, Note, Outcome, Usage};
 use sanddyke_tenancy::{Reason, State, Tenant, TenantId};
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/src/core/take_in.rs
+++ b/src/core/validation.rs
@@ -2,7 +2,7 @@
 
 use super::{Arrival, Core, Open, Standing};
 use crate::clock::Micros;
-use crate::interface::Effect;
+use crate::decision::Effect;
 use thiserror::Error;
 
 /// The longest statement taken, in bytes.
--- a/src/logic.rs
+++ b/src/decision/mod.rs
@@ -2,11 +2,13 @@
 //! Ordinary path: a sub-second ("sensitive") request is due at arrival + latency budget - service time; all
 //! others are best effort, in turns. Alpha splits slots, a cap binds under pressure, the lighter of two wins.
 
-use crate::interface::*;
+mod interface;
+
+pub use interface::*;
 use oorandom::Rand64;
-use sanddyke_draw::{Draws, Fit};
+use sanddyke_sampling::{Draws, Fit};
+use sanddyke_statistics::{GeneralizedExponential, Load, Memo, Timeline, Window};
 use sanddyke_tenancy::{FairQueue, Rank};
-use sanddyke_window::{GeneralizedExponential, Load, Memo, Timeline, Window};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 // --- The mechanism (tunable by the design page: range, alpha steps, target, staircase, window) ---
@@ -1013,6 +1015,6 @@
     }
 }
 
-pub mod learnt;
+pub mod learned_state;
 #[cfg(test)]
 mod tests;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Clock;
 use crate::core::{Engine, EngineNews, Input};
-use crate::interface::EngineState;
+use crate::decision::EngineState;
 use crate::service::Handle;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/src/front/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -8,7 +8,7 @@
 use super::Seat;
 use crate::clock::Micros;
 use crate::core::{Answer, Arrival, Input, Invalid, Row};
-use crate::life::Lifeline;
+use crate::lifecycle::Lifeline;
 use crate::service::Handle;
 use bytes::BytesMut;
 use sanddyke_tenancy::Reason;
--- a/src/front/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -7,13 +7,13 @@
 use super::Seat;
 use crate::clock::Micros;
 use crate::core::{Answer, Arrival, Input};
-use crate::directory::Directory;
-use crate::life::Lifeline;
+use crate::lifecycle::Lifeline;
 use crate::service::Handle;
-use crate::statement;
+use crate::sql;
 use crate::tds::login::{self, ENCRYPT_NOT_SUPPORTED, ENCRYPT_ON, ENCRYPT_REQUIRED};
 use crate::tds::packet::{self, Message, Messages};
 use crate::tds::token::{self, To};
+use crate::tenant_directory::Directory;
 use bytes::BytesMut;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -279,11 +279,11 @@
 
 impl Tds {
     fn arrival(&self, statement: &str, tenant: &str) -> Result<Arrival, String> {
-        let hints = statement::hints(statement);
+        let hints = sql::hints(statement);
         let hint = |name: &str| hints.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
         let left = match hint("ttl_ms") {
             Some(told) => {
-                let ms = crate::front::http::message::whole_number(told);
+                let ms = crate::frontend::http::message::whole_number(told);
                 Micros::from_ms(ms.ok_or("ttl_ms must be a whole number")? as f64)
             }
             None => self.budget,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,24 +38,22 @@
 #![warn(missing_docs)]
 
 pub mod admin;
-pub mod back;
 pub mod clock;
 pub mod cluster;
 pub mod config;
 pub mod core;
-pub mod directory;
+pub mod decision;
 pub mod discovery;
-pub mod front;
-pub mod handover;
-pub mod interface;
-pub mod life;
-pub mod logic;
-pub mod ops;
+pub mod frontend;
+pub mod lifecycle;
+pub mod operations_endpoint;
 pub mod service;
 pub mod settings;
-pub mod statement;
+pub mod sql;
+pub mod state_handover;
 pub mod tds;
+pub mod tenant_directory;
 pub mod tenants;
+pub mod upstream;
 
-pub use interface::*;
-pub use logic::Gateway;
+pub use decision::*;
--- a/src/life.rs
+++ b/src/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The program's life ([`sanddyke_life`]) as all its tasks see it: doors and health checks read it, signals and
+//! The program's life ([`sanddyke_lifecycle`]) as all its tasks see it: doors and health checks read it, signals and
 //! the second address move it, and connections wait here to be told that they shall end.
 
-use sanddyke_life::{Event, Life, Phase, Refused, Socket};
+use sanddyke_lifecycle::{Event, Life, Phase, Refused, Socket};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,21 +6,21 @@
 use clap::Parser;
 use cli::{Arguments, Command};
 use sanddyke::admin::{self, Admin};
-use sanddyke::back::{Backs, Limits, Wire};
 use sanddyke::clock::{Clock, Micros};
 use sanddyke::cluster::Cluster;
 use sanddyke::config::{Config, Read, Source};
 use sanddyke::core::{Core, EngineNews, Input};
 use sanddyke::discovery::{self, Told};
-use sanddyke::front::http::{self, Http};
-use sanddyke::front::tds::{self, Tds};
-use sanddyke::handover;
-use sanddyke::life::Lifeline;
-use sanddyke::ops::{self, Ops, Pulse};
+use sanddyke::frontend::http::{self, Http};
+use sanddyke::frontend::tds::{self, Tds};
+use sanddyke::lifecycle::Lifeline;
+use sanddyke::operations_endpoint::{self, Ops, Pulse};
 use sanddyke::service::{self, Handle};
+use sanddyke::state_handover;
 use sanddyke::tenants::{Failure, Keeper};
-use sanddyke_inherit::Unfit;
-use sanddyke_life::{Event, Refused, Socket};
+use sanddyke::upstream::{Backs, Limits, Wire};
+use sanddyke_lifecycle::{Event, Refused, Socket};
+use sanddyke_socket_activation::Unfit;
 use sanddyke_store::{Store, StoreError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -127,7 +127,7 @@
         (Err(_), _) => None,
         (Ok(_), None) => return Err(Fatal::InheritNothing),
         (Ok(told), Some(listen)) => {
-            Some(sanddyke_inherit::listener(sanddyke_inherit::number(&told)?, listen)?)
+            Some(sanddyke_socket_activation::listener(sanddyke_socket_activation::number(&told)?, listen)?)
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -145,15 +145,15 @@
     life: &Lifeline,
     restart: &Arc<Notify>,
 ) -> Result<Cluster, Fatal> {
-    use sanddyke::cluster::{WARDEN, backup, follow, start, warden};
+    use sanddyke::cluster::{ROLLING_RESTART_LEASE, backup, follow, restart_controller, start};
     let (address, every) = (fleet.listen, fleet.backup_every_ms);
     let (cluster, mut news) = start(fleet, name, clock, seed, (life.clone(), restart.clone()))
         .map_err(|error| Fatal::Cluster(address, error))?;
     if let (Some(news), Some(every)) = (news.remove(backup::DUTY), every) {
         tokio::spawn(backup::run(cluster.clone(), news, keeper.clone(), clock, every));
     }
-    if let Some(news) = news.remove(WARDEN) {
-        tokio::spawn(warden::run(cluster.clone(), news, clock));
+    if let Some(news) = news.remove(ROLLING_RESTART_LEASE) {
+        tokio::spawn(restart_controller::run(cluster.clone(), news, clock));
     }
     tokio::spawn(follow(cluster.clone(), life.clone()));
     Ok(cluster)
@@ -252,11 +252,11 @@
         let ops = Ops { life: life.clone(), pulse: Pulse::default(), clock };
         tokio::spawn(ops.pulse.clone().run(handle.clone(), clock));
         let callers = (config.sockets / CALLERS.0).clamp(CALLERS.1, CALLERS.2);
-        ops::start(address, ops, callers).map_err(|error| Fatal::Ops(address, error))?;
+        operations_endpoint::start(address, ops, callers).map_err(|error| Fatal::Ops(address, error))?;
     }
-    let left = handover::place(&config.name).filter(|_| shared);
+    let left = state_handover::place(&config.name).filter(|_| shared);
     if let Some(place) = &left {
-        handover::take(place, &handle, &clock).await?;
+        state_handover::take(place, &handle, &clock).await?;
     }
     let keeper = Keeper::start(held, &document, backups, handle.clone(), config.known, clock).await?;
     let restart = Arc::new(Notify::new());
@@ -273,7 +273,7 @@
     tokio::spawn(discovery::run(names_told, handle.clone(), clock, config.seed));
     if shared {
         // Another process serves until this one says that it is ready.
-        handover::heard(&handle, &clock).await?;
+        state_handover::heard(&handle, &clock).await?;
     }
     let mut fronts = Vec::new();
     let places = config.sockets - config.sockets.min(RESERVED) / 2;
@@ -309,11 +309,11 @@
         life.apply(event)?;
     }
     if let Some(place) = left {
-        tokio::spawn(handover::keep(place, handle.clone(), clock, life.clone()));
+        tokio::spawn(state_handover::keep(place, handle.clone(), clock, life.clone()));
     }
-    let leaving = handover::leaving(&config.name).filter(|_| shared);
+    let leaving = state_handover::leaving(&config.name).filter(|_| shared);
     if let Some(place) = leaving.clone() {
-        tokio::spawn(handover::beside(place, handle.clone(), clock, life.clone()));
+        tokio::spawn(state_handover::beside(place, handle.clone(), clock, life.clone()));
     }
     log::info!("{} is ready", config.name);
     loop {
@@ -337,7 +337,7 @@
     let shutdown_by = clock.now() + counted + FORCED_AFTER - KEPT_FOR_ANSWERS;
     handle.tell(Input::ShutdownBy(shutdown_by)).await?;
     if let Some(place) = leaving {
-        tokio::spawn(handover::leave(place, clock, life.clone()));
+        tokio::spawn(state_handover::leave(place, clock, life.clone()));
     }
     let served = async {
         for front in fronts {
--- a/src/ops.rs
+++ b/src/operations_endpoint.rs
@@ -4,13 +4,13 @@
 //! queue. It is not the administration API and has no way to it.
 
 use crate::clock::{Clock, Micros};
-use crate::front::http::message::{Request, Response};
-use crate::front::http::{first_by, read_request};
-use crate::front::{self, Seat};
-use crate::life::Lifeline;
+use crate::frontend::http::message::{Request, Response};
+use crate::frontend::http::{first_by, read_request};
+use crate::frontend::{self, Seat};
+use crate::lifecycle::Lifeline;
 use crate::service::Handle;
 use bytes::BytesMut;
-use sanddyke_life::{Event, Phase};
+use sanddyke_lifecycle::{Event, Phase};
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     let serve = async move {
         match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => {
-                front::accept(listener, most, "second address", std::future::pending(), |stream, seat| {
+                frontend::accept(listener, most, "second address", std::future::pending(), |stream, seat| {
                     let ops = ops.clone();
                     async move { ops.connection(stream, &seat).await }
                 })
@@ -96,7 +96,7 @@
         };
         tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(true))).await??;
         seat.ending();
-        front::linger(&mut stream, &mut buffer).await
+        frontend::linger(&mut stream, &mut buffer).await
     }
 
     fn call(&self, request: &Request) -> Response {
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,9 +1,9 @@
 //! The one task that owns the core: it reads the clock once a turn, feeds the core what came in by one
 //! bounded channel, and hands on what the core wants done.
 
-use crate::back::Backs;
 use crate::clock::{Clock, Micros};
 use crate::core::{Answer, Arrival, Command, Core, Handover, Input, Report, TenantReport};
+use crate::upstream::Backs;
 use sanddyke_tenancy::TenantId;
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of one workload manager, from the platform's JSON to the module's terms.
 
-use crate::interface::{
+use crate::decision::{
     ClassSettings, DedupScope, Effect, EngineTraits, KindId, KindSettings, Limits, MemoryShort, RetryBudget,
     Rules, Settings, TenantSettings, ZoneId,
 };
--- a/src/handover.rs
+++ b/src/state_handover.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{Clock, Micros};
 use crate::core::{Handover, Input};
-use crate::life::Lifeline;
+use crate::lifecycle::Lifeline;
 use crate::service::{Ended, Handle};
 use sanddyke_snapshot::Place;
 use std::path::PathBuf;
--- a/src/tds/token.rs
+++ b/src/tds/token.rs
@@ -3,7 +3,7 @@
 use super::value::{self, Type, Value};
 use super::{Malformed, Out, from_utf16, put_short, utf16};
 use crate::core::{Row, Table};
-use crate::statement;
+use crate::sql;
 use winnow::Parser;
 use winnow::binary::{le_u8, le_u16, le_u32, le_u64};
 use winnow::combinator::repeat;
@@ -169,7 +169,7 @@
     let statement = statement.filter(|_| named && input.is_empty()).ok_or_else(ContextError::new)?;
     let bound: Vec<(String, String)> =
         parameters.skip(1).map(|(name, value)| (name, value.literal())).collect();
-    Ok(statement::bind(&statement, &bound))
+    Ok(sql::bind(&statement, &bound))
 }
 
 /// Reads a call of `sp_executesql`: its statement, with the parameters in their places.
--- a/src/tenants/mod.rs
+++ b/src/tenants/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::core::{Input, TenantNews};
 use crate::service::{Ended, Handle};
-use sanddyke_access::{Grant, Token, Tokens, Unfit};
+use sanddyke_authorization::{Grant, Token, Tokens, Unfit};
 use sanddyke_store::{AuditEntry, Commit, Creation, Done, Loaded, Store, StoreError};
 use sanddyke_tenancy::{
     Change, Document, Generation, Plan, Record, Refusal, Registry, Subject, TenantId, shares,
--- a/src/back/lines/connection.rs
+++ b/src/upstream/line_protocol/connection.rs
@@ -1,11 +1,11 @@
 //! One connection to an engine: it carries many requests, and tells of the end of each.
 
 use super::parse::{self, Line, Word};
-use crate::back::{AttemptId, Collected, Order, Uplink, failed_connect, failed_io};
 use crate::clock::Micros;
 use crate::core::{AttemptNews, Call, ConnectionEnd, Row, Table};
-use crate::interface::{LoadReport, Usage};
+use crate::decision::{LoadReport, Usage};
 use crate::service::Ended;
+use crate::upstream::{AttemptId, Collected, Order, Uplink, failed_connect, failed_io};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
--- a/src/back/lines/parse.rs
+++ b/src/upstream/line_protocol/parse.rs
@@ -1,7 +1,7 @@
 //! An engine's lines, read by winnow: `ID WORD FIELDS [LENGTH]`, and a body of that length.
 
 use crate::core::Row;
-use crate::interface::{LoadReport, Note, Usage};
+use crate::decision::{LoadReport, Note, Usage};
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
 use thiserror::Error;
--- a/src/back/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,11 +1,11 @@
 //! The way to the engines: one task for each engine, which keeps its connections.
 
-pub mod lines;
+pub mod line_protocol;
 pub mod tds;
 
 use crate::clock::{Clock, Micros};
 use crate::core::{AttemptNews, Call, Command, ConnectionEnd, Input};
-use crate::interface::{EngineState, LoadReport};
+use crate::decision::{EngineState, LoadReport};
 use crate::service::{Ended, Handle};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -216,7 +216,7 @@
         let (handle, limits) = (self.handle.clone(), self.limits.clone());
         let uplink = Uplink { engine, handle, clock: self.clock, limits, collected: self.collected.clone() };
         match &self.wire {
-            Wire::Lines => tokio::spawn(lines::run(uplink, address, orders)),
+            Wire::Lines => tokio::spawn(line_protocol::run(uplink, address, orders)),
             Wire::Tds(login) => tokio::spawn(tds::run(uplink, address, orders, login.clone())),
         };
         self.links.insert(engine, link);
--- a/src/back/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -1,15 +1,15 @@
 //! One connection to a TDS engine: a login, then one request at a time.
 
 use super::{Free, Task};
-use crate::back::lines::load_report;
-use crate::back::{AttemptId, Order, Uplink, failed_connect, failed_io};
 use crate::clock::Micros;
 use crate::core::{AttemptNews, Call, ConnectionEnd, Row, Table};
-use crate::interface::{LoadReport, Note, Usage};
+use crate::decision::{LoadReport, Note, Usage};
 use crate::tds::login::{self, Login};
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
 use crate::tds::value::Type;
+use crate::upstream::line_protocol::load_report;
+use crate::upstream::{AttemptId, Order, Uplink, failed_connect, failed_io};
 use bytes::{Buf, BytesMut};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -6,7 +6,7 @@
 use common::{TOKEN, read_reply, start, until};
 use rstest::rstest;
 use sanddyke::core::Handover;
-use sanddyke_store::ballots::Ballots;
+use sanddyke_store::voter_file::Ballots;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -1,8 +1,8 @@
 //! The short form of the measurement in `docs/tenants.md`: the rig's experiment, with the program that these
 //! tests are built with.
 
-use sanddyke_rig::experiment::Experiment;
-use sanddyke_rig::{RigError, run};
+use sanddyke_testbed::experiment::Experiment;
+use sanddyke_testbed::{RigError, run};
 use std::path::Path;
 
 /// Three tenants for some seconds, one of which floods at five times its share: each one's service stays near
