--- a/benches/core.rs
+++ b/benches/core.rs
@@ -7,7 +7,8 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use sanddyke::clock::Micros;
 use sanddyke::core::{
-    Arrival, AttemptNews, Command, ConnectionEnd, Core, Engine, EngineNews, Input, Table, TenantNews,
+    AttemptEvent, Command, ConnectionEnd, Core, Engine, EngineListUpdate, IncomingRequest, Input, Table,
+    TenantUpdate,
 };
 use sanddyke::decision::{EngineState, LoadReport};
 use sanddyke_tenancy::{Generation, State, Tenant, TenantId, TenantSpec};
@@ -85,8 +86,8 @@
             weight: 1.0,
             started: None,
         };
-        world.tell(Input::Engines(EngineNews::Start((0..scene.engines).map(engine).collect())));
-        let tenant = |number: usize| TenantNews::Set {
+        world.tell(Input::Engines(EngineListUpdate::Initial((0..scene.engines).map(engine).collect())));
+        let tenant = |number: usize| TenantUpdate::Set {
             tenant: Box::new(Tenant {
                 id: TenantId(number as u64 + 1),
                 name: format!("t{number}"),
@@ -109,11 +110,11 @@
         for command in self.out.drain(..) {
             self.count += 1;
             match command {
-                Command::Launch { request, attempt, .. } => {
+                Command::StartAttempt { request, attempt, .. } => {
                     let due = Due::Answer { request, attempt };
                     self.due.push(Reverse((self.now + self.service, self.count, due)));
                 }
-                Command::Probe { engine } => {
+                Command::HealthCheck { engine } => {
                     self.due.push(Reverse((self.now + 500, self.count, Due::Probe { engine })));
                 }
                 other => drop(black_box(other)),
@@ -132,7 +133,7 @@
             }
             self.now = at;
             self.next += 1;
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 request: self.next,
                 name: format!("r{}", self.next),
                 class: if self.next.is_multiple_of(2) { "lookup" } else { "report" }.to_owned(),
@@ -141,7 +142,7 @@
                 statement: self.statement.clone(),
                 left: Micros(8_000_000),
             };
-            self.tell(Input::Arrived(arrival));
+            self.tell(Input::RequestReceived(arrival));
         }
         self.inside
     }
@@ -158,16 +159,19 @@
             let report = Some(LoadReport { busy: Some(0.9), ..LoadReport::default() });
             let input = match due {
                 Due::Answer { request, attempt } => {
-                    let news = AttemptNews::Served { table: Table::default(), usage: None, report };
+                    let news = AttemptEvent::Served { table: Table::default(), usage: None, report };
                     Input::Attempt { request, attempt, news }
                 }
-                Due::Probe { engine } => {
-                    Input::Probed { engine, end: ConnectionEnd::Answered, report, elapsed: Micros(500) }
-                }
+                Due::Probe { engine } => Input::HealthChecked {
+                    engine,
+                    end: ConnectionEnd::Answered,
+                    report,
+                    elapsed: Micros(500),
+                },
             };
             return self.tell(input);
         }
-        self.tell(Input::Clock);
+        self.tell(Input::Tick);
     }
 }
 
--- a/crates/authorization/src/lib.rs
+++ b/crates/authorization/src/lib.rs
@@ -44,7 +44,7 @@
 
 /// What somebody wants to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum Permission {
     /// See what belongs to no tenant: engines, metrics, groups, shares.
     See,
     /// See one tenant, its requests and its part of the audit trail.
@@ -98,7 +98,7 @@
 
 /// Why a token is not taken over.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum GrantError {
     /// Too many.
     #[error("there are {MOST_TOKENS} tokens already, the most that there can be")]
     Full,
@@ -130,23 +130,25 @@
 
 impl Grant {
     /// Checks that it makes sense.
-    pub fn check(&self, now_ms: u64) -> Result<(), Unfit> {
+    pub fn check(&self, now_ms: u64) -> Result<(), GrantError> {
         match self {
-            _ if self.note.len() > 256 => Err(Unfit::Note),
-            _ if self.tenants.is_empty() == (self.role == Role::TenantAdmin) => Err(Unfit::Tenants),
-            _ if self.expires_ms.is_some_and(|at| at <= now_ms) => Err(Unfit::Expired),
+            _ if self.note.len() > 256 => Err(GrantError::Note),
+            _ if self.tenants.is_empty() == (self.role == Role::TenantAdmin) => Err(GrantError::Tenants),
+            _ if self.expires_ms.is_some_and(|at| at <= now_ms) => Err(GrantError::Expired),
             _ => Ok(()),
         }
     }
 
     /// Whether its holder may do a thing.
-    pub fn allows(&self, act: Act) -> bool {
+    pub fn allows(&self, act: Permission) -> bool {
         match (self.role, act) {
             (Role::Operator, _) => true,
-            (Role::Viewer, Act::See | Act::SeeTenant(_)) => true,
+            (Role::Viewer, Permission::See | Permission::SeeTenant(_)) => true,
             (Role::Viewer, _) => false,
-            (Role::TenantAdmin, Act::SeeTenant(id) | Act::RunTenant(id)) => self.tenants.contains(&id),
-            (Role::TenantAdmin, Act::See | Act::Change | Act::Govern) => false,
+            (Role::TenantAdmin, Permission::SeeTenant(id) | Permission::RunTenant(id)) => {
+                self.tenants.contains(&id)
+            }
+            (Role::TenantAdmin, Permission::See | Permission::Change | Permission::Govern) => false,
         }
     }
 }
@@ -173,9 +175,9 @@
     }
 
     /// Takes a token over.
-    pub fn put(&mut self, token: Token) -> Result<(), Unfit> {
+    pub fn put(&mut self, token: Token) -> Result<(), GrantError> {
         if self.0.len() >= MOST_TOKENS && !self.0.contains_key(&token.id) {
-            return Err(Unfit::Full);
+            return Err(GrantError::Full);
         }
         self.0.insert(token.id.clone(), token);
         Ok(())
@@ -248,13 +250,13 @@
     #[test]
     fn each_role_may_do_what_it_is_for() {
         let acts = [
-            Act::See,
-            Act::SeeTenant(TenantId(1)),
-            Act::SeeTenant(TenantId(2)),
-            Act::RunTenant(TenantId(1)),
-            Act::RunTenant(TenantId(2)),
-            Act::Change,
-            Act::Govern,
+            Permission::See,
+            Permission::SeeTenant(TenantId(1)),
+            Permission::SeeTenant(TenantId(2)),
+            Permission::RunTenant(TenantId(1)),
+            Permission::RunTenant(TenantId(2)),
+            Permission::Change,
+            Permission::Govern,
         ];
         let rows = [
             (grant(Role::Operator, &[]), [true; 7]),
@@ -268,9 +270,9 @@
 
     #[test]
     fn a_grant_that_makes_no_sense_is_refused() {
-        assert_eq!(grant(Role::TenantAdmin, &[]).check(0), Err(Unfit::Tenants));
-        assert_eq!(grant(Role::Viewer, &[3]).check(0), Err(Unfit::Tenants));
+        assert_eq!(grant(Role::TenantAdmin, &[]).check(0), Err(GrantError::Tenants));
+        assert_eq!(grant(Role::Viewer, &[3]).check(0), Err(GrantError::Tenants));
         let over = Grant { expires_ms: Some(10), ..grant(Role::Viewer, &[]) };
-        assert_eq!((over.check(10), over.check(9)), (Err(Unfit::Expired), Ok(())));
+        assert_eq!((over.check(10), over.check(9)), (Err(GrantError::Expired), Ok(())));
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -26,14 +26,14 @@
 //! | `LastAnswer` | no: serving | no: serving | no: serving | Ended | = |
 //!
 //! ```
-//! use sanddyke_lifecycle::{Event, Life, Phase, Socket};
+//! use sanddyke_lifecycle::{Event, Lifecycle, Phase, ListenSocket};
 //!
-//! let mut life = Life::new(Socket::Own);
-//! life.apply(Event::Listed)?;
-//! assert_eq!(life.apply(Event::Heard)?, Some(Phase::Ready));
+//! let mut life = Lifecycle::new(ListenSocket::Exclusive);
+//! life.apply(Event::EngineListLoaded)?;
+//! assert_eq!(life.apply(Event::EnginesChecked)?, Some(Phase::Ready));
 //! assert_eq!(life.apply(Event::Quiesce)?, Some(Phase::Drained));
-//! assert!(life.takes_connections() && !life.keeps_connections() && !life.is_ready());
-//! # Ok::<(), sanddyke_lifecycle::Refused>(())
+//! assert!(life.accepts_connections() && !life.keeps_idle_connections() && !life.is_ready());
+//! # Ok::<(), sanddyke_lifecycle::TransitionError>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -43,9 +43,9 @@
 
 /// Whose the socket is at which clients connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Socket {
+pub enum ListenSocket {
     /// This process's: it closes with it, and clients come until they notice.
-    Own,
+    Exclusive,
     /// Another holds it too, and others accept on it: no client is turned away when this process no longer does.
     Shared,
 }
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// It knows where its back ends are.
-    Listed,
+    EngineListLoaded,
     /// It has heard enough of them to serve as well as one that has run for long.
-    Heard,
+    EnginesChecked,
     /// Clients are to be sent away.
     Quiesce,
     /// Back to work.
@@ -66,19 +66,19 @@
     /// Its configuration is to be read again (SIGHUP).
     Reload,
     /// After [`Event::Terminate`], the last answer is given.
-    LastAnswer,
+    LastResponseSent,
 }
 
 impl Event {
     /// All of them.
     pub const ALL: [Event; 7] = [
-        Event::Listed,
-        Event::Heard,
+        Event::EngineListLoaded,
+        Event::EnginesChecked,
         Event::Quiesce,
         Event::Resume,
         Event::Terminate,
         Event::Reload,
-        Event::LastAnswer,
+        Event::LastResponseSent,
     ];
 }
 
@@ -101,7 +101,7 @@
 
 impl Phase {
     /// In one word, as health checks and the log have it.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
             Phase::Ready => "ready",
@@ -115,13 +115,13 @@
 
 impl fmt::Display for Phase {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(self.word())
+        out.write_str(self.name())
     }
 }
 
 /// Why an event can't happen in the phase that the server is in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum TransitionError {
     /// It ends already.
     #[error("the program is stopping")]
     Stopping,
@@ -136,57 +136,68 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Serving,
-    Leaving,
+    ShuttingDown,
     Ended,
 }
 
 /// A server's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Life {
-    socket: Socket,
+pub struct Lifecycle {
+    socket: ListenSocket,
     stage: Stage,
     drained: bool,
-    listed: bool,
-    heard: bool,
+    engine_list_loaded: bool,
+    engines_checked: bool,
 }
 
-impl Life {
+impl Lifecycle {
     /// The life of a server that has just started.
-    pub fn new(socket: Socket) -> Life {
-        Life { socket, stage: Stage::Serving, drained: false, listed: false, heard: false }
+    pub fn new(socket: ListenSocket) -> Lifecycle {
+        Lifecycle {
+            socket,
+            stage: Stage::Serving,
+            drained: false,
+            engine_list_loaded: false,
+            engines_checked: false,
+        }
     }
 
     /// Where it stands.
     pub fn phase(&self) -> Phase {
         match (self.stage, self.socket) {
             (Stage::Ended, _) => Phase::Ended,
-            (Stage::Leaving, Socket::Own) => Phase::Stopping,
-            (Stage::Leaving, Socket::Shared) => Phase::HandedOver,
+            (Stage::ShuttingDown, ListenSocket::Exclusive) => Phase::Stopping,
+            (Stage::ShuttingDown, ListenSocket::Shared) => Phase::HandedOver,
             (Stage::Serving, _) if self.drained => Phase::Drained,
-            (Stage::Serving, _) if self.listed && self.heard => Phase::Ready,
+            (Stage::Serving, _) if self.engine_list_loaded && self.engines_checked => Phase::Ready,
             (Stage::Serving, _) => Phase::Starting,
         }
     }
 
     /// Takes an event, and gives the phase that follows where it is another; an event that is refused changes
     /// nothing.
-    pub fn apply(&mut self, event: Event) -> Result<Option<Phase>, Refused> {
+    pub fn apply(&mut self, event: Event) -> Result<Option<Phase>, TransitionError> {
         let before = self.phase();
         match (event, self.stage) {
-            (Event::Quiesce | Event::Resume | Event::Reload, Stage::Leaving) => {
-                return Err(Refused::Stopping);
+            (Event::Quiesce | Event::Resume | Event::Reload, Stage::ShuttingDown) => {
+                return Err(TransitionError::Stopping);
+            }
+            (Event::Quiesce | Event::Resume | Event::Reload, Stage::Ended) => {
+                return Err(TransitionError::Ended);
             }
-            (Event::Quiesce | Event::Resume | Event::Reload, Stage::Ended) => return Err(Refused::Ended),
-            (Event::LastAnswer, Stage::Serving) => return Err(Refused::Serving),
-            (Event::Listed, Stage::Serving) => self.listed = true,
-            (Event::Heard, Stage::Serving) => self.heard = true,
+            (Event::LastResponseSent, Stage::Serving) => return Err(TransitionError::Serving),
+            (Event::EngineListLoaded, Stage::Serving) => self.engine_list_loaded = true,
+            (Event::EnginesChecked, Stage::Serving) => self.engines_checked = true,
             (Event::Quiesce, Stage::Serving) => self.drained = true,
             (Event::Resume, Stage::Serving) => self.drained = false,
-            (Event::Terminate, Stage::Serving) => self.stage = Stage::Leaving,
-            (Event::LastAnswer, Stage::Leaving) => self.stage = Stage::Ended,
+            (Event::Terminate, Stage::Serving) => self.stage = Stage::ShuttingDown,
+            (Event::LastResponseSent, Stage::ShuttingDown) => self.stage = Stage::Ended,
             (Event::Reload, Stage::Serving)
-            | (Event::Listed | Event::Heard | Event::Terminate, Stage::Leaving | Stage::Ended)
-            | (Event::LastAnswer, Stage::Ended) => {}
+            | (
+                Event::EngineListLoaded | Event::EnginesChecked | Event::Terminate,
+                Stage::ShuttingDown | Stage::Ended,
+            )
+            | (Event::LastResponseSent, Stage::Ended) => {}
         }
         let after = self.phase();
         Ok((after != before).then_some(after))
@@ -198,17 +209,17 @@
     }
 
     /// Whether it is about to end.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.stage != Stage::Serving
     }
 
     /// Whether new connections are accepted. A drained server goes on: clients come until they notice.
-    pub fn takes_connections(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         !matches!(self.phase(), Phase::HandedOver | Phase::Ended)
     }
 
     /// Whether a connection stays open for the client's next request.
-    pub fn keeps_connections(&self) -> bool {
+    pub fn keeps_idle_connections(&self) -> bool {
         matches!(self.phase(), Phase::Starting | Phase::Ready)
     }
 }
--- a/crates/lifecycle/tests/table.rs
+++ b/crates/lifecycle/tests/table.rs
@@ -1,49 +1,49 @@
 //! The table of `lib.rs`, held to the code: each event in each phase, each pair of events in either order, and
 //! what must hold whatever comes.
 
-use sanddyke_lifecycle::{Event, Life, Phase, Refused, Socket};
+use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 
-fn after(socket: Socket, events: &[Event]) -> Life {
-    let mut life = Life::new(socket);
+fn after(socket: ListenSocket, events: &[Event]) -> Lifecycle {
+    let mut life = Lifecycle::new(socket);
     for event in events {
         let _refused = life.apply(*event);
     }
     life
 }
 
-const STARTED: [Event; 2] = [Event::Listed, Event::Heard];
+const STARTED: [Event; 2] = [Event::EngineListLoaded, Event::EnginesChecked];
 
 /// A life in each phase.
-fn phases() -> Vec<Life> {
-    use Event::{LastAnswer, Quiesce, Terminate};
+fn phases() -> Vec<Lifecycle> {
+    use Event::{LastResponseSent, Quiesce, Terminate};
     let with = |socket, more: &[Event]| after(socket, &[&STARTED[..], more].concat());
     vec![
-        after(Socket::Own, &[]),
-        with(Socket::Own, &[]),
-        with(Socket::Own, &[Quiesce]),
-        with(Socket::Own, &[Terminate]),
-        with(Socket::Shared, &[Terminate]),
-        with(Socket::Own, &[Terminate, LastAnswer]),
+        after(ListenSocket::Exclusive, &[]),
+        with(ListenSocket::Exclusive, &[]),
+        with(ListenSocket::Exclusive, &[Quiesce]),
+        with(ListenSocket::Exclusive, &[Terminate]),
+        with(ListenSocket::Shared, &[Terminate]),
+        with(ListenSocket::Exclusive, &[Terminate, LastResponseSent]),
     ]
 }
 
 #[test]
 fn every_event_in_every_phase_does_what_the_table_says() {
     use Phase::{Drained, Ended, HandedOver, Ready, Starting, Stopping};
-    let stopping = Err(Refused::Stopping);
-    let ended = Err(Refused::Ended);
-    let serving = Err(Refused::Serving);
+    let stopping = Err(TransitionError::Stopping);
+    let ended = Err(TransitionError::Ended);
+    let serving = Err(TransitionError::Serving);
     let none = Ok(None);
     let table = [
-        (Event::Listed, [none, none, none, none, none, none]),
-        (Event::Heard, [none, none, none, none, none, none]),
+        (Event::EngineListLoaded, [none, none, none, none, none, none]),
+        (Event::EnginesChecked, [none, none, none, none, none, none]),
         (Event::Quiesce, [Ok(Some(Drained)), Ok(Some(Drained)), none, stopping, stopping, ended]),
         (Event::Resume, [none, none, Ok(Some(Ready)), stopping, stopping, ended]),
         (Event::Terminate, [Ok(Some(Stopping)), Ok(Some(Stopping)), Ok(Some(Stopping)), none, none, none]),
         (Event::Reload, [none, none, none, stopping, stopping, ended]),
-        (Event::LastAnswer, [serving, serving, serving, Ok(Some(Ended)), Ok(Some(Ended)), none]),
+        (Event::LastResponseSent, [serving, serving, serving, Ok(Some(Ended)), Ok(Some(Ended)), none]),
     ];
-    let at: Vec<Phase> = phases().iter().map(Life::phase).collect();
+    let at: Vec<Phase> = phases().iter().map(Lifecycle::phase).collect();
     assert_eq!(at, [Starting, Ready, Drained, Stopping, HandedOver, Ended]);
     assert_eq!(table.len(), Event::ALL.len());
     for (event, expected) in table {
@@ -61,14 +61,14 @@
 /// Pairs in either order that lead to one phase, and those in which the order counts.
 #[test]
 fn pairs_of_events_in_either_order() {
-    use Event::{Heard, LastAnswer, Listed, Quiesce, Resume, Terminate};
-    for socket in [Socket::Own, Socket::Shared] {
+    use Event::{EngineListLoaded, EnginesChecked, LastResponseSent, Quiesce, Resume, Terminate};
+    for socket in [ListenSocket::Exclusive, ListenSocket::Shared] {
         let pair = |first, second| after(socket, &[&STARTED[..], &[first, second]].concat()).phase();
-        let left = if socket == Socket::Own { Phase::Stopping } else { Phase::HandedOver };
+        let left = if socket == ListenSocket::Exclusive { Phase::Stopping } else { Phase::HandedOver };
         for first in Event::ALL {
             for second in Event::ALL {
                 let expected = match (first, second) {
-                    (Terminate, LastAnswer) => Phase::Ended,
+                    (Terminate, LastResponseSent) => Phase::Ended,
                     (Terminate, _) | (_, Terminate) => left,
                     (Quiesce, Resume) => Phase::Ready,
                     (Quiesce, _) | (_, Quiesce) => Phase::Drained,
@@ -78,8 +78,8 @@
             }
         }
         // Drained before it could serve: resumed, it has still to hear of its back ends.
-        assert_eq!(after(socket, &[Quiesce, Listed, Resume]).phase(), Phase::Starting);
-        assert_eq!(after(socket, &[Quiesce, Heard, Listed, Resume]).phase(), Phase::Ready);
+        assert_eq!(after(socket, &[Quiesce, EngineListLoaded, Resume]).phase(), Phase::Starting);
+        assert_eq!(after(socket, &[Quiesce, EnginesChecked, EngineListLoaded, Resume]).phase(), Phase::Ready);
     }
 }
 
@@ -89,19 +89,20 @@
 fn no_order_of_events_brings_a_server_back() {
     for number in 0..7usize.pow(5) {
         let order: Vec<Event> = (0..5).map(|at| Event::ALL[number / 7usize.pow(at) % 7]).collect();
-        let mut life = Life::new(if number % 2 == 0 { Socket::Own } else { Socket::Shared });
+        let mut life =
+            Lifecycle::new(if number % 2 == 0 { ListenSocket::Exclusive } else { ListenSocket::Shared });
         let mut left = false;
         let (mut drained, mut ended) = (false, false);
         for event in &order {
             let taken = life.apply(*event).is_ok();
             left |= *event == Event::Terminate;
             drained = taken && *event == Event::Quiesce || drained && !(taken && *event == Event::Resume);
-            ended |= left && *event == Event::LastAnswer;
-            assert_eq!(life.is_leaving(), left, "{order:?}");
+            ended |= left && *event == Event::LastResponseSent;
+            assert_eq!(life.is_shutting_down(), left, "{order:?}");
             assert!(!life.is_ready() || !left && !drained, "{order:?}");
             assert_eq!(life.phase() == Phase::Ended, ended, "{order:?}");
-            assert!(life.keeps_connections() <= life.takes_connections(), "{order:?}");
-            assert_eq!(life.keeps_connections(), !left && !drained, "{order:?}");
+            assert!(life.keeps_idle_connections() <= life.accepts_connections(), "{order:?}");
+            assert_eq!(life.keeps_idle_connections(), !left && !drained, "{order:?}");
         }
     }
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -9,14 +9,14 @@
 //! new, whenever the writer is killed. Nothing is flushed to a disk: a snapshot need not outlive the machine.
 //!
 //! ```
-//! use sanddyke_snapshot::{Unfit, open, seal};
+//! use sanddyke_snapshot::{SnapshotError, decode, encode};
 //! use std::time::Duration;
 //!
-//! let bytes = seal(b"learnt", 1_000_000).unwrap();
-//! let (payload, age) = open(&bytes, 1_002_000, Duration::from_secs(60)).unwrap();
+//! let bytes = encode(b"learnt", 1_000_000).unwrap();
+//! let (payload, age) = decode(&bytes, 1_002_000, Duration::from_secs(60)).unwrap();
 //! assert_eq!((payload, age), (&b"learnt"[..], Duration::from_secs(2)));
-//! assert!(matches!(open(&bytes, 2_000_000, Duration::from_secs(60)), Err(Unfit::Old(_))));
-//! assert!(matches!(open(&bytes[..20], 1_002_000, Duration::from_secs(60)), Err(Unfit::Damaged(_))));
+//! assert!(matches!(decode(&bytes, 2_000_000, Duration::from_secs(60)), Err(SnapshotError::Old(_))));
+//! assert!(matches!(decode(&bytes[..20], 1_002_000, Duration::from_secs(60)), Err(SnapshotError::Damaged(_))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -38,7 +38,7 @@
 
 /// Why a snapshot is not used.
 #[derive(Debug, Error)]
-pub enum Unfit {
+pub enum SnapshotError {
     /// It is not whole, or not what was written.
     #[error("damaged: {0}")]
     Damaged(&'static str),
@@ -67,9 +67,9 @@
 }
 
 /// The bytes of a snapshot with this payload, written at this Unix time in milliseconds.
-pub fn seal(payload: &[u8], now_ms: u64) -> Result<Vec<u8>, Unfit> {
+pub fn encode(payload: &[u8], now_ms: u64) -> Result<Vec<u8>, SnapshotError> {
     let length = u32::try_from(payload.len()).ok().filter(|_| payload.len() <= MOST);
-    let length = length.ok_or(Unfit::Long(payload.len()))?;
+    let length = length.ok_or(SnapshotError::Long(payload.len()))?;
     let mut bytes = Vec::with_capacity(HEAD + payload.len());
     bytes.extend(MAGIC);
     bytes.extend(VERSION.to_le_bytes());
@@ -87,56 +87,58 @@
 }
 
 /// The payload of a snapshot and its age, where it is whole, of a version that is understood, and at most so old.
-pub fn open(bytes: &[u8], now_ms: u64, oldest: Duration) -> Result<(&[u8], Duration), Unfit> {
-    let Some((head, payload)) = bytes.split_at_checked(HEAD) else { return Err(Unfit::Damaged("cut short")) };
+pub fn decode(bytes: &[u8], now_ms: u64, oldest: Duration) -> Result<(&[u8], Duration), SnapshotError> {
+    let Some((head, payload)) = bytes.split_at_checked(HEAD) else {
+        return Err(SnapshotError::Damaged("cut short"));
+    };
     if head[..8] != MAGIC {
-        return Err(Unfit::Damaged("not a snapshot"));
+        return Err(SnapshotError::Damaged("not a snapshot"));
     }
     // A later version may lay out the rest as it likes, but for its number.
     let version = u32::from_le_bytes(field(head, 8));
     if version > VERSION {
-        return Err(Unfit::Newer(version));
+        return Err(SnapshotError::Newer(version));
     }
     let length = u32::from_le_bytes(field(head, 20)) as usize;
     if length > MOST {
-        return Err(Unfit::Long(length));
+        return Err(SnapshotError::Long(length));
     }
     if payload.len() != length {
-        return Err(Unfit::Damaged("its length differs"));
+        return Err(SnapshotError::Damaged("its length differs"));
     }
     if sum(head, payload) != u32::from_le_bytes(field(head, 24)) {
-        return Err(Unfit::Damaged("its checksum differs"));
+        return Err(SnapshotError::Damaged("its checksum differs"));
     }
     let written = u64::from_le_bytes(field(head, 12));
     let ahead = Duration::from_millis(written.saturating_sub(now_ms));
     if ahead > STEP {
-        return Err(Unfit::Future(ahead));
+        return Err(SnapshotError::Future(ahead));
     }
     let age = Duration::from_millis(now_ms.saturating_sub(written));
-    if age > oldest { Err(Unfit::Old(age)) } else { Ok((payload, age)) }
+    if age > oldest { Err(SnapshotError::Old(age)) } else { Ok((payload, age)) }
 }
 
 /// Where snapshots of one name are kept.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct SnapshotFile {
     path: PathBuf,
     aside: PathBuf,
 }
 
-impl Place {
+impl SnapshotFile {
     /// A place in a folder. Of the name, what can't stand in a file's name is left out.
-    pub fn new(folder: &Path, name: &str) -> Place {
+    pub fn new(folder: &Path, name: &str) -> SnapshotFile {
         let plain = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
         let name: String = name.chars().filter(plain).take(64).collect();
         let path = folder.join(format!("sanddyke-{name}.learnt"));
         // Two processes may write at once: each has a file of its own until it is whole.
         let aside = folder.join(format!("sanddyke-{name}.{}.part", std::process::id()));
-        Place { path, aside }
+        SnapshotFile { path, aside }
     }
 
     /// Puts a snapshot in the place of the one before.
-    pub fn write(&self, payload: &[u8], now_ms: u64) -> Result<(), Unfit> {
-        let bytes = seal(payload, now_ms)?;
+    pub fn write(&self, payload: &[u8], now_ms: u64) -> Result<(), SnapshotError> {
+        let bytes = encode(payload, now_ms)?;
         let written = self.write_aside(&bytes).and_then(|()| std::fs::rename(&self.aside, &self.path));
         if written.is_err() {
             let _gone = std::fs::remove_file(&self.aside);
@@ -154,19 +156,19 @@
     }
 
     /// The payload of the snapshot that is there and its age; `None` where there is none.
-    pub fn read(&self, now_ms: u64, oldest: Duration) -> Result<Option<(Vec<u8>, Duration)>, Unfit> {
+    pub fn read(&self, now_ms: u64, oldest: Duration) -> Result<Option<(Vec<u8>, Duration)>, SnapshotError> {
         let file = match File::open(&self.path) {
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             file => file?,
         };
         let mut bytes = Vec::new();
         file.take((HEAD + MOST + 1) as u64).read_to_end(&mut bytes)?;
-        let (payload, age) = open(&bytes, now_ms, oldest)?;
+        let (payload, age) = decode(&bytes, now_ms, oldest)?;
         Ok(Some((payload.to_vec(), age)))
     }
 
     /// Removes what writers of this name that were killed have left aside.
-    pub fn sweep(&self) -> std::io::Result<()> {
+    pub fn remove_stale_parts(&self) -> std::io::Result<()> {
         let (Some(folder), Some(name)) = (self.path.parent(), self.path.file_stem()) else { return Ok(()) };
         let name = name.to_string_lossy();
         for entry in std::fs::read_dir(folder)? {
--- a/crates/snapshot/tests/files.rs
+++ b/crates/snapshot/tests/files.rs
@@ -1,6 +1,6 @@
 //! Snapshots that are cut, spoilt, old, new, or written by several at once.
 
-use sanddyke_snapshot::{MOST, Place, Unfit, VERSION, open, seal};
+use sanddyke_snapshot::{MOST, SnapshotError, SnapshotFile, VERSION, decode, encode};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
 
 #[test]
 fn a_snapshot_cut_anywhere_or_with_any_bit_turned_is_not_taken() {
-    let whole = seal(b"what was learnt", NOW).unwrap();
-    assert_eq!(open(&whole, NOW, MINUTE).unwrap().0, b"what was learnt");
+    let whole = encode(b"what was learnt", NOW).unwrap();
+    assert_eq!(decode(&whole, NOW, MINUTE).unwrap().0, b"what was learnt");
     for cut in 0..whole.len() {
-        assert!(open(&whole[..cut], NOW, MINUTE).is_err(), "cut at {cut}");
+        assert!(decode(&whole[..cut], NOW, MINUTE).is_err(), "cut at {cut}");
     }
     for bit in 0..whole.len() * 8 {
         let mut spoilt = whole.clone();
         spoilt[bit / 8] ^= 1 << (bit % 8);
-        assert!(open(&spoilt, NOW, MINUTE).is_err(), "bit {bit}");
+        assert!(decode(&spoilt, NOW, MINUTE).is_err(), "bit {bit}");
     }
     let longer = [&whole[..], b"x"].concat();
-    assert!(open(&longer, NOW, MINUTE).is_err());
+    assert!(decode(&longer, NOW, MINUTE).is_err());
 }
 
 #[test]
@@ -46,33 +46,33 @@
         let length = rng.rand_range(0..200) as usize;
         let mut noise: Vec<u8> = (0..length).map(|_| rng.rand_u32() as u8).collect();
         if round % 2 == 0 {
-            let magic = &seal(b"", NOW).unwrap()[..12];
+            let magic = &encode(b"", NOW).unwrap()[..12];
             noise.splice(..length.min(12), magic[..length.min(12)].iter().copied());
         }
-        assert!(open(&noise, NOW, MINUTE).is_err(), "round {round}");
+        assert!(decode(&noise, NOW, MINUTE).is_err(), "round {round}");
     }
 }
 
 #[test]
 fn age_version_and_length_are_bounded() {
-    let whole = seal(b"x", NOW).unwrap();
-    let at = |now: u64| open(&whole, now, MINUTE);
-    assert!(matches!(at(NOW + 60_001), Err(Unfit::Old(_))));
-    assert!(matches!(at(NOW + 86_400_000), Err(Unfit::Old(_))));
-    assert!(matches!(at(NOW - 2_001), Err(Unfit::Future(_))));
+    let whole = encode(b"x", NOW).unwrap();
+    let at = |now: u64| decode(&whole, now, MINUTE);
+    assert!(matches!(at(NOW + 60_001), Err(SnapshotError::Old(_))));
+    assert!(matches!(at(NOW + 86_400_000), Err(SnapshotError::Old(_))));
+    assert!(matches!(at(NOW - 2_001), Err(SnapshotError::Future(_))));
     assert_eq!(at(NOW - 500).unwrap().1, Duration::ZERO);
     let mut newer = whole.clone();
     newer[8..12].copy_from_slice(&(VERSION + 1).to_le_bytes());
     newer.truncate(40);
-    assert!(matches!(open(&newer, NOW, MINUTE), Err(Unfit::Newer(_))));
-    assert!(matches!(seal(&vec![0; MOST + 1], NOW), Err(Unfit::Long(_))));
-    assert!(seal(&vec![0; MOST], NOW).is_ok());
+    assert!(matches!(decode(&newer, NOW, MINUTE), Err(SnapshotError::Newer(_))));
+    assert!(matches!(encode(&vec![0; MOST + 1], NOW), Err(SnapshotError::Long(_))));
+    assert!(encode(&vec![0; MOST], NOW).is_ok());
 }
 
 #[test]
 fn the_last_whole_one_is_read_and_what_the_killed_left_is_swept() {
     let folder = Folder::new("place");
-    let place = Place::new(&folder.0, "n/1..");
+    let place = SnapshotFile::new(&folder.0, "n/1..");
     assert!(place.read(NOW, MINUTE).unwrap().is_none());
     place.write(b"first", NOW).unwrap();
     place.write(b"second", NOW + 1).unwrap();
@@ -83,7 +83,7 @@
     for path in [&left, &other, &own] {
         std::fs::write(path, b"half").unwrap();
     }
-    place.sweep().unwrap();
+    place.remove_stale_parts().unwrap();
     assert_eq!([&left, &other, &own].map(|path| path.exists()), [false, true, true]);
     place.write(b"third", NOW).unwrap();
     assert_eq!(place.read(NOW, MINUTE).unwrap().unwrap().0, b"third");
@@ -92,11 +92,11 @@
 #[test]
 fn a_place_that_cannot_be_written_or_read_says_so() {
     let folder = Folder::new("bad");
-    let place = Place::new(&folder.0.join("missing"), "n1");
-    assert!(matches!(place.write(b"x", NOW), Err(Unfit::File(_))));
+    let place = SnapshotFile::new(&folder.0.join("missing"), "n1");
+    assert!(matches!(place.write(b"x", NOW), Err(SnapshotError::File(_))));
     assert!(place.read(NOW, MINUTE).unwrap().is_none());
     std::fs::create_dir_all(folder.0.join("sanddyke-n1.learnt")).unwrap();
-    assert!(matches!(Place::new(&folder.0, "n1").read(NOW, MINUTE), Err(Unfit::File(_))));
+    assert!(matches!(SnapshotFile::new(&folder.0, "n1").read(NOW, MINUTE), Err(SnapshotError::File(_))));
 }
 
 /// A reader beside writers, one of which is killed at random moments (it stops in the middle of its file), finds
@@ -104,10 +104,10 @@
 #[test]
 fn a_reader_finds_a_whole_one_whatever_writers_do() {
     let folder = Folder::new("writers");
-    let place = Place::new(&folder.0, "n1");
+    let place = SnapshotFile::new(&folder.0, "n1");
     place.write(&0u64.to_le_bytes().repeat(1000), NOW).unwrap();
     let mut rng = oorandom::Rand32::new(7);
-    let whole = seal(&9u64.to_le_bytes().repeat(1000), NOW).unwrap();
+    let whole = encode(&9u64.to_le_bytes().repeat(1000), NOW).unwrap();
     for round in 1..500u64 {
         let cut = rng.rand_range(0..whole.len() as u32) as usize;
         std::fs::write(folder.0.join(format!("sanddyke-n1.{}.part", std::process::id())), &whole[..cut])
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -19,7 +19,7 @@
 
 /// Why a descriptor can't be taken over.
 #[derive(Debug, Error)]
-pub enum Unfit {
+pub enum SocketActivationError {
     /// Not the number of a descriptor that a process is started with.
     #[error("must be the number of a descriptor, at least {FIRST}, is {0:?}")]
     Number(String),
@@ -44,9 +44,9 @@
 }
 
 /// The number that a variable's text tells.
-pub fn number(text: &str) -> Result<RawFd, Unfit> {
+pub fn parse_descriptor(text: &str) -> Result<RawFd, SocketActivationError> {
     let told = text.trim().parse().ok().filter(|number| *number >= FIRST);
-    told.ok_or_else(|| Unfit::Number(text.to_owned()))
+    told.ok_or_else(|| SocketActivationError::Number(text.to_owned()))
 }
 
 static TAKEN: Mutex<BTreeSet<RawFd>> = Mutex::new(BTreeSet::new());
@@ -56,17 +56,17 @@
 ///
 /// To be called before the process opens anything, so that a number under which nothing was handed over is
 /// found closed, and not some file of the process's own.
-pub fn listener(fd: RawFd, address: SocketAddr) -> Result<TcpListener, Unfit> {
+pub fn take_listener(fd: RawFd, address: SocketAddr) -> Result<TcpListener, SocketActivationError> {
     if fd < FIRST {
-        return Err(Unfit::Number(fd.to_string()));
+        return Err(SocketActivationError::Number(fd.to_string()));
     }
     let kind = std::fs::read_link(PathBuf::from(format!("/proc/self/fd/{fd}")));
-    let kind = kind.map_err(|_| Unfit::Closed(fd))?;
+    let kind = kind.map_err(|_| SocketActivationError::Closed(fd))?;
     if !kind.to_string_lossy().starts_with("socket:") {
-        return Err(Unfit::NotASocket(fd));
+        return Err(SocketActivationError::NotASocket(fd));
     }
     if !TAKEN.lock().unwrap_or_else(PoisonError::into_inner).insert(fd) {
-        return Err(Unfit::Taken(fd));
+        return Err(SocketActivationError::Taken(fd));
     }
     // SAFETY: the descriptor is open, as was just seen, and a socket. Nothing in this process opened it: the
     // caller comes first, and a number is given out here once, so that nobody else closes it.
@@ -83,13 +83,13 @@
     }
 }
 
-fn check(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), Unfit> {
-    let system = |error| Unfit::System(fd, error);
+fn check(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
+    let system = |error| SocketActivationError::System(fd, error);
     let tcp = socket.r#type().map_err(system)? == Type::STREAM && socket.is_listener().map_err(system)?;
     let here = socket.local_addr().map_err(system)?.as_socket().filter(|_| tcp);
-    let here = here.ok_or(Unfit::NotListening(fd))?;
+    let here = here.ok_or(SocketActivationError::NotListening(fd))?;
     if here != address {
-        return Err(Unfit::Elsewhere(fd, here, address));
+        return Err(SocketActivationError::Elsewhere(fd, here, address));
     }
     socket.set_cloexec(true).map_err(system)?;
     socket.set_nonblocking(true).map_err(system)
@@ -106,23 +106,29 @@
         let ours = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = ours.local_addr().unwrap();
         let elsewhere: SocketAddr = "127.0.0.1:1".parse().unwrap();
-        assert!(matches!(listener(ours.into_raw_fd(), elsewhere), Err(Unfit::Elsewhere(..))));
+        assert!(matches!(
+            take_listener(ours.into_raw_fd(), elsewhere),
+            Err(SocketActivationError::Elsewhere(..))
+        ));
         let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap().into_raw_fd();
-        assert!(matches!(listener(datagrams, address), Err(Unfit::NotListening(_))));
+        assert!(matches!(take_listener(datagrams, address), Err(SocketActivationError::NotListening(_))));
         let file = std::fs::File::open("/proc/self/status").unwrap();
-        assert!(matches!(listener(file.as_raw_fd(), address), Err(Unfit::NotASocket(_))));
-        assert!(matches!(listener(9999, address), Err(Unfit::Closed(9999))));
+        assert!(matches!(
+            take_listener(file.as_raw_fd(), address),
+            Err(SocketActivationError::NotASocket(_))
+        ));
+        assert!(matches!(take_listener(9999, address), Err(SocketActivationError::Closed(9999))));
         for text in ["", "x", "-1", "2", "3x", "99999999999"] {
-            assert!(matches!(number(text), Err(Unfit::Number(_))), "{text:?}");
+            assert!(matches!(parse_descriptor(text), Err(SocketActivationError::Number(_))), "{text:?}");
         }
-        assert_eq!(number("3").unwrap(), 3);
+        assert_eq!(parse_descriptor("3").unwrap(), 3);
         // Numbers of descriptors are the process's: what needs them stands in one test.
         let ours = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = ours.local_addr().unwrap();
         let fd = ours.into_raw_fd();
-        let taken = listener(fd, address).unwrap();
+        let taken = take_listener(fd, address).unwrap();
         assert_eq!(taken.local_addr().unwrap(), address);
         assert!(matches!(taken.accept().unwrap_err().kind(), std::io::ErrorKind::WouldBlock));
-        assert!(matches!(listener(fd, address), Err(Unfit::Taken(_))));
+        assert!(matches!(take_listener(fd, address), Err(SocketActivationError::Taken(_))));
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -102,13 +102,14 @@
     /// Who: a token's id, or `settings` for the first import.
     pub who: String,
     /// What was done.
-    pub what: Done,
+    pub what: AuditAction,
 }
 
 /// What was done.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Done {
+#[schemars(rename = "Done")]
+pub enum AuditAction {
     /// A tenant or group was changed.
     Registry {
         /// The change, with the generations before and after.
@@ -147,7 +148,7 @@
     groups: Vec<(String, Option<Group>)>,
     tokens: Vec<(String, Option<Token>)>,
     creation: Option<Creation>,
-    done: Vec<Done>,
+    done: Vec<AuditAction>,
 }
 
 impl Commit {
@@ -171,7 +172,7 @@
                     commit.groups.push((name, group));
                 }
             }
-            commit.done.push(Done::Registry { record: Box::new(record) });
+            commit.done.push(AuditAction::Registry { record: Box::new(record) });
         }
         commit
     }
@@ -187,7 +188,7 @@
     ) -> Commit {
         let mut commit = Commit::of(who, at_ms, registry, Vec::new());
         commit.tokens.push((id.to_owned(), token));
-        commit.done.push(Done::Token { id: id.to_owned(), how: how.to_owned() });
+        commit.done.push(AuditAction::Token { id: id.to_owned(), how: how.to_owned() });
         commit
     }
 
--- a/crates/store/src/voter_file.rs
+++ b/crates/store/src/voter_file.rs
@@ -1,5 +1,5 @@
 //! What a voter has promised, in a file of its own (redb): its number, and the log that it votes on. Each row carries a
-//! CRC-32. A file that is damaged is not voted on: [`Ballots::open`] says so and leaves it as it was.
+//! CRC-32. A file that is damaged is not voted on: [`VoterFile::open`] says so and leaves it as it was.
 
 use super::{StoreError, guard, missing, text, write_error};
 use crate::encoding::{pack, unpack};
@@ -12,7 +12,7 @@
 
 /// What was promised: all that a voter goes on from.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Promises {
+pub struct VoterState {
     /// Term, vote and commit.
     pub hard_state: Vec<u8>,
     /// The log, from the snapshot on.
@@ -23,7 +23,7 @@
 
 /// What is to be kept, all of it or none.
 #[derive(Debug, Clone, Default)]
-pub struct More<'a> {
+pub struct VoterUpdate<'a> {
     /// Term, vote and commit, where they changed.
     pub hard_state: Option<&'a [u8]>,
     /// Entries by their place; what was kept from the first of them on goes.
@@ -34,17 +34,17 @@
 
 /// The open file.
 #[derive(Debug)]
-pub struct Ballots {
+pub struct VoterFile {
     database: Database,
     path: PathBuf,
     id: u64,
     founded: bool,
 }
 
-impl Ballots {
+impl VoterFile {
     /// Opens the file, or makes one under a new number. The number is drawn with the file: where the file is lost, so is
     /// the vote, and nobody takes the new one for the old.
-    pub fn open(path: &Path, new_id: u64) -> Result<Ballots, StoreError> {
+    pub fn open(path: &Path, new_id: u64) -> Result<VoterFile, StoreError> {
         let damaged = |why: String| StoreError::Damaged { path: path.to_owned(), why };
         let opened = guard::guarded(|| {
             let database = Database::builder().set_cache_size(CACHE_BYTES).create(path);
@@ -52,22 +52,22 @@
                 redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(path.to_owned()),
                 other => damaged(other.to_string()),
             })?;
-            let mut ballots = Ballots { database, path: path.to_owned(), id: 0, founded: false };
-            match ballots.meta("id").map_err(damaged)? {
-                Some(row) => ballots.id = unpack("voter's number", &row).map_err(damaged)?,
+            let mut file = VoterFile { database, path: path.to_owned(), id: 0, founded: false };
+            match file.meta("id").map_err(damaged)? {
+                Some(row) => file.id = unpack("voter's number", &row).map_err(damaged)?,
                 None => {
-                    ballots.id = new_id;
-                    ballots.write(|meta, _| {
+                    file.id = new_id;
+                    file.write(|meta, _| {
                         meta.insert("id", pack(&new_id)?.as_slice()).map_err(text)?;
                         Ok(())
                     })?;
                 }
             }
-            ballots.founded = ballots.meta("snapshot").map_err(damaged)?.is_some();
-            if ballots.founded {
-                ballots.promises()?;
+            file.founded = file.meta("snapshot").map_err(damaged)?.is_some();
+            if file.founded {
+                file.state()?;
             }
-            Ok(ballots)
+            Ok(file)
         });
         opened.unwrap_or_else(|why| Err(damaged(why)))
     }
@@ -101,11 +101,11 @@
     }
 
     /// Begins to vote from here. All of it is on the disk when this returns.
-    pub fn begin(&mut self, promises: &Promises) -> Result<(), StoreError> {
+    pub fn begin(&mut self, state: &VoterState) -> Result<(), StoreError> {
         self.write(|meta, log| {
             log.retain(|_, _| false).map_err(text)?;
-            meta.insert("hard_state", pack(&promises.hard_state)?.as_slice()).map_err(text)?;
-            meta.insert("snapshot", pack(&promises.snapshot)?.as_slice()).map_err(text)?;
+            meta.insert("hard_state", pack(&state.hard_state)?.as_slice()).map_err(text)?;
+            meta.insert("snapshot", pack(&state.snapshot)?.as_slice()).map_err(text)?;
             Ok(())
         })?;
         self.founded = true;
@@ -113,7 +113,7 @@
     }
 
     /// Keeps more. All of it is on the disk when this returns.
-    pub fn keep(&self, more: &More<'_>) -> Result<(), StoreError> {
+    pub fn keep(&self, more: &VoterUpdate<'_>) -> Result<(), StoreError> {
         self.write(|meta, log| {
             if let Some(state) = more.hard_state {
                 meta.insert("hard_state", pack(&state)?.as_slice()).map_err(text)?;
@@ -133,25 +133,25 @@
     }
 
     /// All that was promised.
-    pub fn promises(&self) -> Result<Promises, StoreError> {
+    pub fn state(&self) -> Result<VoterState, StoreError> {
         let damaged = |why: String| StoreError::Damaged { path: self.path.clone(), why };
         let row = |key: &str| -> Result<Vec<u8>, String> {
             unpack(key, &self.meta(key)?.ok_or_else(|| format!("no {key}"))?)
         };
-        let mut promises = Promises {
+        let mut state = VoterState {
             hard_state: row("hard_state").map_err(damaged)?,
             snapshot: row("snapshot").map_err(damaged)?,
             entries: Vec::new(),
         };
         let read = self.database.begin_read().map_err(|error| damaged(error.to_string()))?;
         if let Some(log) = missing(read.open_table(LOG)).map_err(damaged)? {
-            promises.entries.reserve(log.len().map_or(0, |rows| rows as usize));
+            state.entries.reserve(log.len().map_or(0, |rows| rows as usize));
             for row in log.iter().map_err(|error| damaged(error.to_string()))? {
                 let (_, row) = row.map_err(|error| damaged(error.to_string()))?;
-                promises.entries.push(unpack("voter's log", row.value()).map_err(damaged)?);
+                state.entries.push(unpack("voter's log", row.value()).map_err(damaged)?);
             }
         }
-        Ok(promises)
+        Ok(state)
     }
 }
 
@@ -165,23 +165,24 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("voter.redb");
         {
-            let mut ballots = Ballots::open(&path, 7).unwrap();
-            assert_eq!(ballots.standing(), (7, false));
-            ballots.begin(&Promises { hard_state: vec![1], snapshot: vec![2], entries: Vec::new() }).unwrap();
+            let mut file = VoterFile::open(&path, 7).unwrap();
+            assert_eq!(file.standing(), (7, false));
+            file.begin(&VoterState { hard_state: vec![1], snapshot: vec![2], entries: Vec::new() }).unwrap();
             let entries = [(2, vec![20]), (3, vec![30]), (4, vec![40])];
-            ballots.keep(&More { hard_state: Some(&[3]), entries: &entries, ..More::default() }).unwrap();
-            ballots.keep(&More { entries: &[(3, vec![31])], ..More::default() }).unwrap();
+            file.keep(&VoterUpdate { hard_state: Some(&[3]), entries: &entries, ..VoterUpdate::default() })
+                .unwrap();
+            file.keep(&VoterUpdate { entries: &[(3, vec![31])], ..VoterUpdate::default() }).unwrap();
         }
-        let ballots = Ballots::open(&path, 8).unwrap();
-        assert_eq!(ballots.standing(), (7, true), "the number stays the file's");
-        let promises = ballots.promises().unwrap();
+        let file = VoterFile::open(&path, 8).unwrap();
+        assert_eq!(file.standing(), (7, true), "the number stays the file's");
+        let state = file.state().unwrap();
         assert_eq!(
-            promises,
-            Promises { hard_state: vec![3], snapshot: vec![2], entries: vec![vec![20], vec![31]] }
+            state,
+            VoterState { hard_state: vec![3], snapshot: vec![2], entries: vec![vec![20], vec![31]] }
         );
-        ballots.keep(&More { snapshot: Some((2, &[9])), ..More::default() }).unwrap();
-        let promises = ballots.promises().unwrap();
-        assert_eq!((promises.snapshot, promises.entries), (vec![9], vec![vec![31]]));
+        file.keep(&VoterUpdate { snapshot: Some((2, &[9])), ..VoterUpdate::default() }).unwrap();
+        let state = file.state().unwrap();
+        assert_eq!((state.snapshot, state.entries), (vec![9], vec![vec![31]]));
     }
 
     /// Guards against a damaged file that is voted on as if it were whole.
@@ -190,7 +191,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("voter.redb");
         std::fs::write(&path, b"not a file of this kind").unwrap();
-        assert!(matches!(Ballots::open(&path, 7), Err(StoreError::Damaged { .. })));
+        assert!(matches!(VoterFile::open(&path, 7), Err(StoreError::Damaged { .. })));
         assert_eq!(std::fs::read(&path).unwrap(), b"not a file of this kind");
     }
 }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -15,7 +15,7 @@
 //! * [`FairQueue`] holds what waits and says who is next: two-level start-time fair queueing over the slots of the roster.
 //!
 //! ```
-//! use sanddyke_tenancy::{Ask, Change, Reason, Registry, Roster, TenantSpec};
+//! use sanddyke_tenancy::{AdmissionRequest, Change, Reason, Registry, Roster, TenantSpec};
 //!
 //! let mut registry = Registry::default();
 //! let spec = TenantSpec { weight: 3.0, ..TenantSpec::default() };
@@ -24,7 +24,7 @@
 //! for tenant in registry.tenants() {
 //!     roster.set(tenant);
 //! }
-//! let ask = Ask { class: "lookup", statement_bytes: 9 };
+//! let ask = AdmissionRequest { class: "lookup", statement_bytes: 9 };
 //! assert!(roster.admit(0, "glannau", &ask).is_ok());
 //! assert_eq!(roster.admit(0, "nobody", &ask).unwrap_err().reason, Reason::Unknown);
 //! ```
@@ -40,6 +40,6 @@
 
 pub use document::{Document, Entry, FORMAT};
 pub use model::*;
-pub use queue::{BANDS, FairQueue, Place, Rank};
-pub use registry::{Change, Plan, Record, Refusal, Registry, Subject};
-pub use roster::{Ask, Refused, Roster, Slot, TokenBucket};
+pub use queue::{BANDS, Cursor, FairQueue, Rank};
+pub use registry::{Change, ChangeError, Plan, Record, Registry, Subject};
+pub use roster::{AdmissionRequest, Rejection, Roster, Slot, TokenBucket};
--- a/crates/tenancy/src/queue.rs
+++ b/crates/tenancy/src/queue.rs
@@ -75,13 +75,13 @@
 
 /// The place of a member in the order, from which [`FairQueue::next`] goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Cursor {
     band: usize,
     group: (Turn, u64),
     member: (Turn, usize),
 }
 
-impl Place {
+impl Cursor {
     /// The member.
     pub fn member(&self) -> usize {
         self.member.1
@@ -220,17 +220,17 @@
     }
 
     /// The member whose turn comes after a place, or the first of all.
-    pub fn next(&self, after: Option<Place>) -> Option<Place> {
+    pub fn next(&self, after: Option<Cursor>) -> Option<Cursor> {
         let first = |band: usize, group: (Turn, u64)| {
             let member = *self.groups.get(&group.1)?.waiting[band].first()?;
-            Some(Place { band, group, member })
+            Some(Cursor { band, group, member })
         };
         let mut from = 0;
         if let Some(place) = after {
             let group = self.groups.get(&place.group.1).map(|group| &group.waiting[place.band]);
             let inside = group.and_then(|group| group.range((Excluded(place.member), Unbounded)).next());
             if let Some(member) = inside {
-                return Some(Place { member: *member, ..place });
+                return Some(Cursor { member: *member, ..place });
             }
             let others = &self.order[place.band];
             if let Some(group) = others.range((Excluded(place.group), Unbounded)).next() {
--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -122,7 +122,7 @@
 
 /// Why changes are not made.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum ChangeError {
     /// A value is not taken.
     #[error("{0}")]
     Invalid(#[from] Fault),
@@ -254,15 +254,15 @@
     }
 
     /// Refuses where the subject is not of the generation that an operator has seen.
-    pub fn expect(&self, subject: &Subject, expected: Option<Generation>) -> Result<(), Refusal> {
+    pub fn expect(&self, subject: &Subject, expected: Option<Generation>) -> Result<(), ChangeError> {
         match (expected, self.generation_of(subject)) {
-            (Some(expected), Some(found)) if expected != found => Err(Refusal::Stale { expected, found }),
+            (Some(expected), Some(found)) if expected != found => Err(ChangeError::Stale { expected, found }),
             _ => Ok(()),
         }
     }
 
     /// What changes would do; the registry stays as it is.
-    pub fn plan(&self, changes: &[Change]) -> Result<Plan, Refusal> {
+    pub fn plan(&self, changes: &[Change]) -> Result<Plan, ChangeError> {
         let mut after = self.clone();
         let records = after.apply(changes)?;
         let shares = shares::effective(&after);
@@ -271,7 +271,7 @@
     }
 
     /// Makes changes, all of them or none.
-    pub fn apply(&mut self, changes: &[Change]) -> Result<Vec<Record>, Refusal> {
+    pub fn apply(&mut self, changes: &[Change]) -> Result<Vec<Record>, ChangeError> {
         match changes {
             // One change checks all before it touches anything.
             [one] => self.make(one).map(|record| vec![record]),
@@ -284,7 +284,7 @@
         }
     }
 
-    fn make(&mut self, change: &Change) -> Result<Record, Refusal> {
+    fn make(&mut self, change: &Change) -> Result<Record, ChangeError> {
         let from = self.generation_of(&change.subject());
         let next = Generation(self.generation.0 + 1);
         let mut touched = None;
@@ -293,10 +293,10 @@
                 check_name(name)?;
                 self.check_spec(spec)?;
                 if from.is_some() {
-                    return Err(Refusal::Exists("tenant"));
+                    return Err(ChangeError::Exists("tenant"));
                 }
                 if self.tenants.len() >= MOST_TENANTS {
-                    return Err(Refusal::Full(MOST_TENANTS));
+                    return Err(ChangeError::Full(MOST_TENANTS));
                 }
                 self.last_id += 1;
                 let id = TenantId(self.last_id);
@@ -314,13 +314,13 @@
             Change::MoveTenant { name, to } => {
                 let tenant = self.tenant_mut(name)?;
                 if *to == State::Removed {
-                    return Err(Refusal::Transition(tenant.state, *to));
+                    return Err(ChangeError::Transition(tenant.state, *to));
                 }
                 (tenant.state, tenant.generation) = (*to, next);
                 touched = Some(tenant.id);
             }
             Change::RemoveTenant { name } => {
-                let id = self.names.remove(name).ok_or(Refusal::NotFound("tenant"))?;
+                let id = self.names.remove(name).ok_or(ChangeError::NotFound("tenant"))?;
                 self.tenants.remove(&id);
                 touched = Some(id);
             }
@@ -328,10 +328,10 @@
                 check_name(name)?;
                 spec.check()?;
                 if from.is_some() {
-                    return Err(Refusal::Exists("group"));
+                    return Err(ChangeError::Exists("group"));
                 }
                 if self.groups.len() >= MOST_GROUPS {
-                    return Err(Refusal::Full(MOST_GROUPS));
+                    return Err(ChangeError::Full(MOST_GROUPS));
                 }
                 self.last_id += 1;
                 let (id, spec) = (self.last_id, spec.clone());
@@ -340,17 +340,17 @@
             }
             Change::SetGroup { name, spec } => {
                 spec.check()?;
-                let group = self.groups.get_mut(name).ok_or(Refusal::NotFound("group"))?;
+                let group = self.groups.get_mut(name).ok_or(ChangeError::NotFound("group"))?;
                 (group.spec, group.generation) = (spec.clone(), next);
             }
             Change::RemoveGroup { name } => {
                 if from.is_none() {
-                    return Err(Refusal::NotFound("group"));
+                    return Err(ChangeError::NotFound("group"));
                 }
                 let inside = |tenant: &&Tenant| tenant.spec.group.as_ref() == Some(name);
                 match self.tenants.values().filter(inside).count() {
                     0 => self.groups.remove(name),
-                    members => return Err(Refusal::HasMembers(members)),
+                    members => return Err(ChangeError::HasMembers(members)),
                 };
             }
         }
@@ -358,16 +358,16 @@
         Ok(Record { generation: next, from, tenant: touched, change: change.clone() })
     }
 
-    fn tenant_mut(&mut self, name: &str) -> Result<&mut Tenant, Refusal> {
-        let id = self.names.get(name).ok_or(Refusal::NotFound("tenant"))?;
-        self.tenants.get_mut(id).ok_or(Refusal::NotFound("tenant"))
+    fn tenant_mut(&mut self, name: &str) -> Result<&mut Tenant, ChangeError> {
+        let id = self.names.get(name).ok_or(ChangeError::NotFound("tenant"))?;
+        self.tenants.get_mut(id).ok_or(ChangeError::NotFound("tenant"))
     }
 
-    fn check_spec(&self, spec: &TenantSpec) -> Result<(), Refusal> {
+    fn check_spec(&self, spec: &TenantSpec) -> Result<(), ChangeError> {
         spec.check()?;
         match spec.group.as_ref().is_none_or(|group| self.groups.contains_key(group)) {
             true => Ok(()),
-            false => Err(Refusal::NotFound("group")),
+            false => Err(ChangeError::NotFound("group")),
         }
     }
 }
--- a/crates/tenancy/src/roster.rs
+++ b/crates/tenancy/src/roster.rs
@@ -19,7 +19,7 @@
 
 /// What of a request is judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Its class.
     pub class: &'a str,
     /// Bytes of its statement.
@@ -28,20 +28,20 @@
 
 /// A refusal for a tenant's sake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When to come back, in microseconds; 0 where coming back won't help.
     pub retry_after_us: i64,
 }
 
-impl Refused {
-    fn of(reason: Reason) -> Refused {
-        Refused { reason, retry_after_us: 0 }
+impl Rejection {
+    fn of(reason: Reason) -> Rejection {
+        Rejection { reason, retry_after_us: 0 }
     }
 
-    fn later(reason: Reason, us: f64) -> Refused {
-        Refused { reason, retry_after_us: (us as i64).clamp(ADVICE_US.0, ADVICE_US.1) }
+    fn later(reason: Reason, us: f64) -> Rejection {
+        Rejection { reason, retry_after_us: (us as i64).clamp(ADVICE_US.0, ADVICE_US.1) }
     }
 }
 
@@ -182,13 +182,13 @@
 
     /// Judges a request; one that is taken counts as open until [`Roster::closed`]. The order of the checks is
     /// that of how long the client has to stay away, and a request that is refused takes no token.
-    pub fn admit(&mut self, now_us: i64, name: &str, ask: &Ask) -> Result<Slot, Refused> {
+    pub fn admit(&mut self, now_us: i64, name: &str, ask: &AdmissionRequest) -> Result<Slot, Rejection> {
         let Some(slot) = self.slot(name) else {
             self.unknown += 1;
             let leaving = self.leaving.contains_key(name);
-            return Err(Refused::of(if leaving { Reason::Removed } else { Reason::Unknown }));
+            return Err(Rejection::of(if leaving { Reason::Removed } else { Reason::Unknown }));
         };
-        let Some(held) = self.held(slot) else { return Err(Refused::of(Reason::Unknown)) };
+        let Some(held) = self.held(slot) else { return Err(Rejection::of(Reason::Unknown)) };
         match held.judge(now_us, ask) {
             Ok(()) => {
                 held.open += 1;
@@ -208,18 +208,18 @@
     }
 
     /// Judges a result by its bytes; one that is too long counts as refused.
-    pub fn judge_result(&mut self, slot: Slot, bytes: usize) -> Result<(), Refused> {
+    pub fn check_result(&mut self, slot: Slot, bytes: usize) -> Result<(), Rejection> {
         let Some(held) = self.held(slot) else { return Ok(()) };
         if held.tenant.spec.limits.result_bytes.is_none_or(|most| bytes as u64 <= most) {
             return Ok(());
         }
         held.refused[Reason::ResultBytes.index()] += 1;
-        Err(Refused::of(Reason::ResultBytes))
+        Err(Rejection::of(Reason::ResultBytes))
     }
 
     /// A request that was taken has its answer, or its client left, after it was open for so long. Gives the
     /// slot where that was the last that referred to a removed tenant.
-    pub fn closed(&mut self, slot: Slot, open_us: i64) -> Option<Slot> {
+    pub fn request_closed(&mut self, slot: Slot, open_us: i64) -> Option<Slot> {
         let held = self.held(slot)?;
         held.open = held.open.saturating_sub(1);
         held.open_us += OPEN_WEIGHT * (open_us.max(0) as f64 - held.open_us);
@@ -227,21 +227,21 @@
     }
 
     /// An attempt for a request of this slot was started.
-    pub fn attempt_out(&mut self, slot: Slot) {
+    pub fn attempt_started(&mut self, slot: Slot) {
         if let Some(held) = self.held(slot) {
             held.attempts += 1;
         }
     }
 
     /// It has ended; gives the slot where that was the last that referred to a removed tenant.
-    pub fn attempt_over(&mut self, slot: Slot) -> Option<Slot> {
+    pub fn attempt_ended(&mut self, slot: Slot) -> Option<Slot> {
         let held = self.held(slot)?;
         held.attempts = held.attempts.saturating_sub(1);
         self.release(slot)
     }
 
     /// Requests of a slot that are open, and attempts that are out.
-    pub fn under_way(&self, slot: Slot) -> (u32, u32) {
+    pub fn in_flight(&self, slot: Slot) -> (u32, u32) {
         let held = self.slots.get(slot).and_then(Option::as_ref);
         held.map_or((0, 0), |held| (held.open, held.attempts))
     }
@@ -273,26 +273,26 @@
 }
 
 impl Held {
-    fn judge(&mut self, now_us: i64, ask: &Ask) -> Result<(), Refused> {
+    fn judge(&mut self, now_us: i64, ask: &AdmissionRequest) -> Result<(), Rejection> {
         let limits = &self.tenant.spec.limits;
         match self.tenant.state {
             State::Active => {}
-            State::Suspended => return Err(Refused::later(Reason::Suspended, SUSPENDED_ADVICE_US as f64)),
-            State::Draining => return Err(Refused::of(Reason::Draining)),
-            State::Removed => return Err(Refused::of(Reason::Removed)),
+            State::Suspended => return Err(Rejection::later(Reason::Suspended, SUSPENDED_ADVICE_US as f64)),
+            State::Draining => return Err(Rejection::of(Reason::Draining)),
+            State::Removed => return Err(Rejection::of(Reason::Removed)),
         }
         if limits.classes.as_ref().is_some_and(|classes| !classes.contains(ask.class)) {
-            return Err(Refused::of(Reason::Class));
+            return Err(Rejection::of(Reason::Class));
         }
         if limits.statement_bytes.is_some_and(|most| ask.statement_bytes as u64 > most) {
-            return Err(Refused::of(Reason::StatementBytes));
+            return Err(Rejection::of(Reason::StatementBytes));
         }
         if limits.open_requests.is_some_and(|most| self.open >= most) {
             // One place comes free in the time that a request is open, over the places.
-            return Err(Refused::later(Reason::Open, self.open_us / f64::from(self.open.max(1))));
+            return Err(Rejection::later(Reason::Open, self.open_us / f64::from(self.open.max(1))));
         }
         let Some(rate) = limits.requests_per_s else { return Ok(()) };
         let burst = limits.burst.unwrap_or(rate).max(1.0);
-        self.bucket.take(now_us, rate, burst).map_err(|us| Refused::later(Reason::Rate, us))
+        self.bucket.take(now_us, rate, burst).map_err(|us| Rejection::later(Reason::Rate, us))
     }
 }
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sanddyke_tenancy::{
-    Change, Document, Generation, GroupSpec, Refusal, Registry, State, Subject, TenantSpec, shares,
+    Change, ChangeError, Document, Generation, GroupSpec, Registry, State, Subject, TenantSpec, shares,
 };
 
 fn name(number: u8) -> String {
@@ -121,7 +121,7 @@
     assert_eq!(registry.expect(&subject, Some(seen)), Ok(()));
     let change = Change::MoveTenant { name: "a".to_owned(), to: State::Draining };
     registry.apply(&[change]).unwrap();
-    let stale = Refusal::Stale { expected: seen, found: Generation(2) };
+    let stale = ChangeError::Stale { expected: seen, found: Generation(2) };
     assert_eq!(registry.expect(&subject, Some(seen)), Err(stale));
 }
 
--- a/crates/tenancy/tests/roster.rs
+++ b/crates/tenancy/tests/roster.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use sanddyke_tenancy::{
-    Ask, Generation, Limits, Reason, Refused, Roster, State, Tenant, TenantId, TenantSpec,
+    AdmissionRequest, Generation, Limits, Reason, Rejection, Roster, State, Tenant, TenantId, TenantSpec,
 };
 use std::collections::BTreeMap;
 
-const ASK: Ask = Ask { class: "lookup", statement_bytes: 10 };
+const ASK: AdmissionRequest = AdmissionRequest { class: "lookup", statement_bytes: 10 };
 
 fn tenant(id: u64, limits: Limits) -> Tenant {
     let spec = TenantSpec { limits, ..TenantSpec::default() };
@@ -19,7 +19,7 @@
     roster
 }
 
-fn refusal(roster: &mut Roster, now: i64, ask: &Ask) -> Refused {
+fn refusal(roster: &mut Roster, now: i64, ask: &AdmissionRequest) -> Rejection {
     roster.admit(now, "t1", ask).expect_err("it is refused")
 }
 
@@ -82,17 +82,17 @@
                 }
                 (2, Some(slot)) if open > 0 => {
                     slots.entry(slot).and_modify(|state| state.1 -= 1);
-                    prop_assert_eq!(roster.closed(slot, 5), last.then_some(slot));
+                    prop_assert_eq!(roster.request_closed(slot, 5), last.then_some(slot));
                     last.then_some(slot)
                 }
                 (3, Some(slot)) if open > 0 => {
                     slots.entry(slot).and_modify(|state| state.2 += 1);
-                    roster.attempt_out(slot);
+                    roster.attempt_started(slot);
                     None
                 }
                 (4, Some(slot)) if out > 0 => {
                     slots.entry(slot).and_modify(|state| state.2 -= 1);
-                    prop_assert_eq!(roster.attempt_over(slot), last.then_some(slot));
+                    prop_assert_eq!(roster.attempt_ended(slot), last.then_some(slot));
                     last.then_some(slot)
                 }
                 (5, Some(slot)) if !removed => {
@@ -109,7 +109,7 @@
             prop_assert_eq!(roster.len(), slots.len());
             for (slot, (id, open, out, _)) in &slots {
                 prop_assert_eq!(roster.tenant(*slot).unwrap().id, TenantId(*id));
-                prop_assert_eq!(roster.under_way(*slot), (*open, *out));
+                prop_assert_eq!(roster.in_flight(*slot), (*open, *out));
             }
         }
     }
@@ -136,15 +136,15 @@
         ..Limits::default()
     };
     let mut roster = one(limits);
-    let reason = |roster: &mut Roster, ask: &Ask| refusal(roster, 0, ask).reason;
-    assert_eq!(reason(&mut roster, &Ask { class: "load", ..ASK }), Reason::Class);
-    assert_eq!(reason(&mut roster, &Ask { statement_bytes: 11, ..ASK }), Reason::StatementBytes);
+    let reason = |roster: &mut Roster, ask: &AdmissionRequest| refusal(roster, 0, ask).reason;
+    assert_eq!(reason(&mut roster, &AdmissionRequest { class: "load", ..ASK }), Reason::Class);
+    assert_eq!(reason(&mut roster, &AdmissionRequest { statement_bytes: 11, ..ASK }), Reason::StatementBytes);
     let slot = roster.admit(0, "t1", &ASK).unwrap();
     let full = refusal(&mut roster, 0, &ASK);
     assert!(full.reason == Reason::Open && full.retry_after_us > 0, "{full:?}");
-    assert!(roster.judge_result(slot, 5).is_ok());
-    assert_eq!(roster.judge_result(slot, 6).unwrap_err().reason, Reason::ResultBytes);
-    roster.closed(slot, 9);
+    assert!(roster.check_result(slot, 5).is_ok());
+    assert_eq!(roster.check_result(slot, 6).unwrap_err().reason, Reason::ResultBytes);
+    roster.request_closed(slot, 9);
     for (state, expected) in [(State::Suspended, Reason::Suspended), (State::Draining, Reason::Draining)] {
         roster.set(&Tenant { state, ..tenant(1, Limits::default()) });
         assert_eq!(reason(&mut roster, &ASK), expected);
@@ -170,8 +170,8 @@
     let again = roster.set(&Tenant { name: "t1".to_owned(), ..tenant(2, Limits::default()) });
     assert_ne!(again, old, "what refers to the old one is not the new one's");
     assert_eq!(roster.admit(0, "t1", &ASK), Ok(again));
-    assert_eq!(roster.closed(old, 1), Some(old));
+    assert_eq!(roster.request_closed(old, 1), Some(old));
     assert_eq!(roster.remove(TenantId(2)), None);
-    assert_eq!(roster.closed(again, 1), Some(again));
+    assert_eq!(roster.request_closed(again, 1), Some(again));
     assert_eq!(refusal(&mut roster, 0, &ASK).reason, Reason::Unknown, "and unknown from then on");
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -12,10 +12,10 @@
 use crate::core::{Report, Tally};
 use crate::frontend::http::message::{Request, Response};
 use crate::frontend::http::{first_by, read_request};
-use crate::frontend::{self, Seat};
-use crate::lifecycle::Lifeline;
-use crate::service::Handle;
-use crate::tenants::Keeper;
+use crate::frontend::{self, ConnectionPermit};
+use crate::lifecycle::LifecycleHandle;
+use crate::service::ServiceHandle;
+use crate::tenants::TenantService;
 use bytes::BytesMut;
 use sanddyke_authorization::{Grant, Role, same};
 use sanddyke_tenancy::TokenBucket;
@@ -48,9 +48,9 @@
 /// What every connection of the API knows.
 #[derive(Debug)]
 pub struct Admin {
-    handle: Handle,
-    life: Lifeline,
-    keeper: Arc<Keeper>,
+    handle: ServiceHandle,
+    lifecycle: LifecycleHandle,
+    tenant_service: Arc<TenantService>,
     clock: Clock,
     token: String,
     cluster: Option<Cluster>,
@@ -70,24 +70,24 @@
 
 /// Accepts connections until it is dropped.
 pub async fn serve(listener: TcpListener, admin: Arc<Admin>, tls: Tls) {
-    let each = |stream: TcpStream, seat| {
+    let each = |stream: TcpStream, permit| {
         let (admin, tls) = (admin.clone(), tls.borrow().clone());
         async move {
             stream.set_nodelay(true)?;
             match tls {
-                None => connection(stream, &seat, &admin).await,
+                None => connection(stream, &permit, &admin).await,
                 Some(config) => {
                     let shaken = TlsAcceptor::from(config).accept(stream);
                     let shaken = tokio::time::timeout(HANDSHAKE_TIME, shaken).await;
-                    connection(shaken.map_err(|_| std::io::ErrorKind::TimedOut)??, &seat, &admin).await
+                    connection(shaken.map_err(|_| std::io::ErrorKind::TimedOut)??, &permit, &admin).await
                 }
             }
         }
     };
-    frontend::accept(listener, MOST, "admin", admin.life.stop_accepting(), each).await;
+    frontend::accept(listener, MOST, "admin", admin.lifecycle.stop_accepting(), each).await;
 }
 
-async fn connection<S>(mut stream: S, seat: &Seat, admin: &Admin) -> std::io::Result<()>
+async fn connection<S>(mut stream: S, permit: &ConnectionPermit, admin: &Admin) -> std::io::Result<()>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -95,33 +95,42 @@
     let mut by = Some(first_by());
     while let Some(read) = read_request(&mut stream, &mut buffer, by, LONGEST_BODY).await? {
         by = None;
-        seat.busy();
+        permit.busy();
         let (response, close) = match read {
             Ok(request) => (admin.call(&request).await, request.close),
             Err(error) => (Problem::new(error.status(), "unreadable", error.to_string()).response(), true),
         };
         tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(close))).await??;
         if close {
-            seat.ending();
+            permit.ending();
             return frontend::linger(&mut stream, &mut buffer).await;
         }
-        seat.idle();
+        permit.idle();
     }
     Ok(())
 }
 
 impl Admin {
-    /// An API over a keeper; `token` is the root operator's.
+    /// An API over a tenant_service; `token` is the root operator's.
     pub fn new(
-        handle: Handle,
-        life: Lifeline,
-        keeper: Arc<Keeper>,
+        handle: ServiceHandle,
+        lifecycle: LifecycleHandle,
+        tenant_service: Arc<TenantService>,
         clock: Clock,
         token: String,
         cluster: Option<Cluster>,
     ) -> Arc<Admin> {
         let rates = Mutex::default();
-        Arc::new(Admin { handle, life, keeper, clock, token, cluster, watchers: v1::watchers(), rates })
+        Arc::new(Admin {
+            handle,
+            lifecycle,
+            tenant_service,
+            clock,
+            token,
+            cluster,
+            watchers: v1::watchers(),
+            rates,
+        })
     }
 
     async fn call(&self, request: &Request) -> Response {
@@ -132,8 +141,8 @@
         let (method, target) = (request.method.as_str(), request.target.as_str());
         match (method, target) {
             ("GET", "/health") => {
-                let status = if self.life.is_ready() { 200 } else { 503 };
-                return Ok(Response::json(status, json!({ "ready": self.life.is_ready() }).to_string()));
+                let status = if self.lifecycle.is_ready() { 200 } else { 503 };
+                return Ok(Response::json(status, json!({ "ready": self.lifecycle.is_ready() }).to_string()));
             }
             ("GET", "/v1/openapi.json") => return Ok(Response::json(200, routes::openapi().to_string())),
             _ => {}
@@ -174,7 +183,7 @@
                 let grant = Grant { role: Role::Operator, tenants, note, expires_ms: None };
                 return Ok(Caller { id: ROOT.to_owned(), grant });
             }
-            if let Some(token) = self.keeper.check(secret).await {
+            if let Some(token) = self.tenant_service.check(secret).await {
                 return Ok(Caller { id: token.id, grant: token.grant });
             }
         }
@@ -203,7 +212,7 @@
 
     /// The calls that version 1 has in another form.
     async fn old(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
-        if !caller.grant.allows(sanddyke_authorization::Act::See) {
+        if !caller.grant.allows(sanddyke_authorization::Permission::See) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
         }
         let report = self.handle.inspect().await?;
--- a/src/admin/problem.rs
+++ b/src/admin/problem.rs
@@ -1,9 +1,9 @@
 //! Problem details (RFC 9457): each error has a code that stays, a status, and a sentence for people.
 
 use crate::frontend::http::message::Response;
-use crate::tenants::Failure;
+use crate::tenants::TenantServiceError;
 use sanddyke_store::StoreError;
-use sanddyke_tenancy::Refusal;
+use sanddyke_tenancy::ChangeError;
 use serde_json::json;
 
 /// An error of the API.
@@ -42,30 +42,32 @@
     }
 }
 
-impl From<Failure> for Problem {
-    fn from(failure: Failure) -> Problem {
+impl From<TenantServiceError> for Problem {
+    fn from(failure: TenantServiceError) -> Problem {
         let (status, code) = match &failure {
-            Failure::Refused(Refusal::Invalid(_)) => (422, "invalid"),
-            Failure::Refused(Refusal::NotFound(_)) | Failure::NoToken => (404, "not_found"),
-            Failure::Refused(Refusal::Exists(_)) => (409, "exists"),
-            Failure::Refused(Refusal::Stale { .. }) => (412, "stale"),
-            Failure::Refused(Refusal::HasMembers(_)) => (409, "has_members"),
-            Failure::Refused(Refusal::Transition(..)) => (409, "transition"),
-            Failure::Refused(Refusal::Full(_)) => (409, "full"),
-            Failure::Store(StoreError::Exists(_)) => (409, "exists"),
-            Failure::Store(_) => (503, "store"),
-            Failure::NoStore => (409, "no_store"),
-            Failure::NoBackups => (409, "no_backups"),
-            Failure::KeyTaken => (422, "key_taken"),
-            Failure::Grant(_) => (422, "invalid"),
-            Failure::Ended => (503, "ending"),
+            TenantServiceError::Refused(ChangeError::Invalid(_)) => (422, "invalid"),
+            TenantServiceError::Refused(ChangeError::NotFound(_)) | TenantServiceError::NoToken => {
+                (404, "not_found")
+            }
+            TenantServiceError::Refused(ChangeError::Exists(_)) => (409, "exists"),
+            TenantServiceError::Refused(ChangeError::Stale { .. }) => (412, "stale"),
+            TenantServiceError::Refused(ChangeError::HasMembers(_)) => (409, "has_members"),
+            TenantServiceError::Refused(ChangeError::Transition(..)) => (409, "transition"),
+            TenantServiceError::Refused(ChangeError::Full(_)) => (409, "full"),
+            TenantServiceError::Store(StoreError::Exists(_)) => (409, "exists"),
+            TenantServiceError::Store(_) => (503, "store"),
+            TenantServiceError::NoStore => (409, "no_store"),
+            TenantServiceError::NoBackups => (409, "no_backups"),
+            TenantServiceError::KeyTaken => (422, "key_taken"),
+            TenantServiceError::Grant(_) => (422, "invalid"),
+            TenantServiceError::Ended => (503, "ending"),
         };
         Problem::new(status, code, failure.to_string())
     }
 }
 
-impl From<crate::service::Ended> for Problem {
-    fn from(ended: crate::service::Ended) -> Problem {
-        Problem::from(Failure::from(ended))
+impl From<crate::service::ServiceEnded> for Problem {
+    fn from(ended: crate::service::ServiceEnded) -> Problem {
+        Problem::from(TenantServiceError::from(ended))
     }
 }
--- a/src/admin/v1.rs
+++ b/src/admin/v1.rs
@@ -6,9 +6,9 @@
 use crate::cluster::Cluster;
 use crate::core::{Input, TenantReport};
 use crate::frontend::http::message::{Request, Response};
-use crate::tenants::{Made, Seen, Wish};
-use sanddyke_authorization::{Act, Grant, Role, Token, digest};
-use sanddyke_store::{AuditEntry, Done};
+use crate::tenants::{ChangeEvent, ChangeOutcome, ChangeRequest};
+use sanddyke_authorization::{Grant, Permission, Role, Token, digest};
+use sanddyke_store::{AuditAction, AuditEntry};
 use sanddyke_tenancy::{
     Change, Document, Generation, GroupSpec, Plan, State, Subject, Tenant, TenantId, TenantSpec,
 };
@@ -191,7 +191,7 @@
     })
 }
 
-fn seen_json(seen: &Seen) -> Value {
+fn seen_json(seen: &ChangeEvent) -> Value {
     json!({ "at_ms": seen.at_ms, "who": seen.who, "record": seen.record })
 }
 
@@ -207,7 +207,7 @@
 }
 
 impl Caller {
-    fn need(&self, act: Act) -> Result<(), Problem> {
+    fn need(&self, act: Permission) -> Result<(), Problem> {
         match self.grant.allows(act) {
             true => Ok(()),
             false => Err(Problem::new(403, "forbidden", "this token's role does not allow that")),
@@ -215,8 +215,8 @@
     }
 
     /// Refuses as if nothing were there: a token of one tenant learns of no other, not even its name.
-    fn need_tenant(&self, act: fn(TenantId) -> Act, id: TenantId) -> Result<(), Problem> {
-        match (self.grant.allows(act(id)), self.grant.allows(Act::SeeTenant(id))) {
+    fn need_tenant(&self, act: fn(TenantId) -> Permission, id: TenantId) -> Result<(), Problem> {
+        match (self.grant.allows(act(id)), self.grant.allows(Permission::SeeTenant(id))) {
             (true, _) => Ok(()),
             (false, true) => self.need(act(id)),
             (false, false) => Err(not_found("tenant")),
@@ -237,23 +237,23 @@
             Call::ListTenants => self.list_tenants(caller, &query).await,
             Call::GetTenant => self.tenant(caller, 200, name).await,
             Call::CreateTenant => {
-                caller.need(Act::Change)?;
+                caller.need(Permission::Change)?;
                 let (name, spec) = named(&request.body)?;
                 self.create(caller, request, &query, Change::CreateTenant { name, spec }).await
             }
             Call::PatchTenant => {
-                let known = self.known(caller, name, Act::RunTenant).await?;
+                let known = self.known(caller, name, Permission::RunTenant).await?;
                 let spec: TenantSpec = merged(&known.spec, &request.body)?;
                 let labels_only =
                     TenantSpec { labels: known.spec.labels.clone(), ..spec.clone() } == known.spec;
                 if !labels_only {
-                    caller.need(Act::Change)?;
+                    caller.need(Permission::Change)?;
                 }
                 let change = Change::SetTenant { name: name.to_owned(), spec };
                 self.change(caller, request, &query, change, Some(known.generation)).await
             }
             Call::RemoveTenant => {
-                let known = self.known(caller, name, |_| Act::Change).await?;
+                let known = self.known(caller, name, |_| Permission::Change).await?;
                 let change = Change::RemoveTenant { name: name.to_owned() };
                 self.change(caller, request, &query, change, Some(known.generation)).await
             }
@@ -261,9 +261,9 @@
             Call::ResumeTenant => self.move_to(caller, request, &query, name, State::Active).await,
             Call::DrainTenant => self.move_to(caller, request, &query, name, State::Draining).await,
             Call::ListGroups => {
-                caller.need(Act::See)?;
+                caller.need(Permission::See)?;
                 let (groups, generation) = self
-                    .keeper
+                    .tenant_service
                     .read(|state| {
                         (state.registry.groups().cloned().collect::<Vec<_>>(), state.registry.generation())
                     })
@@ -272,27 +272,27 @@
             }
             Call::GetGroup => self.group(caller, 200, name).await,
             Call::CreateGroup => {
-                caller.need(Act::Change)?;
+                caller.need(Permission::Change)?;
                 let (name, spec) = named(&request.body)?;
                 self.create(caller, request, &query, Change::CreateGroup { name, spec }).await
             }
             Call::PatchGroup => {
-                caller.need(Act::Change)?;
-                let group = self.keeper.read(|state| state.registry.group(name).cloned()).await;
+                caller.need(Permission::Change)?;
+                let group = self.tenant_service.read(|state| state.registry.group(name).cloned()).await;
                 let group = group.ok_or_else(|| not_found("group"))?;
                 let spec = merged(&group.spec, &request.body)?;
                 let change = Change::SetGroup { name: name.to_owned(), spec };
                 self.change(caller, request, &query, change, Some(group.generation)).await
             }
             Call::RemoveGroup => {
-                caller.need(Act::Change)?;
+                caller.need(Permission::Change)?;
                 let change = Change::RemoveGroup { name: name.to_owned() };
                 self.change(caller, request, &query, change, None).await
             }
             Call::Shares => {
-                caller.need(Act::See)?;
+                caller.need(Permission::See)?;
                 let (shares, generation) = self
-                    .keeper
+                    .tenant_service
                     .read(|state| {
                         let tenants = state.registry.tenants();
                         let shares: BTreeMap<String, f64> = tenants
@@ -306,27 +306,27 @@
                 Ok(tagged(200, generation, json!({ "shares": shares, "generation": generation })))
             }
             Call::ListTokens => {
-                caller.need(Act::Govern)?;
+                caller.need(Permission::Govern)?;
                 let tokens: Vec<Value> =
-                    self.keeper.read(|state| state.tokens.iter().map(token_json).collect()).await;
+                    self.tenant_service.read(|state| state.tokens.iter().map(token_json).collect()).await;
                 Ok(Response::json(200, json!({ "tokens": tokens }).to_string()))
             }
             Call::CreateToken => self.create_token(caller, request).await,
             Call::RotateToken => {
-                caller.need(Act::Govern)?;
+                caller.need(Permission::Govern)?;
                 let told: Rotation = parse(&request.body)?;
-                let (token, secret) = self.keeper.rotate(&caller.id, name, told.overlap_ms).await?;
+                let (token, secret) = self.tenant_service.rotate(&caller.id, name, told.overlap_ms).await?;
                 Ok(secret_response(200, &token, &secret))
             }
             Call::RemoveToken => {
-                caller.need(Act::Govern)?;
-                self.keeper.revoke(&caller.id, name).await?;
+                caller.need(Permission::Govern)?;
+                self.tenant_service.revoke(&caller.id, name).await?;
                 Ok(Response::json(200, json!({ "removed": name }).to_string()))
             }
             Call::Audit => self.audit(caller, &query).await,
             Call::Watch => self.watch(caller, &query).await,
             Call::Engines => {
-                caller.need(Act::See)?;
+                caller.need(Permission::See)?;
                 let report = self.handle.inspect().await?;
                 Ok(Response::json(200, json!({ "engines": report.engines }).to_string()))
             }
@@ -342,32 +342,32 @@
             }
             Call::CancelRequest => self.cancel(caller, name).await,
             Call::Backup => {
-                caller.need(Act::Govern)?;
-                let path = self.keeper.backup().await?;
+                caller.need(Permission::Govern)?;
+                let path = self.tenant_service.backup().await?;
                 Ok(Response::json(201, json!({ "path": path }).to_string()))
             }
             Call::Export => {
-                caller.need(Act::Govern)?;
-                let document = self.keeper.read(|state| Document::of(&state.registry)).await;
+                caller.need(Permission::Govern)?;
+                let document = self.tenant_service.read(|state| Document::of(&state.registry)).await;
                 let text = toml::to_string(&document);
                 let text = text.map_err(|error| Problem::new(500, "export", error.to_string()))?;
                 Ok(Response::of(200, "application/toml", text))
             }
             Call::Import => self.import(caller, request, &query).await,
             Call::Fleet => {
-                caller.need(Act::See)?;
+                caller.need(Permission::See)?;
                 let view = serde_json::to_string(&*self.fleet()?.view());
                 let view = view.map_err(|error| Problem::new(500, "fleet", error.to_string()))?;
                 Ok(Response::json(200, view))
             }
             Call::Roll | Call::TurnRoll => {
-                caller.need(Act::Govern)?;
+                caller.need(Permission::Govern)?;
                 self.roll(route.call, request, name).await?;
                 log::info!(who = caller.id.as_str(); "admin: {} of the fleet", request.target);
                 Ok(Response::json(202, json!({ "accepted": request.target }).to_string()))
             }
             Call::HandOver | Call::Admit => {
-                caller.need(Act::Govern)?;
+                caller.need(Permission::Govern)?;
                 let fleet = self.fleet()?;
                 let done = match route.call {
                     Call::HandOver => fleet.hand_over(name).await,
@@ -422,11 +422,16 @@
             let own = ids.iter().filter_map(|id| state.registry.by_id(*id));
             own.map(|tenant| tenant.name.clone()).collect()
         };
-        Some(self.keeper.read(names).await)
+        Some(self.tenant_service.read(names).await)
     }
 
-    async fn known(&self, caller: &Caller, name: &str, act: fn(TenantId) -> Act) -> Result<Tenant, Problem> {
-        let tenant = self.keeper.read(|state| state.registry.tenant(name).cloned()).await;
+    async fn known(
+        &self,
+        caller: &Caller,
+        name: &str,
+        act: fn(TenantId) -> Permission,
+    ) -> Result<Tenant, Problem> {
+        let tenant = self.tenant_service.read(|state| state.registry.tenant(name).cloned()).await;
         let tenant = tenant.ok_or_else(|| not_found("tenant"))?;
         caller.need_tenant(act, tenant.id)?;
         Ok(tenant)
@@ -436,12 +441,12 @@
         let limit = page(query)?;
         let after = TenantId(query.cursor.unwrap_or(0));
         let fits = |tenant: &&Tenant| {
-            caller.grant.allows(Act::SeeTenant(tenant.id))
+            caller.grant.allows(Permission::SeeTenant(tenant.id))
                 && query.state.is_none_or(|state| tenant.state == state)
                 && query.group.as_ref().is_none_or(|group| tenant.spec.group.as_ref() == Some(group))
         };
         let (found, generation) = self
-            .keeper
+            .tenant_service
             .read(|state| {
                 let found = state.registry.tenants_after(after).filter(fits).take(limit + 1);
                 let share = |id| state.shares.get(&id).copied().unwrap_or(0.0);
@@ -459,16 +464,17 @@
     }
 
     async fn tenant(&self, caller: &Caller, status: u16, name: &str) -> Answer {
-        let tenant = self.known(caller, name, Act::SeeTenant).await?;
-        let share = self.keeper.read(|state| state.shares.get(&tenant.id).copied().unwrap_or(0.0)).await;
+        let tenant = self.known(caller, name, Permission::SeeTenant).await?;
+        let share =
+            self.tenant_service.read(|state| state.shares.get(&tenant.id).copied().unwrap_or(0.0)).await;
         let usage = self.handle.usage(vec![tenant.id]).await?;
         let body = tenant_json(&tenant, share, usage.get(&tenant.id));
         Ok(tagged(status, tenant.generation, body))
     }
 
     async fn group(&self, caller: &Caller, status: u16, name: &str) -> Answer {
-        caller.need(Act::See)?;
-        let found = self.keeper.read(|state| {
+        caller.need(Permission::See)?;
+        let found = self.tenant_service.read(|state| {
             let group = state.registry.group(name).cloned()?;
             let members =
                 state.registry.tenants().filter(|tenant| tenant.spec.group.as_deref() == Some(name));
@@ -507,13 +513,13 @@
             None => None,
         };
         let subject = change.subject();
-        let wish = Wish { who: caller.id.clone(), changes: vec![change], expected: None, key };
+        let wish = ChangeRequest { who: caller.id.clone(), changes: vec![change], expected: None, key };
         if query.dry_run {
-            return self.told(self.keeper.plan(&wish).await?).await;
+            return self.told(self.tenant_service.plan(&wish).await?).await;
         }
-        match self.keeper.change(wish).await? {
-            Made::Now(_) => self.subject(caller, 201, &subject).await,
-            Made::Before(_) => {
+        match self.tenant_service.change(wish).await? {
+            ChangeOutcome::Applied(_) => self.subject(caller, 201, &subject).await,
+            ChangeOutcome::AlreadyApplied(_) => {
                 let response = self.subject(caller, 201, &subject).await?;
                 Ok(response.with("Idempotent-Replayed", "true".to_owned()))
             }
@@ -545,11 +551,11 @@
         let subject = change.subject();
         let removes = matches!(change, Change::RemoveTenant { .. } | Change::RemoveGroup { .. });
         let expected = told.flatten().or(seen).map(|generation| (subject.clone(), generation));
-        let wish = Wish { who: caller.id.clone(), changes: vec![change], expected, key: None };
+        let wish = ChangeRequest { who: caller.id.clone(), changes: vec![change], expected, key: None };
         if query.dry_run {
-            return self.told(self.keeper.plan(&wish).await?).await;
+            return self.told(self.tenant_service.plan(&wish).await?).await;
         }
-        self.keeper.change(wish).await?;
+        self.tenant_service.change(wish).await?;
         if removes {
             return Ok(Response::json(200, json!({ "removed": subject.name() }).to_string()));
         }
@@ -564,14 +570,14 @@
         name: &str,
         to: State,
     ) -> Answer {
-        self.known(caller, name, |_| Act::Change).await?;
+        self.known(caller, name, |_| Permission::Change).await?;
         let change = Change::MoveTenant { name: name.to_owned(), to };
         self.change(caller, request, query, change, None).await
     }
 
     /// What a dry run tells: everyone's effective share that would be another.
     async fn told(&self, plan: Plan) -> Answer {
-        let names = self.keeper.read(|state| {
+        let names = self.tenant_service.read(|state| {
             let name = |id: &TenantId| {
                 let tenant = plan.after.by_id(*id).or_else(|| state.registry.by_id(*id));
                 tenant.map_or(String::new(), |tenant| tenant.name.clone())
@@ -591,37 +597,38 @@
     }
 
     async fn create_token(&self, caller: &Caller, request: &Request) -> Answer {
-        caller.need(Act::Govern)?;
+        caller.need(Permission::Govern)?;
         let told: NewToken = parse(&request.body)?;
         let mut tenants = BTreeSet::new();
         for name in &told.tenants {
-            let id = self.keeper.read(|state| state.registry.tenant(name).map(|tenant| tenant.id)).await;
+            let id =
+                self.tenant_service.read(|state| state.registry.tenant(name).map(|tenant| tenant.id)).await;
             tenants.insert(id.ok_or_else(|| not_found("tenant"))?);
         }
         let grant = Grant { role: told.role, tenants, note: told.note, expires_ms: told.expires_ms };
-        let (token, secret) = self.keeper.issue(&caller.id, grant).await?;
+        let (token, secret) = self.tenant_service.issue(&caller.id, grant).await?;
         Ok(secret_response(201, &token, &secret))
     }
 
     async fn audit(&self, caller: &Caller, query: &Query) -> Answer {
         let limit = page(query)?;
         let wanted = match &query.tenant {
-            Some(name) => Some(self.known(caller, name, Act::SeeTenant).await?.id),
+            Some(name) => Some(self.known(caller, name, Permission::SeeTenant).await?.id),
             None => None,
         };
         let grant = caller.grant.clone();
         let fits = move |entry: &AuditEntry| match &entry.what {
-            Done::Registry { record } => {
+            AuditAction::Registry { record } => {
                 let allowed = match record.tenant {
-                    Some(id) => grant.allows(Act::SeeTenant(id)),
-                    None => grant.allows(Act::See),
+                    Some(id) => grant.allows(Permission::SeeTenant(id)),
+                    None => grant.allows(Permission::See),
                 };
                 allowed && wanted.is_none_or(|wanted| record.tenant == Some(wanted))
             }
-            Done::Token { .. } => grant.allows(Act::Govern) && wanted.is_none(),
+            AuditAction::Token { .. } => grant.allows(Permission::Govern) && wanted.is_none(),
         };
         let before = query.cursor.unwrap_or(u64::MAX);
-        let entries = self.keeper.audit(before, limit, fits).await?;
+        let entries = self.tenant_service.audit(before, limit, fits).await?;
         let next = entries.last().filter(|_| entries.len() == limit).map(|entry| entry.number.to_string());
         Ok(Response::json(200, json!({ "entries": entries, "next": next }).to_string()))
     }
@@ -631,15 +638,15 @@
             retry_after_ms: Some(1000),
             ..Problem::new(429, "watchers", format!("{MOST_WATCHERS} callers wait for changes already"))
         })?;
-        let now = self.keeper.read(|state| state.registry.generation()).await;
+        let now = self.tenant_service.read(|state| state.registry.generation()).await;
         let mut after = query.after.map_or(now, Generation);
         let until =
             Instant::now() + Duration::from_millis(query.wait_ms.unwrap_or(WATCH_MS.1).min(WATCH_MS.0));
         loop {
-            let seen = self.keeper.read(|state| {
-                let fits = |seen: &&Seen| match seen.record.tenant {
-                    Some(id) => caller.grant.allows(Act::SeeTenant(id)),
-                    None => caller.grant.allows(Act::See),
+            let seen = self.tenant_service.read(|state| {
+                let fits = |seen: &&ChangeEvent| match seen.record.tenant {
+                    Some(id) => caller.grant.allows(Permission::SeeTenant(id)),
+                    None => caller.grant.allows(Permission::See),
                 };
                 let changes = state.since(after)?.filter(fits).take(PAGE.0).map(seen_json);
                 Some((changes.collect::<Vec<_>>(), state.registry.generation()))
@@ -648,7 +655,7 @@
                 || Problem::new(410, "gone", "changes after that generation are not at hand: list anew");
             let (changes, latest) = seen.await.ok_or_else(gone)?;
             let left = until.saturating_duration_since(Instant::now());
-            if !changes.is_empty() || left.is_zero() || self.life.is_leaving() {
+            if !changes.is_empty() || left.is_zero() || self.lifecycle.is_shutting_down() {
                 let full = changes.len() == PAGE.0;
                 let last = changes.last().and_then(|last| last["record"]["generation"].as_u64());
                 let next = last.filter(|_| full).unwrap_or(latest.0);
@@ -656,7 +663,7 @@
             }
             // What came was not the caller's to see: it waits on from there.
             after = latest;
-            self.keeper.wait_after(latest, left).await;
+            self.tenant_service.wait_after(latest, left).await;
         }
     }
 
@@ -665,19 +672,20 @@
         let missing = || not_found("open request");
         let open = report.requests.iter().find(|open| open.name == name).ok_or_else(missing)?;
         let tenant = open.tenant.clone().unwrap_or_default();
-        let id = self.keeper.read(|state| state.registry.tenant(&tenant).map(|tenant| tenant.id)).await;
+        let id =
+            self.tenant_service.read(|state| state.registry.tenant(&tenant).map(|tenant| tenant.id)).await;
         match id {
-            Some(id) if !caller.grant.allows(Act::SeeTenant(id)) => return Err(missing()),
-            Some(id) => caller.need(Act::RunTenant(id))?,
-            None => caller.need(Act::Change)?,
+            Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
+            Some(id) => caller.need(Permission::RunTenant(id))?,
+            None => caller.need(Permission::Change)?,
         }
-        self.handle.tell(Input::Cancelled(open.id)).await?;
+        self.handle.notify(Input::CancelRequested(open.id)).await?;
         log::info!(who = caller.id.as_str(); "admin: request {name} cancelled");
         Ok(Response::json(200, json!({ "cancelled": name }).to_string()))
     }
 
     async fn import(&self, caller: &Caller, request: &Request, query: &Query) -> Answer {
-        caller.need(Act::Govern)?;
+        caller.need(Permission::Govern)?;
         let text = std::str::from_utf8(&request.body);
         let wrong = |why: String| Problem::new(422, "invalid", why);
         let text = text.map_err(|error| wrong(error.to_string()))?;
@@ -686,14 +694,14 @@
             return Err(wrong(format!("format: must be {}", sanddyke_tenancy::FORMAT)));
         }
         // Worked out from what is there now: where another change comes between, some would not fit.
-        let changes = self.keeper.read(|state| document.changes(&state.registry, query.prune)).await;
+        let changes = self.tenant_service.read(|state| document.changes(&state.registry, query.prune)).await;
         let many = changes.len();
-        let wish = Wish { who: caller.id.clone(), changes, expected: None, key: None };
+        let wish = ChangeRequest { who: caller.id.clone(), changes, expected: None, key: None };
         if query.dry_run {
-            return self.told(self.keeper.plan(&wish).await?).await;
+            return self.told(self.tenant_service.plan(&wish).await?).await;
         }
         if many > 0 {
-            self.keeper.change(wish).await?;
+            self.tenant_service.change(wish).await?;
         }
         Ok(Response::json(200, json!({ "changes": many }).to_string()))
     }
--- a/src/bin/sanddyke-simulator-adapter/wire.rs
+++ b/src/bin/sanddyke-simulator-adapter/wire.rs
@@ -2,8 +2,8 @@
 
 use sanddyke::settings::{self, Front, number};
 use sanddyke::{
-    Action, AttemptEnd, CellId, ClassId, EngineEntry, EngineId, EngineState, Event, Gateway, KindId,
-    ListNews, LoadReport, Note, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
+    Action, AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState,
+    Event, Gateway, KindId, LoadReport, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
 };
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -217,7 +217,7 @@
             "REGISTRY" => Some(instance.registry(&values, &self.lists)?),
             "INGRESS" => Some(instance.ingress(&values)?),
             "COMPLETED" => instance.completed(&values)?,
-            "CHECKED" => Some(Event::Probed {
+            "CHECKED" => Some(Event::HealthChecked {
                 outcome: outcome(&values, 1)?,
                 engine: EngineId(values.need(2)?),
                 elapsed_ms: values.need_amount(3)?,
@@ -226,7 +226,7 @@
             "INTERIM" => instance.interim(&values)?,
             "STREAMING" => instance.known(&values, 1)?.map(|request| Event::StreamStarted { request }),
             "WAKEUP" => Some(Event::Timer(values.need(1)?)),
-            "TIMED_OUT_CLIENT" => instance.known(&values, 1)?.map(Event::ClientGone),
+            "TIMED_OUT_CLIENT" => instance.known(&values, 1)?.map(Event::ClientDisconnected),
             _ => None,
         };
         if let Some(event) = event {
@@ -248,7 +248,7 @@
     fn registry(&mut self, values: &Fields, lists: &HashMap<u64, Vec<Row>>) -> Result<Event, String> {
         let form = values.need_text(2)?;
         if form == "unavailable" {
-            return Ok(Event::List(ListNews::Unavailable));
+            return Ok(Event::EngineList(EngineListEvent::Unavailable));
         }
         let rows = lists.get(&values.need(3)?).ok_or_else(|| values.bad(3, "no such list was sent"))?;
         let mut entries = Vec::with_capacity(rows.len());
@@ -263,10 +263,10 @@
                 zone: ZoneId(number(&mut self.front.zones, &row.zone)),
             });
         }
-        Ok(Event::List(match form {
-            "update" => ListNews::Update(entries),
-            "replace" => ListNews::Replace(entries),
-            "restored" => ListNews::Restored(entries),
+        Ok(Event::EngineList(match form {
+            "update" => EngineListEvent::Update(entries),
+            "replace" => EngineListEvent::Replace(entries),
+            "restored" => EngineListEvent::Restored(entries),
             other => return Err(values.bad(2, &format!("unknown word {other:?}"))),
         }))
     }
@@ -302,7 +302,7 @@
         let Some(request) = self.known(values, 1)? else { return Ok(None) };
         let bill = values.optional::<u64>(7)?.unwrap_or(0);
         let usage = Usage { work_ms: (bill >> 12) as f64, memory_mb: ((bill & 4095) * 4) as f64 };
-        Ok(Some(Event::Ended(AttemptEnd {
+        Ok(Some(Event::AttemptEnded(AttemptEnd {
             request,
             attempt: values.need(2)?,
             outcome: outcome(values, 4)?,
@@ -316,14 +316,14 @@
     fn interim(&self, values: &Fields) -> Result<Option<Event>, String> {
         let amount = values.amount(5)?.unwrap_or(0.0);
         let note = match values.need::<u32>(4)? {
-            1 => Note::Progress(amount),
-            2 => Note::Spills(amount),
-            3 if amount == 2.0 => Note::WaitsForLoad,
-            3 => Note::WaitsForMemory,
+            1 => AttemptNote::Progress(amount),
+            2 => AttemptNote::Spills(amount),
+            3 if amount == 2.0 => AttemptNote::WaitsForLoad,
+            3 => AttemptNote::WaitsForMemory,
             other => return Err(values.bad(4, &format!("unknown note {other}"))),
         };
         let attempt = values.need(2)?;
-        Ok(self.known(values, 1)?.map(|request| Event::Note { request, attempt, note }))
+        Ok(self.known(values, 1)?.map(|request| Event::AttemptNote { request, attempt, note }))
     }
 }
 
@@ -331,7 +331,7 @@
     let state = match values.need_text(3)? {
         "active" => EngineState::Ready,
         "leaving" => EngineState::Draining,
-        "left" => EngineState::Gone,
+        "left" => EngineState::Removed,
         other => return Err(values.bad(3, &format!("unknown word {other:?}"))),
     };
     Ok(Row {
@@ -390,12 +390,12 @@
         Action::SetTerms { request, memory_mb, priority } => {
             writeln!(reply, "LIMITS_FOR {who} {} {memory_mb:.3} {priority}", xid(request))
         }
-        Action::Refuse { request, retry_after_ms } => {
+        Action::Reject { request, retry_after_ms } => {
             writeln!(reply, "TURN_AWAY {who} {} {retry_after_ms:.3}", xid(request))
         }
         Action::Fail(request) => writeln!(reply, "REPORT_FAILURE {who} {}", xid(request)),
         Action::Cancel { request, attempt } => writeln!(reply, "ABANDON {who} {} {attempt}", xid(request)),
-        Action::Probe(engine) => writeln!(reply, "HEALTH_CHECK {who} {}", engine.0),
+        Action::HealthCheck(engine) => writeln!(reply, "HEALTH_CHECK {who} {}", engine.0),
         Action::Timer { token, after_ms } => writeln!(reply, "REMIND {who} {token} {after_ms:.3}"),
         Action::Subscribe => writeln!(reply, "WATCH {who} 1"),
         Action::Log(text) => writeln!(reply, "REMARK {who} {text}"),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,7 +5,7 @@
 use sanddyke::clock::Clock;
 use sanddyke::config::{self, Config, ConfigError, Source};
 use sanddyke_store::{Commit, Store, StoreError};
-use sanddyke_tenancy::{Document, FORMAT, Refusal};
+use sanddyke_tenancy::{ChangeError, Document, FORMAT};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -93,7 +93,7 @@
     Store(#[from] StoreError),
     /// The changes are refused.
     #[error("nothing was changed: {0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] ChangeError),
     /// The document can't be used.
     #[error("{0}: {1}")]
     Document(PathBuf, String),
--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -7,7 +7,7 @@
 
 use super::{Cluster, DutyNews};
 use crate::clock::Clock;
-use crate::tenants::Keeper;
+use crate::tenants::TenantService;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -21,7 +21,7 @@
 pub async fn run(
     cluster: Cluster,
     mut news: mpsc::Receiver<DutyNews>,
-    keeper: Arc<Keeper>,
+    tenant_service: Arc<TenantService>,
     clock: Clock,
     every_ms: u64,
 ) {
@@ -43,7 +43,7 @@
                     continue;
                 }
                 let Some(fence) = cluster.may_act(DUTY) else { continue };
-                match keeper.backup_as(&format!("period-{period}.redb"), fence).await {
+                match tenant_service.backup_as(&format!("period-{period}.redb"), fence).await {
                     Ok(made) => {
                         let how = if made { "written" } else { "there already" };
                         log::info!("duty {DUTY}: period {period} fence={fence} at_us={}: {how}", clock.unix_us());
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -15,7 +15,7 @@
 pub use node_driver::start;
 
 use crate::clock::Clock;
-use crate::lifecycle::Lifeline;
+use crate::lifecycle::LifecycleHandle;
 use sanddyke_lifecycle::Phase;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -219,10 +219,13 @@
 }
 
 /// Hands duties over while the program is drained or ends, and takes them again after a drain.
-pub async fn follow(cluster: Cluster, life: Lifeline) {
+pub async fn follow(cluster: Cluster, lifecycle: LifecycleHandle) {
     let mut draining = false;
     loop {
-        let (leaves, now) = (life.is_leaving(), matches!(life.phase(), Phase::Drained) || life.is_leaving());
+        let (leaves, now) = (
+            lifecycle.is_shutting_down(),
+            matches!(lifecycle.phase(), Phase::Drained) || lifecycle.is_shutting_down(),
+        );
         if now != draining {
             draining = now;
             cluster.drain(draining).await;
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -4,13 +4,13 @@
 use super::{Cluster, DutyNews, DutyView, Held, MemberView, Order, Stands, View, restart_controller};
 use crate::clock::{Clock, Micros};
 use crate::config::Fleet;
-use crate::lifecycle::Lifeline;
+use crate::lifecycle::LifecycleHandle;
 use sanddyke_cluster::{
     Ballot, Batch, Deed, Disk, Input, Kept, Life, Member, Node, Output, Setup, TICK_US, VoterDisk,
     rolling_restart,
 };
 use sanddyke_store::StoreError;
-use sanddyke_store::voter_file::{Ballots, More, Promises};
+use sanddyke_store::voter_file::{VoterFile, VoterState, VoterUpdate};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 const SHOW_EVERY: Duration = Duration::from_millis(200);
 
 /// The voter's file as the node knows it.
-struct File(Ballots);
+struct File(VoterFile);
 
 impl Disk for File {
     fn keep(&mut self, batch: &Batch) -> Result<(), String> {
-        let more = More {
+        let more = VoterUpdate {
             hard_state: batch.hard_state.as_deref(),
             entries: &batch.entries,
             snapshot: batch.snapshot.as_ref().map(|(index, snapshot)| (*index, snapshot.as_slice())),
@@ -45,12 +45,12 @@
 
     fn found(&mut self, kept: &Kept) -> Result<(), String> {
         let Kept { hard_state, entries, snapshot } = kept.clone();
-        self.0.begin(&Promises { hard_state, entries, snapshot }).map_err(|error| error.to_string())
+        self.0.begin(&VoterState { hard_state, entries, snapshot }).map_err(|error| error.to_string())
     }
 
     fn kept(&self) -> Result<Kept, String> {
-        let Promises { hard_state, entries, snapshot } =
-            self.0.promises().map_err(|error| error.to_string())?;
+        let VoterState { hard_state, entries, snapshot } =
+            self.0.state().map_err(|error| error.to_string())?;
         Ok(Kept { hard_state, entries, snapshot })
     }
 }
@@ -65,7 +65,7 @@
     name: &str,
     clock: Clock,
     seed: u64,
-    own: (Lifeline, Arc<Notify>),
+    own: (LifecycleHandle, Arc<Notify>),
 ) -> std::io::Result<(Cluster, BTreeMap<String, mpsc::Receiver<DutyNews>>)> {
     let listener = std::net::TcpListener::bind(fleet.listen)?;
     listener.set_nonblocking(true)?;
@@ -78,8 +78,8 @@
             let mut id = [0; 8];
             let drawn = getrandom::fill(&mut id).map_err(|error| StoreError::Write(error.to_string()));
             // 0 is nobody's number.
-            match drawn.and_then(|()| Ballots::open(path, u64::from_le_bytes(id) | 1)) {
-                Ok(ballots) => Some(File(ballots)),
+            match drawn.and_then(|()| VoterFile::open(path, u64::from_le_bytes(id) | 1)) {
+                Ok(file) => Some(File(file)),
                 Err(error) => {
                     log::error!("cluster: no vote: {error}");
                     None
@@ -133,7 +133,7 @@
     held: watch::Sender<Held>,
     stands: watch::Sender<Stands>,
     /// The program's life, and the way to end it for a restart.
-    own: (Lifeline, Arc<Notify>),
+    own: (LifecycleHandle, Arc<Notify>),
     sent: (u64, u64, u64),
     /// Who waits until this manager holds nothing and has said that it goes.
     leaving: Vec<oneshot::Sender<()>>,
@@ -148,7 +148,7 @@
         links: Links,
         workers: BTreeMap<String, mpsc::Sender<DutyNews>>,
         (view, held, stands): (watch::Sender<Arc<View>>, watch::Sender<Held>, watch::Sender<Stands>),
-        own: (Lifeline, Arc<Notify>),
+        own: (LifecycleHandle, Arc<Notify>),
     ) -> Shell {
         let duties = setup.duties.keys().cloned().collect();
         let node = Node::start(
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -3,7 +3,7 @@
 
 use super::{Cluster, DutyNews};
 use crate::clock::Clock;
-use crate::lifecycle::Lifeline;
+use crate::lifecycle::LifecycleHandle;
 use sanddyke_cluster::rolling_restart::{DUTY, How, Roll, Stand, State, Step, Turn, Watch};
 use sanddyke_lifecycle::{Event, Phase};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 /// Where this manager stands.
-pub fn stand(life: &Lifeline, clock: &Clock) -> Stand {
+pub fn stand(life: &LifecycleHandle, clock: &Clock) -> Stand {
     Stand {
         at: clock.now().0.unsigned_abs(),
         ready: life.is_ready(),
@@ -34,7 +34,7 @@
 }
 
 /// Carries out a step for this manager, which is in this life.
-pub fn carry_out(step: Step, this: u64, life: &Lifeline, restart: &Notify) {
+pub fn carry_out(step: Step, this: u64, life: &LifecycleHandle, restart: &Notify) {
     let told = match step {
         Step::Look => return,
         Step::Quiesce(life_told) if life_told == this => life.apply(Event::Quiesce),
--- a/src/config.rs
+++ b/src/config.rs
@@ -5,12 +5,12 @@
 use crate::clock::{Clock, Micros};
 use crate::core::Engine;
 use crate::decision::EngineState;
-use crate::discovery::Listed;
+use crate::discovery::EngineList;
 use crate::settings::{self, Front};
 use crate::tds::login::Login;
 use crate::tenant_directory::{Directory, Ldap};
-use crate::tenants::Known;
-use crate::upstream::Wire;
+use crate::tenants::KnownTenants;
+use crate::upstream::UpstreamProtocol;
 use sanddyke_tenancy::{Document, Entry, FORMAT, TenantSpec};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -106,7 +106,7 @@
     /// The name that is asked for.
     pub service: String,
     /// The list of the start.
-    pub listed: Listed,
+    pub listed: EngineList,
     /// The module's settings and the names in them.
     pub front: Front,
     /// Requests that may be open at once.
@@ -120,7 +120,7 @@
     /// Results above this many bytes go out in pages.
     pub page_bytes: usize,
     /// What engines speak.
-    pub wire: Wire,
+    pub wire: UpstreamProtocol,
     /// The TDS front, if there is one.
     pub tds: Option<TdsFront>,
     /// The administration API, if there is one.
@@ -128,7 +128,7 @@
     /// Where tenants are kept, if they are managed while the program runs.
     pub store: Option<StoreKeys>,
     /// The tenants' names, as the fronts see them.
-    pub known: Known,
+    pub known: KnownTenants,
     /// The fleet, where managers speak to each other.
     pub fleet: Option<Fleet>,
 }
@@ -368,7 +368,7 @@
         if page_bytes == 0 {
             return Err(bad("page_bytes", "must be above 0"));
         }
-        let known = Known::new(front.tenants.iter().cloned());
+        let known = KnownTenants::new(front.tenants.iter().cloned());
         if file.store.is_some() {
             // Until the store is read nobody is known.
             known.replace([]);
@@ -480,7 +480,7 @@
     keys: Option<TdsKeys>,
     ldap: Option<Ldap>,
     front: &Front,
-    tenants: &Known,
+    tenants: &KnownTenants,
 ) -> Result<Option<TdsFront>, ConfigError> {
     let Some(keys) = keys else { return Ok(None) };
     // TLS 1.2, as TDS 7 has it: its handshake ends with the server, and so is told from what follows.
@@ -598,17 +598,17 @@
     database: String,
 }
 
-fn wire(keys: Option<EngineKeys>) -> Result<Wire, ConfigError> {
-    let Some(keys) = keys else { return Ok(Wire::Lines) };
+fn wire(keys: Option<EngineKeys>) -> Result<UpstreamProtocol, ConfigError> {
+    let Some(keys) = keys else { return Ok(UpstreamProtocol::LineProtocol) };
     match keys.wire.as_str() {
-        "lines" => Ok(Wire::Lines),
+        "lines" => Ok(UpstreamProtocol::LineProtocol),
         "tds" => {
             let password = match &keys.password_file {
                 Some(path) => read("engines.password_file", path)?.trim().to_owned(),
                 None => String::new(),
             };
             let app = "sanddyke".to_owned();
-            Ok(Wire::Tds(Login { user: keys.user, password, app, database: keys.database }))
+            Ok(UpstreamProtocol::Tds(Login { user: keys.user, password, app, database: keys.database }))
         }
         other => Err(bad("engines.wire", format!("must be lines or tds, is {other:?}"))),
     }
@@ -658,9 +658,9 @@
 }
 
 /// The events of the start, each of which changes what the one before left.
-fn listed(known: KnownKeys, clock: &Clock) -> Listed {
+fn listed(known: KnownKeys, clock: &Clock) -> EngineList {
     let (notices, last) = (known.notices, known.rev);
-    let mut listed = Listed::default();
+    let mut listed = EngineList::default();
     for (index, notice) in notices.into_iter().enumerate() {
         let engine = |told: Endpoint| Engine {
             name: told.name,
@@ -671,7 +671,7 @@
             state: match told.status {
                 Status::Ready => EngineState::Ready,
                 Status::Draining => EngineState::Draining,
-                Status::Gone => EngineState::Gone,
+                Status::Gone => EngineState::Removed,
             },
             weight: told.weight,
             started: (told.since_ms != 0.0).then(|| clock.from_unix_ms(told.since_ms as i64)),
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -31,14 +31,14 @@
 
 /// What has been answered.
 #[derive(Debug, Clone, Default)]
-pub struct Books {
+pub struct Accounting {
     /// One tally for each tenant and class that has had a request.
     pub tallies: BTreeMap<(Option<Slot>, usize), Tally>,
     /// Ends of attempts, by outcome.
     pub attempts: BTreeMap<&'static str, u64>,
 }
 
-impl Books {
+impl Accounting {
     /// Drops what was counted of a tenant that is gone.
     pub(super) fn forget(&mut self, slot: Slot) {
         let of_it = (Some(slot), 0)..=(Some(slot), usize::MAX);
@@ -76,7 +76,7 @@
                 tally.served += 1;
                 tally.served_us += (now - open.arrived).0;
             }
-            Answer::Refused { .. } => tally.refused += 1,
+            Answer::Rejected { .. } => tally.refused += 1,
             Answer::Failed(_) | Answer::Invalid(_) => tally.failed += 1,
             Answer::Cancelled => tally.cancelled += 1,
         }
@@ -106,7 +106,7 @@
     /// Gives a request its answer. It takes the request out of the table, so a second answer finds none.
     pub(super) fn answer(&mut self, now: Micros, request: u64, answer: Answer, out: &mut Vec<Command>) {
         let Some(open) = self.requests.remove(&request) else { return };
-        self.books.count(&self.front, &self.roster, &open, &answer, now);
+        self.accounting.count(&self.front, &self.roster, &open, &answer, now);
         self.close(now, request, &open, out);
         out.push(Command::Answer { request, answer });
     }
@@ -121,7 +121,7 @@
         if self.sent.get(&request).is_some_and(|sent| sent.out == 0) {
             self.sent.remove(&request);
         }
-        let over = open.slot.and_then(|slot| self.roster.closed(slot, (now - open.arrived).0));
+        let over = open.slot.and_then(|slot| self.roster.request_closed(slot, (now - open.arrived).0));
         self.forget_tenant(now, over, out);
     }
 }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,6 +1,6 @@
 //! Route: carries out what the module decides.
 
-use super::{Answer, Command, Core, Standing, Timer};
+use super::{Answer, Command, Core, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{Action, Outcome};
 
@@ -11,15 +11,15 @@
                 self.launch(now, request.0, engine.0, Micros::from_ms(timeout_ms), out);
             }
             Action::SetTerms { request, priority, .. } => self.rank(request.0, priority.min(3), out),
-            Action::Refuse { request, retry_after_ms } => {
-                let answer = Answer::Refused { retry_after: Micros::from_ms(retry_after_ms), reason: None };
+            Action::Reject { request, retry_after_ms } => {
+                let answer = Answer::Rejected { retry_after: Micros::from_ms(retry_after_ms), reason: None };
                 self.answer(now, request.0, answer, out);
             }
             Action::Fail(request) => self.answer(now, request.0, Answer::Failed(None), out),
             Action::Cancel { request, attempt } => {
                 self.halt(now, request.0, attempt, Outcome::Cancelled, out);
             }
-            Action::Probe(engine) => out.push(Command::Probe { engine: engine.0 }),
+            Action::HealthCheck(engine) => out.push(Command::HealthCheck { engine: engine.0 }),
             Action::Timer { token, after_ms } => {
                 // A timer comes back in a later turn, never in the one that sets it.
                 let after = Micros::from_ms(after_ms).max(Micros(1));
@@ -35,10 +35,10 @@
             return;
         };
         open.priority = priority;
-        if let Standing::Out(attempt) = open.standing
+        if let RequestState::Running(attempt) = open.state
             && let Some(running) = self.attempts.get(&(request, attempt))
         {
-            out.push(Command::Rank { request, attempt, engine: running.engine, priority });
+            out.push(Command::SetPriority { request, attempt, engine: running.engine, priority });
         }
     }
 }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -4,7 +4,7 @@
 use crate::clock::Micros;
 use crate::decision::{ClassId, Event, Request, RequestId, TenantId};
 use crate::sql;
-use sanddyke_tenancy::{Ask, Reason, Refused};
+use sanddyke_tenancy::{AdmissionRequest, Reason, Rejection};
 
 /// Advice to clients that come while the program ends: it is back by then.
 const COME_BACK: Micros = Micros(1_000_000);
@@ -12,9 +12,9 @@
 impl Core {
     pub(super) fn admit(&mut self, now: Micros, mut open: Open, out: &mut Vec<Command>) {
         let request = open.arrival.request;
-        if self.refusing || self.requests.len() >= self.max_open {
-            let answer = Answer::Refused { retry_after: COME_BACK, reason: None };
-            self.books.count(&self.front, &self.roster, &open, &answer, now);
+        if self.rejecting || self.requests.len() >= self.max_open {
+            let answer = Answer::Rejected { retry_after: COME_BACK, reason: None };
+            self.accounting.count(&self.front, &self.roster, &open, &answer, now);
             return out.push(Command::Answer { request, answer });
         }
         if let Err(answer) = self.judge(now, &mut open) {
@@ -55,7 +55,7 @@
         }
         let name = open.arrival.tenant.as_deref().unwrap_or("");
         let class = &self.front.classes[open.class];
-        let ask = Ask { class, statement_bytes: open.arrival.statement.len() };
+        let ask = AdmissionRequest { class, statement_bytes: open.arrival.statement.len() };
         match self.roster.admit(now.0, name, &ask) {
             Ok(slot) => {
                 open.slot = Some(slot);
@@ -63,14 +63,14 @@
                 open.deadline = open.deadline.min(most);
                 Ok(())
             }
-            Err(Refused { reason: Reason::Unknown, .. }) => {
+            Err(Rejection { reason: Reason::Unknown, .. }) => {
                 Err(Answer::Invalid(Invalid::Tenant(name.to_owned())))
             }
             Err(refused) => {
                 open.slot = self.roster.slot(name);
                 let retry_after = Micros(refused.retry_after_us);
-                let answer = Answer::Refused { retry_after, reason: Some(refused.reason) };
-                self.books.count(&self.front, &self.roster, open, &answer, now);
+                let answer = Answer::Rejected { retry_after, reason: Some(refused.reason) };
+                self.accounting.count(&self.front, &self.roster, open, &answer, now);
                 Err(answer)
             }
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! Send: starts attempts and gives them up.
 
-use super::{Attempt, Call, CancelToken, Command, Core, Standing, Timer};
+use super::{Attempt, Call, CancelToken, Command, Core, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{AttemptEnd, Effect, EngineState, Event, Outcome, RequestId};
 
@@ -27,7 +27,7 @@
         let attempt = sent.next;
         (sent.next, sent.out) = (sent.next + 1, sent.out + 1);
         let slot = open.slot;
-        slot.into_iter().for_each(|slot| self.roster.attempt_out(slot));
+        slot.into_iter().for_each(|slot| self.roster.attempt_started(slot));
         // The module asks this when it decides, with the same margin; a connection that comes up late writes it later.
         let settings = &self.front.settings;
         let dedup_until = match (sent.maybe, settings.classes[open.class].effect) {
@@ -38,7 +38,8 @@
         };
         sent.maybe.get_or_insert((attempt, now));
         let cancel_token = CancelToken::until(dedup_until);
-        let running = Attempt { engine, slot, sent: now, cancel_token: cancel_token.clone(), halted: None };
+        let running =
+            Attempt { engine, slot, sent: now, cancel_token: cancel_token.clone(), cancelled: None };
         self.attempts.insert((request, attempt), running);
         let known = self.engines.get_mut(&engine);
         let ready = known.is_some_and(|engine| {
@@ -47,9 +48,9 @@
         });
         let left = open.deadline - now;
         if !ready || left.0 <= 0 {
-            return self.set_timer(now, Timer::Unsendable { request, attempt });
+            return self.set_timer(now, Timer::NotSent { request, attempt });
         }
-        open.standing = Standing::Out(attempt);
+        open.state = RequestState::Running(attempt);
         let patience = if timeout.0 > 0 { timeout.min(left) } else { left };
         let call = Call {
             cancel_token,
@@ -60,8 +61,8 @@
             patience,
             priority: open.priority,
         };
-        self.set_timer(now + patience, Timer::AttemptOver { request, attempt });
-        out.push(Command::Launch { request, attempt, engine, call });
+        self.set_timer(now + patience, Timer::AttemptTimeout { request, attempt });
+        out.push(Command::StartAttempt { request, attempt, engine, call });
     }
 
     /// Gives an attempt up. Where its request is still open the module hears of it only once the engine has
@@ -76,18 +77,18 @@
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.attempts.get_mut(&(request, attempt)) else { return };
-        if running.halted.is_none() {
-            running.halted = Some(outcome);
+        if running.cancelled.is_none() {
+            running.cancelled = Some(outcome);
             running.cancel_token.cancel();
             let confirm = self.requests.contains_key(&request);
-            out.push(Command::Halt { request, attempt, engine: running.engine, confirm });
+            out.push(Command::CancelAttempt { request, attempt, engine: running.engine, confirm });
             let wait = if confirm { HALT_WITHIN } else { Micros(0) };
-            self.set_timer(now + wait, Timer::Halted { request, attempt });
+            self.set_timer(now + wait, Timer::CancelOverdue { request, attempt });
         }
     }
 
-    pub(super) fn halted(&mut self, now: Micros, request: u64, attempt: u32, out: &mut Vec<Command>) {
-        let outcome = self.attempts.get(&(request, attempt)).and_then(|running| running.halted);
+    pub(super) fn cancel_overdue(&mut self, now: Micros, request: u64, attempt: u32, out: &mut Vec<Command>) {
+        let outcome = self.attempts.get(&(request, attempt)).and_then(|running| running.cancelled);
         if let Some(outcome) = outcome {
             self.end(now, request, attempt, outcome, None, None, out);
         }
@@ -115,11 +116,11 @@
     ) {
         let Some(ended) = self.attempts.remove(&(request, attempt)) else { return };
         if let Some(open) = self.requests.get_mut(&request)
-            && open.standing == Standing::Out(attempt)
+            && open.state == RequestState::Running(attempt)
         {
-            open.standing = Standing::Held;
+            open.state = RequestState::Queued;
         }
-        self.books.count_attempt(outcome);
+        self.accounting.count_attempt(outcome);
         if log::log_enabled!(log::Level::Debug) {
             let name = self.engines.get(&ended.engine).map_or("?", |engine| &engine.name);
             let (sent, took) = (ended.sent.0, (now - ended.sent).0);
@@ -139,8 +140,8 @@
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
             engine.out -= 1;
         }
-        let over = ended.slot.and_then(|slot| self.roster.attempt_over(slot));
-        let event = Event::Ended(AttemptEnd {
+        let over = ended.slot.and_then(|slot| self.roster.attempt_ended(slot));
+        let event = Event::AttemptEnded(AttemptEnd {
             request: RequestId(request),
             attempt,
             outcome,
--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -3,7 +3,7 @@
 use super::{Core, FNV};
 use crate::clock::Micros;
 use crate::decision::EngineId;
-use crate::decision::learned_state::{Learnt, LearntClass, LearntEngine, LearntPace};
+use crate::decision::learned_state::{LearnedClass, LearnedEngine, LearnedRates, LearnedState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 /// first values.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Handover {
+pub struct HandoverState {
     /// Levels of the whole manager.
-    pub pace: LearntPace,
+    pub pace: LearnedRates,
     /// By the class's name.
-    pub classes: BTreeMap<String, LearntClass>,
+    pub classes: BTreeMap<String, LearnedClass>,
     /// By the engine's name.
-    pub engines: BTreeMap<String, LearntEngine>,
+    pub engines: BTreeMap<String, LearnedEngine>,
 }
 
 /// All workload managers give an engine the same number, in whatever order they hear of it.
@@ -30,12 +30,12 @@
 
 impl Core {
     /// What this process has learnt.
-    pub fn learnt(&self) -> Handover {
+    pub fn handover_state(&self) -> HandoverState {
         let learnt = self.gateway.learnt();
         let classes = self.front.classes.iter().zip(learnt.classes);
         let named =
-            |(id, engine): (EngineId, LearntEngine)| Some((self.engines.get(&id.0)?.name.clone(), engine));
-        Handover {
+            |(id, engine): (EngineId, LearnedEngine)| Some((self.engines.get(&id.0)?.name.clone(), engine));
+        HandoverState {
             pace: learnt.pace,
             classes: classes.filter_map(|(name, of)| Some((name.clone(), of?))).take(MOST).collect(),
             engines: learnt.engines.into_iter().filter_map(named).take(MOST).collect(),
@@ -43,8 +43,8 @@
     }
 
     /// Goes on from what another process has learnt, so long ago.
-    pub(super) fn go_on_from(&mut self, handover: &Handover, age: Micros) {
-        let learnt = Learnt {
+    pub(super) fn restore(&mut self, handover: &HandoverState, age: Micros) {
+        let learnt = LearnedState {
             pace: handover.pace.clone(),
             classes: self.front.classes.iter().map(|name| handover.classes.get(name).cloned()).collect(),
             engines: handover
@@ -53,12 +53,12 @@
                 .map(|(name, engine)| (EngineId(engine_number(name)), engine.clone()))
                 .collect(),
         };
-        self.gateway.go_on_from(&learnt, age.as_ms());
+        self.gateway.restore(&learnt, age.as_ms());
     }
 
     /// Whether most of the ready engines have answered something: only then are requests placed as well as by a
     /// process that has run for long. Where engines can't be asked, it is so from the start.
-    pub fn is_heard(&self) -> bool {
+    pub fn engines_checked(&self) -> bool {
         use crate::decision::EngineState::Ready;
         let ready = || self.engines.values().filter(|engine| engine.state == Ready);
         let heard = ready().filter(|engine| engine.heard).count();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -13,15 +13,15 @@
 mod types;
 mod validation;
 
-pub use accounting::{Books, Tally};
-pub use learned_state::Handover;
+pub use accounting::{Accounting, Tally};
+pub use learned_state::HandoverState;
 pub use types::*;
 pub use validation::Invalid;
 
 use crate::clock::Micros;
 use crate::decision::Gateway;
 use crate::decision::{
-    Action, CellId, EngineEntry, EngineState, Event, KindId, ListNews, TenantSettings, ZoneId,
+    Action, CellId, EngineEntry, EngineListEvent, EngineState, Event, KindId, TenantSettings, ZoneId,
 };
 use crate::settings::{Front, number};
 use sanddyke_tenancy::{Generation, Roster, Slot, State, Tenant, TenantId, TenantSpec};
@@ -31,23 +31,23 @@
 /// A request that is owed its answer. It leaves the table with the answer, so there can be no second one.
 #[derive(Debug)]
 struct Open {
-    arrival: Arrival,
+    arrival: IncomingRequest,
     class: usize,
     /// Its tenant's, once it is admitted.
     slot: Option<Slot>,
     arrived: Micros,
     deadline: Micros,
     priority: u8,
-    standing: Standing,
+    state: RequestState,
 }
 
 /// Where an open request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum RequestState {
     /// The module holds it.
-    Held,
+    Queued,
     /// This attempt is out.
-    Out(u32),
+    Running(u32),
 }
 
 /// An attempt whose end the module has not been told.
@@ -58,7 +58,7 @@
     sent: Micros,
     cancel_token: CancelToken,
     /// Set once it was given up: the end that the module is told when the stop has had time to arrive.
-    halted: Option<crate::decision::Outcome>,
+    cancelled: Option<crate::decision::Outcome>,
 }
 
 /// Attempts of a request that have been started.
@@ -76,9 +76,9 @@
 enum Timer {
     Module(u64),
     Deadline(u64),
-    AttemptOver { request: u64, attempt: u32 },
-    Halted { request: u64, attempt: u32 },
-    Unsendable { request: u64, attempt: u32 },
+    AttemptTimeout { request: u64, attempt: u32 },
+    CancelOverdue { request: u64, attempt: u32 },
+    NotSent { request: u64, attempt: u32 },
 }
 
 /// A tenant's share.
@@ -125,9 +125,9 @@
     timers: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
     timer_count: u64,
     actions: Vec<Action>,
-    refusing: bool,
+    rejecting: bool,
     shutdown_by: Option<Micros>,
-    books: Books,
+    accounting: Accounting,
 }
 
 impl Core {
@@ -151,7 +151,7 @@
             roster,
             hosted: false,
             gateway: Gateway::new(front.settings.clone(), seed, now.as_ms()),
-            books: Books::default(),
+            accounting: Accounting::default(),
             front,
             max_open,
             requests: HashMap::new(),
@@ -162,7 +162,7 @@
             timers: BinaryHeap::new(),
             timer_count: 0,
             actions: Vec::new(),
-            refusing: false,
+            rejecting: false,
             shutdown_by: None,
         }
     }
@@ -176,16 +176,16 @@
     /// Takes one input and adds what is to be done about it to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
-            Input::Arrived(arrival) => match self.take_in(now, arrival) {
+            Input::RequestReceived(arrival) => match self.take_in(now, arrival) {
                 Ok(open) => self.admit(now, open, out),
                 Err((request, why)) => out.push(Command::Answer { request, answer: Answer::Invalid(why) }),
             },
-            Input::Left(request) => self.client_left(now, request, out),
-            Input::Cancelled(request) => self.cancelled(now, request, out),
+            Input::ClientDisconnected(request) => self.client_left(now, request, out),
+            Input::CancelRequested(request) => self.cancel_request(now, request, out),
             Input::Engines(news) => self.list(now, news, out),
             Input::Tenants(news) => news.into_iter().for_each(|one| self.tenant(now, one, out)),
             Input::Attempt { request, attempt, news } => self.relay(now, request, attempt, news, out),
-            Input::Probed { engine, end, report, elapsed } => {
+            Input::HealthChecked { engine, end, report, elapsed } => {
                 if log::log_enabled!(log::Level::Debug) {
                     let name = self.engines.get(&engine).map_or("?", |engine| &engine.name);
                     let told = report.unwrap_or_default();
@@ -197,7 +197,7 @@
                         elapsed.0
                     );
                 }
-                let event = Event::Probed {
+                let event = Event::HealthChecked {
                     engine: crate::decision::EngineId(engine),
                     outcome: end.outcome(),
                     elapsed_ms: elapsed.as_ms(),
@@ -208,24 +208,24 @@
                 }
                 self.decide(now, event, out);
             }
-            Input::Learnt(handover, age) => self.go_on_from(&handover, age),
-            Input::Beside(connections) => {
+            Input::RestoreState(handover, age) => self.restore(&handover, age),
+            Input::PeerProcessConnections(connections) => {
                 let most = self.front.settings.limits.max_open;
-                self.gateway.set_places(most.map(|most| most.saturating_sub(connections).max(1)));
+                self.gateway.set_max_open(most.map(|most| most.saturating_sub(connections).max(1)));
             }
-            Input::Clock => self.due(now, out),
-            Input::RefuseNew => self.refusing = true,
+            Input::Tick => self.due(now, out),
+            Input::RejectNew => self.rejecting = true,
             Input::ShutdownBy(at) => self.shut_down_by(now, at, out),
         }
     }
 
-    /// When [`Input::Clock`] is next wanted.
+    /// When [`Input::Tick`] is next wanted.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Requests that are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -251,19 +251,19 @@
                 Timer::Module(token) => self.decide(now, Event::Timer(token), out),
                 // The module answers before this; a request is never left to it alone.
                 Timer::Deadline(request) => self.overdue(now, request, out),
-                Timer::AttemptOver { request, attempt } => self.attempt_over(now, request, attempt, out),
-                Timer::Halted { request, attempt } => self.halted(now, request, attempt, out),
-                Timer::Unsendable { request, attempt } => self.unsendable(now, request, attempt, out),
+                Timer::AttemptTimeout { request, attempt } => self.attempt_over(now, request, attempt, out),
+                Timer::CancelOverdue { request, attempt } => self.cancel_overdue(now, request, attempt, out),
+                Timer::NotSent { request, attempt } => self.unsendable(now, request, attempt, out),
             }
         }
     }
 
-    fn list(&mut self, now: Micros, news: EngineNews, out: &mut Vec<Command>) {
-        type Form = fn(Vec<EngineEntry>) -> ListNews;
+    fn list(&mut self, now: Micros, news: EngineListUpdate, out: &mut Vec<Command>) {
+        type Form = fn(Vec<EngineEntry>) -> EngineListEvent;
         let (told, form): (Vec<Engine>, Form) = match news {
-            EngineNews::Start(told) => (told, ListNews::Restored),
-            EngineNews::Whole(told) => (told, ListNews::Replace),
-            EngineNews::Changed(told) => (told, ListNews::Update),
+            EngineListUpdate::Initial(told) => (told, EngineListEvent::Restored),
+            EngineListUpdate::Complete(told) => (told, EngineListEvent::Replace),
+            EngineListUpdate::Changed(told) => (told, EngineListEvent::Update),
         };
         let mut entries = Vec::with_capacity(told.len());
         for engine in told {
@@ -277,7 +277,7 @@
                 weight: engine.weight,
                 zone: ZoneId(number(&mut self.front.zones, &engine.zone)),
             });
-            out.push(Command::Engine {
+            out.push(Command::UpdateEngine {
                 engine: id,
                 name: engine.name.clone(),
                 address: engine.address,
@@ -288,45 +288,45 @@
             self.engines.insert(id, KnownEngine { name, zone, kind, state: engine.state, out, heard });
         }
         let news = form(entries);
-        if let ListNews::Replace(entries) | ListNews::Restored(entries) = &news {
+        if let EngineListEvent::Replace(entries) | EngineListEvent::Restored(entries) = &news {
             let named: HashSet<u64> = entries.iter().map(|entry| entry.id.0).collect();
             let unnamed = self.engines.iter_mut().filter(|(id, _)| !named.contains(id));
-            unnamed.for_each(|(_, engine)| engine.state = EngineState::Gone);
+            unnamed.for_each(|(_, engine)| engine.state = EngineState::Removed);
         }
         // What stands in a queue, as behind a connection that comes up late, is not written to an engine that takes
         // nothing new any more.
         let ready = |id: &u64| self.engines.get(id).is_some_and(|to| to.state == EngineState::Ready);
         self.attempts.values().filter(|one| !ready(&one.engine)).for_each(|one| one.cancel_token.cancel());
-        self.decide(now, Event::List(news), out);
+        self.decide(now, Event::EngineList(news), out);
         let gone: Vec<u64> = self.engines.keys().copied().collect();
         gone.into_iter().for_each(|id| self.forget_gone(id, out));
     }
 
     /// Drops an engine that is gone, once nothing is out there. New ones come all day long.
     fn forget_gone(&mut self, id: u64, out: &mut Vec<Command>) {
-        let over = |engine: &KnownEngine| engine.state == EngineState::Gone && engine.out == 0;
+        let over = |engine: &KnownEngine| engine.state == EngineState::Removed && engine.out == 0;
         if self.engines.get(&id).is_some_and(over) {
             self.engines.remove(&id);
-            out.push(Command::Forget { engine: id });
+            out.push(Command::RemoveEngine { engine: id });
         }
     }
 
     /// Takes over what has changed of a tenant, and tells the module. The module hears of a removal only once
     /// nothing refers to the tenant's slot any more: until then it goes on serving what is under way.
-    fn tenant(&mut self, now: Micros, news: TenantNews, out: &mut Vec<Command>) {
+    fn tenant(&mut self, now: Micros, news: TenantUpdate, out: &mut Vec<Command>) {
         match news {
-            TenantNews::Set { tenant, share, group } => {
+            TenantUpdate::Set { tenant, share, group } => {
                 let slot = self.roster.set(&tenant);
                 self.shares.resize(self.shares.len().max(slot + 1), Share::default());
                 self.shares[slot].group = group;
                 self.share(now, slot, share, out);
             }
-            TenantNews::Share { id, share } => {
+            TenantUpdate::Share { id, share } => {
                 if let Some(slot) = self.roster.slot_of(id) {
                     self.share(now, slot, share, out);
                 }
             }
-            TenantNews::Removed(id) => {
+            TenantUpdate::Removed(id) => {
                 let over = self.roster.remove(id);
                 self.forget_tenant(now, over, out);
             }
@@ -344,7 +344,7 @@
     /// Drops a removed tenant to which nothing refers any more.
     fn forget_tenant(&mut self, now: Micros, slot: Option<Slot>, out: &mut Vec<Command>) {
         if let Some(slot) = slot {
-            self.books.forget(slot);
+            self.accounting.forget(slot);
             self.shares[slot] = Share::default();
             self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), told: None }, out);
         }
@@ -355,12 +355,12 @@
         let mut counts = vec![(0, 0); self.front.classes.len()];
         for open in self.requests.values() {
             let (held, out) = &mut counts[open.class];
-            *(if open.standing == Standing::Held { held } else { out }) += 1;
+            *(if open.state == RequestState::Queued { held } else { out }) += 1;
         }
         let parts = self.front.classes.iter().zip(counts);
         let parts: Vec<String> = parts.map(|(name, (held, out))| format!("{name} {held}+{out}")).collect();
         let ends: Vec<String> =
-            self.books.attempts.iter().map(|(end, count)| format!("{end} {count}")).collect();
+            self.accounting.attempts.iter().map(|(end, count)| format!("{end} {count}")).collect();
         format!("open (held+out): {}; attempts ended: {}", parts.join(", "), ends.join(", "))
     }
 
@@ -373,7 +373,7 @@
                 name: engine.name.clone(),
                 zone: engine.zone.clone(),
                 kind: engine.kind.clone(),
-                state: format!("{:?}", engine.state).to_lowercase(),
+                state: engine.state.name().to_owned(),
                 attempts_out: engine.out,
             })
             .collect();
@@ -388,9 +388,9 @@
                 tenant: open.arrival.tenant.clone(),
                 age_ms: (now - open.arrived).as_ms(),
                 left_ms: (open.deadline - now).as_ms(),
-                state: match open.standing {
-                    Standing::Held => "held".to_owned(),
-                    Standing::Out(attempt) => self
+                state: match open.state {
+                    RequestState::Queued => "held".to_owned(),
+                    RequestState::Running(attempt) => self
                         .attempts
                         .get(&(*id, attempt))
                         .and_then(|attempt| self.engines.get(&attempt.engine))
@@ -402,11 +402,11 @@
         Report {
             engines,
             requests,
-            tallies: self.books.tallies.values().cloned().collect(),
-            attempts: self.books.attempts.clone(),
+            tallies: self.accounting.tallies.values().cloned().collect(),
+            attempts: self.accounting.attempts.clone(),
             tenants: self.tenants(),
             unknown_tenants: self.roster.unknown(),
-            stopping: self.refusing,
+            stopping: self.rejecting,
         }
     }
 
@@ -422,7 +422,7 @@
 
     fn tenant_report(&self, slot: Slot) -> Option<TenantReport> {
         let tenant = self.roster.tenant(slot)?;
-        let (open, attempts) = self.roster.under_way(slot);
+        let (open, attempts) = self.roster.in_flight(slot);
         Some(TenantReport {
             id: tenant.id,
             name: tenant.name.clone(),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! The core at its edges, without a socket.
 
 use super::*;
-use crate::decision::Note;
+use crate::decision::AttemptNote;
 use std::net::{Ipv4Addr, SocketAddr};
 
 fn core() -> (Core, Vec<Command>) {
@@ -22,8 +22,12 @@
         started: None,
     };
     let mut out = Vec::new();
-    core.handle(Micros(0), Input::Engines(EngineNews::Start(vec![engine("x"), engine("y")])), &mut out);
-    let arrival = Arrival {
+    core.handle(
+        Micros(0),
+        Input::Engines(EngineListUpdate::Initial(vec![engine("x"), engine("y")])),
+        &mut out,
+    );
+    let arrival = IncomingRequest {
         request: 1,
         name: "r".to_owned(),
         class: "lookup".to_owned(),
@@ -32,19 +36,19 @@
         statement: "SELECT 1".into(),
         left: Micros(5_000_000),
     };
-    core.handle(Micros(10), Input::Arrived(arrival), &mut out);
+    core.handle(Micros(10), Input::RequestReceived(arrival), &mut out);
     (core, out)
 }
 
-fn news(core: &mut Core, at: i64, attempt: u32, news: AttemptNews) -> Vec<Command> {
+fn news(core: &mut Core, at: i64, attempt: u32, news: AttemptEvent) -> Vec<Command> {
     let mut out = Vec::new();
     core.handle(Micros(at), Input::Attempt { request: 1, attempt, news }, &mut out);
-    core.handle(Micros(at), Input::Clock, &mut out);
+    core.handle(Micros(at), Input::Tick, &mut out);
     out
 }
 
 fn launches(commands: &[Command]) -> usize {
-    commands.iter().filter(|command| matches!(command, Command::Launch { .. })).count()
+    commands.iter().filter(|command| matches!(command, Command::StartAttempt { .. })).count()
 }
 
 /// Guards against a second copy: an engine that stands still has not read the stop, so the next attempt
@@ -53,13 +57,13 @@
 fn the_next_attempt_waits_until_the_stop_was_read() {
     let (mut core, out) = core();
     assert_eq!(launches(&out), 1);
-    let hopeless = AttemptNews::Note(Note::Progress(0.001));
+    let hopeless = AttemptEvent::Note(AttemptNote::Progress(0.001));
     let out = news(&mut core, 1_000_000, 0, hopeless);
-    assert!(out.iter().any(|one| matches!(one, Command::Halt { confirm: true, .. })), "{out:?}");
+    assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
-    core.handle(Micros(1_500_000), Input::Clock, &mut out);
+    core.handle(Micros(1_500_000), Input::Tick, &mut out);
     assert_eq!(launches(&out), 0, "{out:?}");
-    let end = AttemptNews::Ended { end: ConnectionEnd::GivenUp, report: None };
+    let end = AttemptEvent::Ended { end: ConnectionEnd::Cancelled, report: None };
     assert_eq!(launches(&news(&mut core, 1_600_000, 0, end)), 1);
 }
 
@@ -67,10 +71,10 @@
 #[test]
 fn a_second_end_of_an_attempt_answers_nothing() {
     let (mut core, _) = core();
-    let served = || AttemptNews::Served { table: Table::default(), usage: None, report: None };
+    let served = || AttemptEvent::Served { table: Table::default(), usage: None, report: None };
     let answers =
         |out: Vec<Command>| out.iter().filter(|command| matches!(command, Command::Answer { .. })).count();
     assert_eq!(answers(news(&mut core, 20_000, 0, served())), 1);
     assert_eq!(answers(news(&mut core, 30_000, 0, served())), 0);
-    assert_eq!(core.open(), 0);
+    assert_eq!(core.open_requests(), 0);
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,8 +1,8 @@
 //! What goes into and comes out of the core: neutral types that no wire shows in.
 
-use super::{Handover, Invalid, Tally};
+use super::{HandoverState, Invalid, Tally};
 use crate::clock::Micros;
-use crate::decision::{EngineState, LoadReport, Note, Outcome, Usage};
+use crate::decision::{AttemptNote, EngineState, LoadReport, Outcome, Usage};
 use sanddyke_tenancy::{Reason, State, Tenant, TenantId};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 
 /// News of a tenant.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TenantNews {
+pub enum TenantUpdate {
     /// It is there, as this; its share, and the id of its group.
     Set {
         /// The tenant.
@@ -54,7 +54,7 @@
 
 /// A request, as a front took it.
 #[derive(Debug, Clone)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Its number; never used twice.
     pub request: u64,
     /// The client's name for it, passed on to engines unchanged.
@@ -77,7 +77,7 @@
     /// Served, whole.
     Served(Table),
     /// Refused: trying again is harmless, best after this long.
-    Refused {
+    Rejected {
         /// Advice to stay away this long; 0 for none.
         retry_after: Micros,
         /// Why, where it is for its tenant's sake.
@@ -148,9 +148,9 @@
     /// The engine said that the request was over; it never ran.
     AnsweredOver,
     /// Connecting was refused.
-    Refused,
+    ConnectRefused,
     /// The connection did not come up in time, or there was no descriptor for it.
-    NotUp,
+    ConnectTimeout,
     /// The connection came up but ended before this was written to it.
     NeverWritten,
     /// Closed by the engine in the midst of it.
@@ -158,15 +158,15 @@
     /// Reset in the midst of it.
     Reset,
     /// What the engine sent could not be read.
-    Garbled,
+    Malformed,
     /// The engine said nothing for too long.
     Silent,
     /// The engine spoke of others, but no more of this one.
-    Unheard,
+    RequestSilent,
     /// No answer in the time that it had.
     TimedOut,
     /// Given up by the workload manager.
-    GivenUp,
+    Cancelled,
 }
 
 impl ConnectionEnd {
@@ -177,24 +177,24 @@
             ConnectionEnd::AnsweredError => Outcome::ServerError,
             ConnectionEnd::AnsweredFull => Outcome::Full,
             ConnectionEnd::AnsweredOver => Outcome::NotSent,
-            ConnectionEnd::Refused | ConnectionEnd::NotUp | ConnectionEnd::NeverWritten => {
+            ConnectionEnd::ConnectRefused | ConnectionEnd::ConnectTimeout | ConnectionEnd::NeverWritten => {
                 Outcome::NoConnection
             }
             // It was written, so it may have run.
             ConnectionEnd::Closed | ConnectionEnd::Reset | ConnectionEnd::Silent => Outcome::ConnectionLost,
             // It reads and answers: the fault is the connection's, not the engine's.
-            ConnectionEnd::Garbled | ConnectionEnd::Unheard => Outcome::Spoilt,
+            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::Spoilt,
             ConnectionEnd::TimedOut => Outcome::TimedOut,
-            ConnectionEnd::GivenUp => Outcome::Cancelled,
+            ConnectionEnd::Cancelled => Outcome::Cancelled,
         }
     }
 }
 
 /// Word of an attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AttemptNews {
+pub enum AttemptEvent {
     /// It runs.
-    Note(Note),
+    Note(AttemptNote),
     /// It is over and served.
     Served {
         /// The whole result.
@@ -236,11 +236,11 @@
 
 /// News of the engine list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum EngineNews {
+pub enum EngineListUpdate {
     /// The whole list at the start.
-    Start(Vec<Engine>),
+    Initial(Vec<Engine>),
     /// The whole list.
-    Whole(Vec<Engine>),
+    Complete(Vec<Engine>),
     /// Changed entries only.
     Changed(Vec<Engine>),
 }
@@ -249,15 +249,15 @@
 #[derive(Debug)]
 pub enum Input {
     /// A front took a request.
-    Arrived(Arrival),
+    RequestReceived(IncomingRequest),
     /// The client of a request stopped waiting.
-    Left(u64),
+    ClientDisconnected(u64),
     /// An operator ends a request.
-    Cancelled(u64),
+    CancelRequested(u64),
     /// News of the engine list.
-    Engines(EngineNews),
+    Engines(EngineListUpdate),
     /// News of tenants, all of one change.
-    Tenants(Vec<TenantNews>),
+    Tenants(Vec<TenantUpdate>),
     /// Word of an attempt.
     Attempt {
         /// Its request.
@@ -265,10 +265,10 @@
         /// Its number.
         attempt: u32,
         /// The word.
-        news: AttemptNews,
+        news: AttemptEvent,
     },
     /// A probe came back.
-    Probed {
+    HealthChecked {
         /// The engine.
         engine: u64,
         /// How it ended.
@@ -279,13 +279,13 @@
         elapsed: Micros,
     },
     /// What another process has learnt, so long ago.
-    Learnt(Box<Handover>, Micros),
+    RestoreState(Box<HandoverState>, Micros),
     /// Another process of this manager holds so many of the connections that clients may have.
-    Beside(usize),
+    PeerProcessConnections(usize),
     /// Time has passed.
-    Clock,
+    Tick,
     /// From now on every new request is refused: the program is about to end.
-    RefuseNew,
+    RejectNew,
     /// The program is ended by force then: no request that comes from now on is given longer.
     ShutdownBy(Micros),
 }
@@ -301,7 +301,7 @@
         answer: Answer,
     },
     /// Start an attempt.
-    Launch {
+    StartAttempt {
         /// Its request.
         request: u64,
         /// Its number.
@@ -312,7 +312,7 @@
         call: Call,
     },
     /// Give an attempt up.
-    Halt {
+    CancelAttempt {
         /// Whether word is wanted once the engine has read the stop: the request may then go elsewhere.
         confirm: bool,
         /// Its request.
@@ -323,7 +323,7 @@
         engine: u64,
     },
     /// Change the priority of an attempt.
-    Rank {
+    SetPriority {
         /// Its request.
         request: u64,
         /// Its number.
@@ -334,12 +334,12 @@
         priority: u8,
     },
     /// Probe an engine.
-    Probe {
+    HealthCheck {
         /// Which.
         engine: u64,
     },
     /// An engine is listed or has changed.
-    Engine {
+    UpdateEngine {
         /// Its number.
         engine: u64,
         /// Its name.
@@ -350,7 +350,7 @@
         state: EngineState,
     },
     /// An engine is gone and nothing is out there: no more will be wanted of it.
-    Forget {
+    RemoveEngine {
         /// Which.
         engine: u64,
     },
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -1,6 +1,6 @@
 //! Take in: checks a request before the module or an engine hears of it.
 
-use super::{Arrival, Core, Open, Standing};
+use super::{Core, IncomingRequest, Open, RequestState};
 use crate::clock::Micros;
 use crate::decision::Effect;
 use thiserror::Error;
@@ -43,17 +43,25 @@
 
 impl Core {
     /// The request as it enters the table, or its number and why it can't be used.
-    pub(super) fn take_in(&mut self, now: Micros, arrival: Arrival) -> Result<Open, (u64, Invalid)> {
+    pub(super) fn take_in(&mut self, now: Micros, arrival: IncomingRequest) -> Result<Open, (u64, Invalid)> {
         let checked = self.check(&arrival);
         let class = checked.map_err(|why| (arrival.request, why))?;
         // A longer wait than the class allows is none that a client may ask engines for.
         let most = Micros::from_ms(self.front.settings.classes[class].deadline_ms);
         let deadline = now + arrival.left.min(most);
         let deadline = self.shutdown_by.map_or(deadline, |end| deadline.min(end));
-        Ok(Open { class, slot: None, arrived: now, deadline, priority: 1, standing: Standing::Held, arrival })
+        Ok(Open {
+            class,
+            slot: None,
+            arrived: now,
+            deadline,
+            priority: 1,
+            state: RequestState::Queued,
+            arrival,
+        })
     }
 
-    fn check(&self, arrival: &Arrival) -> Result<usize, Invalid> {
+    fn check(&self, arrival: &IncomingRequest) -> Result<usize, Invalid> {
         let class = self.front.classes.iter().position(|name| *name == arrival.class);
         let class = class.ok_or_else(|| Invalid::Class(arrival.class.clone()))?;
         let keyed = matches!(self.front.settings.classes[class].effect, Effect::Keyed { .. });
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -192,7 +192,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineTraits {
     /// What happens when grants pass the memory.
-    pub when_short: MemoryShort,
+    pub when_short: MemoryShortage,
     /// Whether a memory grant is heeded.
     pub grants: bool,
     /// Whether a priority is heeded.
@@ -205,7 +205,7 @@
 
 /// What happens when grants pass an engine's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MemoryShort {
+pub enum MemoryShortage {
     /// The request waits in the engine's line.
     Wait,
     /// The request gets what is left and spills.
@@ -244,7 +244,18 @@
     Draining,
     /// Removed.
     #[default]
-    Gone,
+    Removed,
+}
+
+impl EngineState {
+    /// The state's name in logs, metrics and the administration API.
+    pub fn name(self) -> &'static str {
+        match self {
+            EngineState::Ready => "ready",
+            EngineState::Draining => "draining",
+            EngineState::Removed => "gone",
+        }
+    }
 }
 
 /// An engine as the list names it.
@@ -268,7 +279,7 @@
 
 /// News of the engine list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListNews {
+pub enum EngineListEvent {
     /// Changed entries only.
     Update(Vec<EngineEntry>),
     /// The complete list.
@@ -335,7 +346,7 @@
 
 /// News of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum AttemptNote {
     /// Share done so far, rough.
     Progress(f64),
     /// It spills to disk for want of this much memory.
@@ -369,7 +380,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the engine list.
-    List(ListNews),
+    EngineList(EngineListEvent),
     /// A tenant was added, or its share, quota or group has changed; `None` once nothing refers to it any
     /// more: its number may be another tenant's from then on.
     Tenant {
@@ -381,23 +392,23 @@
     /// A request was taken.
     Request(Request),
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// A stream started to flow: its request is bound to it and has no deadline any more.
     StreamStarted {
         /// Its request.
         request: RequestId,
     },
     /// A running attempt sends word.
-    Note {
+    AttemptNote {
         /// Its request.
         request: RequestId,
         /// Which attempt.
         attempt: u32,
         /// The word.
-        note: Note,
+        note: AttemptNote,
     },
     /// A probe came back.
-    Probed {
+    HealthChecked {
         /// The engine.
         engine: EngineId,
         /// How it went.
@@ -408,7 +419,7 @@
         report: Option<LoadReport>,
     },
     /// Nobody waits for this request any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The gateway is ended by force then: no request has longer.
     ShutdownBy(Millis),
     /// A timer came due.
@@ -437,7 +448,7 @@
         priority: u8,
     },
     /// Final answer: unserved, and a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Advice to stay away this long; 0 for none.
@@ -453,7 +464,7 @@
         attempt: u32,
     },
     /// Probe an engine.
-    Probe(EngineId),
+    HealthCheck(EngineId),
     /// Wake the gateway with this token.
     Timer {
         /// Comes back as given.
@@ -496,7 +507,7 @@
                 retry_budget: None,
             },
             engines: EngineTraits {
-                when_short: MemoryShort::Wait,
+                when_short: MemoryShortage::Wait,
                 grants: false,
                 priorities: false,
                 max_grant_share: 1.0,
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -10,7 +10,7 @@
 /// Levels of the whole gateway.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntPace {
+pub struct LearnedRates {
     /// Alpha, once it is known.
     pub alpha: Option<f64>,
     /// Threads a core of a full engine.
@@ -26,7 +26,7 @@
 /// Means of one class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntClass {
+pub struct LearnedClass {
     /// Answers that they are over.
     pub seen: f64,
     /// Work, in ms of one thread.
@@ -50,7 +50,7 @@
 /// What is known of one engine beyond the list and its next report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntEngine {
+pub struct LearnedEngine {
     /// Time that answers take over the time that they would take alone.
     pub slow: f64,
     /// It is cold for so long yet, in ms.
@@ -59,13 +59,13 @@
 
 /// All that is passed on.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Learnt {
+pub struct LearnedState {
     /// Levels of the whole gateway.
-    pub pace: LearntPace,
+    pub pace: LearnedRates,
     /// By class.
-    pub classes: Vec<Option<LearntClass>>,
+    pub classes: Vec<Option<LearnedClass>>,
     /// By engine.
-    pub engines: Vec<(EngineId, LearntEngine)>,
+    pub engines: Vec<(EngineId, LearnedEngine)>,
 }
 
 /// Cuts a figure to its bounds; `None` for what is no number.
@@ -83,7 +83,7 @@
 
 impl Gateway {
     /// What it has learnt. Costs a walk over classes, engines and the tenants that asked of late.
-    pub fn learnt(&self) -> Learnt {
+    pub fn learnt(&self) -> LearnedState {
         let pace = &self.pace;
         let class = |index: usize, stats: &ClassStats| {
             let streams = self.tenants.values().map(|tenant| &tenant.streams[index]);
@@ -92,7 +92,7 @@
                 0 => first,
                 count => asked.iter().map(|stream| of(stream)).sum::<f64>() / count as f64,
             };
-            LearntClass {
+            LearnedClass {
                 seen: stats.seen,
                 work: stats.work,
                 memory: stats.memory,
@@ -105,9 +105,9 @@
             }
         };
         let cold = |engine: &Engine| (engine.cold_until - self.now).max(0.0);
-        let listed = self.engines.values().filter(|engine| engine.entry.state != EngineState::Gone);
-        Learnt {
-            pace: LearntPace {
+        let listed = self.engines.values().filter(|engine| engine.entry.state != EngineState::Removed);
+        LearnedState {
+            pace: LearnedRates {
                 alpha: pace.alpha,
                 full: pace.full,
                 stretch: pace.stretch,
@@ -116,18 +116,18 @@
             },
             classes: self.classes.iter().enumerate().map(|(at, stats)| Some(class(at, stats))).collect(),
             engines: listed
-                .map(|engine| (engine.entry.id, LearntEngine { slow: engine.slow, cold_ms: cold(engine) }))
+                .map(|engine| (engine.entry.id, LearnedEngine { slow: engine.slow, cold_ms: cold(engine) }))
                 .collect(),
         }
     }
 
     /// Requests that clients can have open here from now on: fewer while another process has some of their places.
-    pub fn set_places(&mut self, most: Option<usize>) {
+    pub fn set_max_open(&mut self, most: Option<usize>) {
         self.settings.limits.max_open = most;
     }
 
     /// Goes on from what another has learnt, so many ms ago. Engines that are not listed are passed over.
-    pub fn go_on_from(&mut self, learnt: &Learnt, age_ms: Millis) {
+    pub fn restore(&mut self, learnt: &LearnedState, age_ms: Millis) {
         let (pace, told) = (&mut self.pace, &learnt.pace);
         pace.alpha =
             told.alpha.and_then(|alpha| within(alpha, ALPHA_BOUNDS.0, ALPHA_BOUNDS.1)).or(pace.alpha);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -330,13 +330,13 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::List(news) => self.on_list(news),
+            Event::EngineList(news) => self.on_list(news),
             Event::Tenant { tenant, told } => self.on_tenant(tenant.0, told),
             Event::Request(request) => self.on_request(request),
-            Event::Ended(end) => self.on_end(&end),
+            Event::AttemptEnded(end) => self.on_end(&end),
             Event::StreamStarted { request } => drop(self.jobs.get_mut(&request).map(|of| of.bound = true)),
-            Event::Note { request, attempt, note } => self.on_note(request, attempt, note),
-            Event::Probed { engine, outcome, elapsed_ms, report } => {
+            Event::AttemptNote { request, attempt, note } => self.on_note(request, attempt, note),
+            Event::HealthChecked { engine, outcome, elapsed_ms, report } => {
                 // A probe that nobody answered is no word: no report, and no time that an answer takes.
                 if outcome == Outcome::Served {
                     self.note_lag(engine, elapsed_ms);
@@ -352,7 +352,7 @@
                 self.mark(engine, outcome);
                 self.draws.restore(engine);
             }
-            Event::ClientGone(id) => self.on_gone(id),
+            Event::ClientDisconnected(id) => self.on_gone(id),
             Event::ShutdownBy(at) => {
                 let open: Vec<_> = self.jobs.keys().copied().collect();
                 open.into_iter().for_each(|id| self.end_by(id, at));
@@ -364,14 +364,17 @@
         out.append(&mut self.out);
     }
 
-    fn on_list(&mut self, news: ListNews) {
+    fn on_list(&mut self, news: EngineListEvent) {
         let (entries, whole, fresh) = match news {
-            ListNews::Update(entries) => (entries, false, true),
-            ListNews::Replace(entries) => (entries, true, !self.engines.is_empty()),
-            ListNews::Restored(entries) => (entries, true, false),
-            ListNews::Unavailable => return,
+            EngineListEvent::Update(entries) => (entries, false, true),
+            EngineListEvent::Replace(entries) => (entries, true, !self.engines.is_empty()),
+            EngineListEvent::Restored(entries) => (entries, true, false),
+            EngineListEvent::Unavailable => return,
         };
-        self.engines.values_mut().filter(|_| whole).for_each(|engine| engine.entry.state = EngineState::Gone);
+        self.engines
+            .values_mut()
+            .filter(|_| whole)
+            .for_each(|engine| engine.entry.state = EngineState::Removed);
         let mean = self.mean_work();
         for entry in entries {
             let kind = self.settings.kinds.get(entry.kind.0).copied().unwrap_or_default();
@@ -392,12 +395,12 @@
         // New engines come under new names all day long: one that has been gone for long is forgotten.
         let now = self.now;
         self.engines.retain(|_, engine| {
-            let gone = engine.entry.state == EngineState::Gone;
+            let gone = engine.entry.state == EngineState::Removed;
             engine.gone_since = engine.gone_since.or(Some(now)).filter(|_| gone);
             engine.gone_since.is_none_or(|at| now - at <= GONE_KEPT_MS) || engine.own.queries > 0.5
         });
         self.engines.values_mut().enumerate().for_each(|(at, engine)| engine.place = at);
-        self.pace.listed = self.engines.values().filter(|to| to.entry.state != EngineState::Gone).count();
+        self.pace.listed = self.engines.values().filter(|to| to.entry.state != EngineState::Removed).count();
         self.reopen_all();
     }
 
@@ -513,8 +516,8 @@
     }
 
     /// A bad plan, or engine: what is left, at the attempt's own pace, is far more than a fresh one takes.
-    fn on_note(&mut self, id: RequestId, which: u32, note: Note) {
-        let (Note::Progress(share), limits) = (note, &self.settings.limits) else { return };
+    fn on_note(&mut self, id: RequestId, which: u32, note: AttemptNote) {
+        let (AttemptNote::Progress(share), limits) = (note, &self.settings.limits) else { return };
         let Some((attempt, job)) = self.attempts.get(&(id, which)).zip(self.jobs.get(&id)) else { return };
         let class = &self.settings.classes[job.class];
         let left = (self.now - attempt.at) * (1.0 - share) / share.max(0.001);
@@ -680,7 +683,7 @@
         for _ in 0..(DRAWN * usize::from(!out && self.now >= self.pace.draw_at)).min(silent.len()) {
             let id = silent.swap_remove(self.rng.rand_range(0..silent.len() as u64) as usize);
             self.engines.entry(id).and_modify(|engine| engine.probe = Some(engine.own));
-            self.out.push(Action::Probe(id));
+            self.out.push(Action::HealthCheck(id));
             self.pace.draw_at = self.now + DRAW_MS;
         }
         false
@@ -827,7 +830,7 @@
         let scoped = matches!(effect, Effect::Keyed { scope, .. } if scope != DedupScope::All);
         let harmless = self.is_harmless(job, None) && !(scoped && job.maybe.is_some());
         let retry_after_ms = self.settings.limits.max_retry_after_ms.unwrap_or(0.0);
-        let refusal = Action::Refuse { request: id, retry_after_ms };
+        let refusal = Action::Reject { request: id, retry_after_ms };
         self.out.push(if harmless { refusal } else { Action::Fail(id) });
         self.record(id, None);
         self.drop_job(id);
@@ -1007,10 +1010,10 @@
         let every = self.pace.listed as f64 / (PROBES_PER_REQUEST * self.pace.arrival_rate.max(0.001));
         self.pace.probe_at = self.now + every.clamp(PROBE_LEAST_MS, 4.0 * PROBE_LEAST_MS);
         let lost = |to: &Engine| to.down_since.is_some() || to.unheard >= OUT_AFTER;
-        let due = |to: &&mut Engine| (!self.pace.tiny || lost(to)) && to.entry.state != EngineState::Gone;
+        let due = |to: &&mut Engine| (!self.pace.tiny || lost(to)) && to.entry.state != EngineState::Removed;
         for engine in self.engines.values_mut().filter(due) {
             engine.probe = Some(engine.own);
-            self.out.push(Action::Probe(engine.entry.id));
+            self.out.push(Action::HealthCheck(engine.entry.id));
         }
     }
 }
--- a/src/discovery/dns.rs
+++ b/src/discovery/dns.rs
@@ -1,7 +1,7 @@
 //! DNS messages (RFC 1035) as far as the name service uses them: one question, and answers of SRV, A, TXT
 //! and SOA records, with names that may be compressed.
 
-use super::Unusable;
+use super::DiscoveryError;
 use std::collections::HashMap;
 use winnow::Parser;
 use winnow::binary::{be_u8, be_u16, be_u32, length_take};
@@ -150,26 +150,26 @@
 }
 
 /// Reads an answer.
-pub fn read(message: &[u8]) -> Result<Answer, Unusable> {
+pub fn read(message: &[u8]) -> Result<Answer, DiscoveryError> {
     let mut input = message;
-    let head = header(&mut input).map_err(|_| Unusable::Unreadable)?;
+    let head = header(&mut input).map_err(|_| DiscoveryError::Unreadable)?;
     if head.flags & 0x8000 == 0 {
-        return Err(Unusable::Unreadable);
+        return Err(DiscoveryError::Unreadable);
     }
     if head.flags & 0x0200 != 0 {
-        return Err(Unusable::Truncated);
+        return Err(DiscoveryError::Truncated);
     }
     if head.flags & 0x000f != 0 {
-        return Err(Unusable::Code((head.flags & 0x000f) as u8));
+        return Err(DiscoveryError::Code((head.flags & 0x000f) as u8));
     }
     let mut answer = Answer::default();
     for _ in 0..head.counts[0] {
-        name(message, &mut input).map_err(|_| Unusable::Unreadable)?;
+        name(message, &mut input).map_err(|_| DiscoveryError::Unreadable)?;
         let asked: Out<(u16, u16)> = (be_u16, be_u16).parse_next(&mut input);
-        asked.map_err(|_| Unusable::Unreadable)?;
+        asked.map_err(|_| DiscoveryError::Unreadable)?;
     }
     for _ in 0..head.counts[1..].iter().map(|count| u32::from(*count)).sum() {
-        record(message, &mut input, &mut answer).map_err(|_| Unusable::Unreadable)?;
+        record(message, &mut input, &mut answer).map_err(|_| DiscoveryError::Unreadable)?;
     }
     Ok(answer)
 }
@@ -218,7 +218,7 @@
         }
         let mut truncated = whole.clone();
         truncated[2] |= 0x02;
-        assert!(matches!(read(&truncated), Err(Unusable::Truncated)));
+        assert!(matches!(read(&truncated), Err(DiscoveryError::Truncated)));
         let mut circle = whole;
         circle[12..14].copy_from_slice(&[0xc0, 0x0c]);
         assert!(read(&circle).is_err());
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -3,9 +3,9 @@
 pub mod dns;
 
 use crate::clock::Clock;
-use crate::core::{Engine, EngineNews, Input};
+use crate::core::{Engine, EngineListUpdate, Input};
 use crate::decision::EngineState;
-use crate::service::Handle;
+use crate::service::ServiceHandle;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -29,7 +29,7 @@
 
 /// Why an answer of the name service could not be used.
 #[derive(Debug, Error)]
-pub enum Unusable {
+pub enum DiscoveryError {
     /// Not an answer to this question, or not DNS.
     #[error("an answer that can't be read")]
     Unreadable,
@@ -46,12 +46,12 @@
 
 /// The list as the name service last told it.
 #[derive(Debug, Clone, Default)]
-pub struct Listed {
+pub struct EngineList {
     serial: u32,
     engines: BTreeMap<String, Engine>,
 }
 
-impl Listed {
+impl EngineList {
     /// Takes over an event of the start.
     pub fn start(&mut self, serial: u32, whole: bool, engines: Vec<Engine>) {
         self.serial = serial;
@@ -60,7 +60,7 @@
         }
         for engine in engines {
             match engine.state {
-                EngineState::Gone => self.engines.remove(&engine.name),
+                EngineState::Removed => self.engines.remove(&engine.name),
                 _ => self.engines.insert(engine.name.clone(), engine),
             };
         }
@@ -80,7 +80,7 @@
         let new: BTreeMap<String, Engine> = engines.into_iter().map(|one| (one.name.clone(), one)).collect();
         let gone = self.engines.values().filter(|old| !new.contains_key(&old.name));
         let mut changed: Vec<Engine> =
-            gone.map(|old| Engine { state: EngineState::Gone, ..old.clone() }).collect();
+            gone.map(|old| Engine { state: EngineState::Removed, ..old.clone() }).collect();
         changed.extend(new.values().filter(|one| self.engines.get(&one.name) != Some(*one)).cloned());
         self.engines = new;
         changed
@@ -89,13 +89,13 @@
 
 /// What the configuration tells of the name service and of the list.
 #[derive(Debug)]
-pub struct Told {
+pub struct DiscoveryTarget {
     /// The name service.
     pub resolver: Option<SocketAddr>,
     /// The name that is asked for.
     pub service: String,
     /// The list, as far as the configuration knows it.
-    pub listed: Listed,
+    pub listed: EngineList,
 }
 
 /// Questions whose answers are still taken: one that comes late is good as well.
@@ -146,7 +146,7 @@
 
 /// Asks the name service until the service ends. A configuration that was read again counts at once; the list
 /// and its numbers go on.
-pub async fn run(mut told: watch::Receiver<Told>, handle: Handle, clock: Clock, seed: u64) {
+pub async fn run(mut told: watch::Receiver<DiscoveryTarget>, handle: ServiceHandle, clock: Clock, seed: u64) {
     let mut listed = told.borrow_and_update().listed.clone();
     let mut rng = oorandom::Rand32::new(seed);
     loop {
@@ -163,7 +163,7 @@
         }
         let newer = told.borrow_and_update().listed.clone();
         let news = listed.update(newer.serial, newer.engines());
-        if !news.is_empty() && handle.tell(Input::Engines(EngineNews::Changed(news))).await.is_err() {
+        if !news.is_empty() && handle.notify(Input::Engines(EngineListUpdate::Changed(news))).await.is_err() {
             return;
         }
     }
@@ -173,8 +173,8 @@
 async fn ask_on(
     resolver: Option<SocketAddr>,
     service: &str,
-    listed: &mut Listed,
-    handle: &Handle,
+    listed: &mut EngineList,
+    handle: &ServiceHandle,
     clock: &Clock,
     rng: &mut oorandom::Rand32,
 ) {
@@ -202,7 +202,7 @@
                 lost = 0;
                 let changed = listed.update(serial, engines);
                 if !changed.is_empty()
-                    && handle.tell(Input::Engines(EngineNews::Changed(changed))).await.is_err()
+                    && handle.notify(Input::Engines(EngineListUpdate::Changed(changed))).await.is_err()
                 {
                     return;
                 }
@@ -230,16 +230,16 @@
     #[error("no answer")]
     Silent,
     #[error("{0}")]
-    Unusable(#[from] Unusable),
+    DiscoveryError(#[from] DiscoveryError),
 }
 
 fn engines(answer: &dns::Answer, clock: &Clock) -> Result<(u32, Vec<Engine>), Lost> {
     let mut engines = Vec::with_capacity(answer.services.len());
     for service in &answer.services {
         let mut labels = service.target.split('.');
-        let name = labels.next().filter(|name| !name.is_empty()).ok_or(Unusable::Missing("name"))?;
-        let zone = labels.next().ok_or(Unusable::Missing("zone"))?;
-        let address = answer.addresses.get(&service.target).ok_or(Unusable::Missing("address"))?;
+        let name = labels.next().filter(|name| !name.is_empty()).ok_or(DiscoveryError::Missing("name"))?;
+        let zone = labels.next().ok_or(DiscoveryError::Missing("zone"))?;
+        let address = answer.addresses.get(&service.target).ok_or(DiscoveryError::Missing("address"))?;
         let no_text = Vec::new();
         let texts = answer.texts.get(&service.target).unwrap_or(&no_text);
         let text = |name: &str| {
@@ -257,7 +257,7 @@
             started: (since != 0).then(|| clock.from_unix_ms(since)),
         });
     }
-    let serial = answer.serial.ok_or(Unusable::Missing("serial"))?;
+    let serial = answer.serial.ok_or(DiscoveryError::Missing("serial"))?;
     Ok((serial, engines))
 }
 
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -17,12 +17,12 @@
 
 #[test]
 fn an_answer_that_came_late_changes_nothing() {
-    let mut listed = Listed::default();
+    let mut listed = EngineList::default();
     listed.start(4, true, vec![engine("x", EngineState::Ready)]);
     assert_eq!(listed.update(6, vec![engine("x", EngineState::Draining)]).len(), 1);
     assert!(listed.update(5, vec![engine("x", EngineState::Ready)]).is_empty());
     let gone = listed.update(7, vec![]);
-    assert_eq!((gone.len(), gone[0].state), (1, EngineState::Gone));
+    assert_eq!((gone.len(), gone[0].state), (1, EngineState::Removed));
 }
 
 /// An answer that holds nothing but its serial.
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -5,11 +5,11 @@
 
 use self::message::{Request, Response, Unreadable};
 use self::pages::Pages;
-use super::Seat;
+use super::ConnectionPermit;
 use crate::clock::Micros;
-use crate::core::{Answer, Arrival, Input, Invalid, Row};
-use crate::lifecycle::Lifeline;
-use crate::service::Handle;
+use crate::core::{Answer, IncomingRequest, Input, Invalid, Row};
+use crate::lifecycle::LifecycleHandle;
+use crate::service::ServiceHandle;
 use bytes::BytesMut;
 use sanddyke_tenancy::Reason;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -33,26 +33,26 @@
 /// What every connection of this front knows.
 #[derive(Debug)]
 pub struct Http {
-    handle: Handle,
-    life: Lifeline,
+    handle: ServiceHandle,
+    lifecycle: LifecycleHandle,
     pages: Mutex<Pages>,
     page_bytes: usize,
 }
 
 impl Http {
     /// A front that hands requests to the service, and splits results of more than so many bytes.
-    pub fn new(handle: Handle, life: Lifeline, page_bytes: usize) -> Arc<Http> {
-        Arc::new(Http { handle, life, pages: Mutex::default(), page_bytes })
+    pub fn new(handle: ServiceHandle, lifecycle: LifecycleHandle, page_bytes: usize) -> Arc<Http> {
+        Arc::new(Http { handle, lifecycle, pages: Mutex::default(), page_bytes })
     }
 }
 
 /// Accepts connections until it is dropped.
 pub async fn serve(listener: TcpListener, front: Arc<Http>, most: usize) {
-    let each = |stream, seat| {
+    let each = |stream, permit| {
         let front = front.clone();
-        async move { connection(stream, &seat, &front).await }
+        async move { connection(stream, &permit, &front).await }
     };
-    super::accept(listener, most, "client", front.life.stop_accepting(), each).await;
+    super::accept(listener, most, "client", front.lifecycle.stop_accepting(), each).await;
 }
 
 /// When the first request of a connection that has just come is due.
@@ -106,18 +106,18 @@
     flooded: bool,
 }
 
-async fn connection(stream: TcpStream, seat: &Seat, front: &Http) -> std::io::Result<()> {
+async fn connection(stream: TcpStream, permit: &ConnectionPermit, front: &Http) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut client = Client { stream, buffer: BytesMut::with_capacity(4096), flooded: false };
     let (mut by, mut wait) = (Some(first_by()), READ_TIME);
-    let present = front.life.connection();
+    let present = front.lifecycle.connection();
     while front.goes_on(&mut client, wait).await? {
         let Client { stream, buffer, .. } = &mut client;
         let read = read_request(stream, buffer, by, message::LONGEST_BODY).await?;
         let Some(read) = read else { break };
         (by, wait) = (None, IDLE_TIME);
-        seat.busy();
-        let counted = front.life.request();
+        permit.busy();
+        let counted = front.lifecycle.request();
         let (response, close) = match read {
             Ok(request) => match front.call(&mut client, &request).await {
                 Some(response) => (response, request.close),
@@ -126,16 +126,16 @@
             Err(error) => (unusable(error.status(), &error.to_string()), true),
         };
         // Ordinary clients follow this, and come back where they are let in.
-        let close = close || client.flooded || !front.life.keeps_connections();
+        let close = close || client.flooded || !front.lifecycle.keeps_idle_connections();
         tokio::time::timeout(WRITE_TIME, client.stream.write_all(&response.bytes(close))).await??;
         drop(counted);
         if close {
             break;
         }
-        seat.idle();
+        permit.idle();
     }
     drop(present);
-    seat.ending();
+    permit.ending();
     super::linger(&mut client.stream, &mut client.buffer).await
 }
 
@@ -164,7 +164,7 @@
             return Ok(true);
         }
         let close_idle = async {
-            self.life.close_idle().await;
+            self.lifecycle.close_idle().await;
             // What the machine has received of a connection that has only just been accepted shows one turn later.
             tokio::task::yield_now().await;
         };
@@ -180,7 +180,7 @@
 
     async fn call(&self, client: &mut Client, request: &Request) -> Option<Response> {
         match (request.method.as_str(), request.target.as_str()) {
-            ("GET", "/check") if self.life.is_ready() => Some(Response::json(200, "{}".to_owned())),
+            ("GET", "/check") if self.lifecycle.is_ready() => Some(Response::json(200, "{}".to_owned())),
             ("GET", "/check") => Some(unusable(503, "not ready")),
             ("POST", target) => match target.strip_prefix("/do/") {
                 Some(class) => match self.arrival(class, request) {
@@ -201,7 +201,7 @@
         }
     }
 
-    fn arrival(&self, class: &str, request: &Request) -> Result<Arrival, Response> {
+    fn arrival(&self, class: &str, request: &Request) -> Result<IncomingRequest, Response> {
         let name = field(request, "X-Txn")?;
         if name.len() != 16 || !name.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(unusable(400, "X-Txn must be 16 hex digits"));
@@ -210,7 +210,7 @@
         let ttl = ttl.ok_or_else(|| unusable(400, "X-Ttl-Ms must be a whole number"))?;
         let statement = std::str::from_utf8(&request.body);
         let statement = statement.map_err(|_| unusable(400, "the statement must be UTF-8"))?;
-        Ok(Arrival {
+        Ok(IncomingRequest {
             request: 0,
             name: name.to_owned(),
             class: class.to_owned(),
@@ -222,16 +222,16 @@
     }
 
     /// Hands a request over and waits for its answer; `None` where the client left first.
-    async fn ask(&self, client: &mut Client, arrival: Arrival) -> Option<Response> {
+    async fn ask(&self, client: &mut Client, arrival: IncomingRequest) -> Option<Response> {
         let name = arrival.name.clone();
-        let Ok(mut asked) = self.handle.ask(arrival).await else { return Some(failed(None)) };
+        let Ok(mut asked) = self.handle.submit(arrival).await else { return Some(failed(None)) };
         loop {
             tokio::select! {
                 answer = &mut asked.answer => return Some(self.response(&name, answer)),
                 read = client.stream.read_buf(&mut client.buffer) => {
                     // A client that stops waiting closes its connection.
                     if !matches!(read, Ok(1..)) {
-                        let _ended = self.handle.tell(Input::Left(asked.request)).await;
+                        let _ended = self.handle.notify(Input::ClientDisconnected(asked.request)).await;
                         return None;
                     }
                     client.flooded |= client.buffer.len() > MOST_AHEAD;
@@ -255,7 +255,7 @@
                 let mut kept = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
                 Response::json(200, kept.keep(name, pages))
             }
-            Ok(Answer::Refused { retry_after, reason }) => refused(retry_after, reason),
+            Ok(Answer::Rejected { retry_after, reason }) => refused(retry_after, reason),
             Ok(Answer::Failed(reason)) => failed(reason),
             Err(_) => failed(None),
             Ok(Answer::Cancelled) => Response::json(500, r#"{"fault":"Cancelled"}"#.to_owned()),
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -20,7 +20,7 @@
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy)]
-enum Standing {
+enum ConnectionState {
     /// It has its last answer.
     Ending,
     /// It has not brought a whole request yet.
@@ -33,65 +33,65 @@
 
 #[derive(Debug)]
 struct Taken {
-    standing: Standing,
+    state: ConnectionState,
     /// When it came to stand so.
     since: Instant,
     task: Option<AbortHandle>,
 }
 
 #[derive(Debug, Default)]
-struct Places {
+struct ConnectionTable {
     numbers: u64,
     taken: HashMap<u64, Taken>,
-    /// Of each standing, since when and which: the oldest first.
+    /// Of each state, since when and which: the oldest first.
     order: [BTreeSet<(Instant, u64)>; 4],
 }
 
 /// A connection's place among those of its listener. It goes with the connection.
 #[derive(Debug)]
-pub struct Seat {
+pub struct ConnectionPermit {
     number: u64,
-    places: Arc<Mutex<Places>>,
+    places: Arc<Mutex<ConnectionTable>>,
 }
 
-fn locked(places: &Mutex<Places>) -> MutexGuard<'_, Places> {
+fn locked(places: &Mutex<ConnectionTable>) -> MutexGuard<'_, ConnectionTable> {
     places.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Places {
-    fn stands(&mut self, number: u64, standing: Standing) {
+impl ConnectionTable {
+    fn stands(&mut self, number: u64, state: ConnectionState) {
         if let Some(taken) = self.taken.get_mut(&number) {
-            self.order[taken.standing as usize].remove(&(taken.since, number));
-            (taken.standing, taken.since) = (standing, Instant::now());
-            self.order[taken.standing as usize].insert((taken.since, number));
+            self.order[taken.state as usize].remove(&(taken.since, number));
+            (taken.state, taken.since) = (state, Instant::now());
+            self.order[taken.state as usize].insert((taken.since, number));
         }
     }
 
     fn remove(&mut self, number: u64) -> Option<AbortHandle> {
         let taken = self.taken.remove(&number)?;
-        self.order[taken.standing as usize].remove(&(taken.since, number));
+        self.order[taken.state as usize].remove(&(taken.since, number));
         taken.task
     }
 
-    fn add(&mut self, standing: Standing, since: Instant) -> u64 {
+    fn add(&mut self, state: ConnectionState, since: Instant) -> u64 {
         self.numbers += 1;
-        self.taken.insert(self.numbers, Taken { standing, since, task: None });
-        self.order[standing as usize].insert((since, self.numbers));
+        self.taken.insert(self.numbers, Taken { state, since, task: None });
+        self.order[state as usize].insert((since, self.numbers));
         self.numbers
     }
 
     /// The connection that can best be spared, of those that are owed nothing. One whose request may be on its
     /// way goes last.
     fn spare(&self, now: Instant) -> Option<u64> {
-        let oldest = |standing: Standing, least: Duration| {
-            let first = self.order[standing as usize].first();
+        let oldest = |state: ConnectionState, least: Duration| {
+            let first = self.order[state as usize].first();
             first.filter(|(since, _)| now - *since >= least).map(|(_, number)| *number)
         };
-        oldest(Standing::Ending, Duration::ZERO)
-            .or(oldest(Standing::Silent, ON_ITS_WAY))
-            .or(oldest(Standing::Idle, ON_ITS_WAY))
-            .or(oldest(Standing::Silent, Duration::ZERO))
-            .or(oldest(Standing::Idle, Duration::ZERO))
+        oldest(ConnectionState::Ending, Duration::ZERO)
+            .or(oldest(ConnectionState::Silent, ON_ITS_WAY))
+            .or(oldest(ConnectionState::Idle, ON_ITS_WAY))
+            .or(oldest(ConnectionState::Silent, Duration::ZERO))
+            .or(oldest(ConnectionState::Idle, Duration::ZERO))
     }
 
     /// Ends that connection; false where all are owed an answer.
@@ -101,29 +101,29 @@
     }
 }
 
-impl Seat {
-    fn take(places: &Arc<Mutex<Places>>) -> Seat {
-        let number = locked(places).add(Standing::Silent, Instant::now());
-        Seat { number, places: places.clone() }
+impl ConnectionPermit {
+    fn take(places: &Arc<Mutex<ConnectionTable>>) -> ConnectionPermit {
+        let number = locked(places).add(ConnectionState::Silent, Instant::now());
+        ConnectionPermit { number, places: places.clone() }
     }
 
     /// A whole request has come: the connection stays until it is answered.
     pub fn busy(&self) {
-        locked(&self.places).stands(self.number, Standing::Busy);
+        locked(&self.places).stands(self.number, ConnectionState::Busy);
     }
 
     /// Its request is answered, and another may come.
     pub fn idle(&self) {
-        locked(&self.places).stands(self.number, Standing::Idle);
+        locked(&self.places).stands(self.number, ConnectionState::Idle);
     }
 
     /// It has its last answer.
     pub fn ending(&self) {
-        locked(&self.places).stands(self.number, Standing::Ending);
+        locked(&self.places).stands(self.number, ConnectionState::Ending);
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         locked(&self.places).remove(self.number);
     }
@@ -140,10 +140,10 @@
     stop_accepting: impl Future<Output = usize>,
     each: F,
 ) where
-    F: Fn(TcpStream, Seat) -> T,
+    F: Fn(TcpStream, ConnectionPermit) -> T,
     T: Future<Output = std::io::Result<()>> + Send + 'static,
 {
-    let places = Arc::new(Mutex::new(Places::default()));
+    let places = Arc::new(Mutex::new(ConnectionTable::default()));
     let mut stop_accepting = std::pin::pin!(stop_accepting);
     let mut still = None;
     while still != Some(0) {
@@ -165,9 +165,9 @@
                     log::warn!("a {who} connection is closed: all {most} are owed an answer");
                     continue;
                 }
-                let seat = Seat::take(&places);
-                let number = seat.number;
-                let served = each(stream, seat);
+                let permit = ConnectionPermit::take(&places);
+                let number = permit.number;
+                let served = each(stream, permit);
                 let task = tokio::spawn(async move {
                     if let Err(error) = served.await {
                         log::debug!("{who} connection: {error}");
