--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -4,11 +4,11 @@
 mod tls;
 
 use self::tls::Stream;
-use super::Seat;
+use super::ConnectionPermit;
 use crate::clock::Micros;
-use crate::core::{Answer, Arrival, Input};
-use crate::lifecycle::Lifeline;
-use crate::service::Handle;
+use crate::core::{Answer, IncomingRequest, Input};
+use crate::lifecycle::LifecycleHandle;
+use crate::service::ServiceHandle;
 use crate::sql;
 use crate::tds::login::{self, ENCRYPT_NOT_SUPPORTED, ENCRYPT_ON, ENCRYPT_REQUIRED};
 use crate::tds::packet::{self, Message, Messages};
@@ -47,9 +47,9 @@
 #[derive(Debug)]
 pub struct Tds {
     /// The way to the core.
-    pub handle: Handle,
-    /// The program's life.
-    pub life: Lifeline,
+    pub handle: ServiceHandle,
+    /// The program's lifecycle.
+    pub lifecycle: LifecycleHandle,
     /// What encrypts the wire, where it is encrypted.
     pub tls: Option<Arc<ServerConfig>>,
     /// Who belongs to which tenant.
@@ -66,11 +66,11 @@
 
 /// Accepts connections until it is dropped.
 pub async fn serve(listener: TcpListener, front: Arc<Tds>, most: usize) {
-    let each = |stream, seat| {
+    let each = |stream, permit| {
         let front = front.clone();
-        async move { serve_one(stream, &seat, &front).await }
+        async move { serve_one(stream, &permit, &front).await }
     };
-    super::accept(listener, most, "TDS", front.life.stop_accepting(), each).await;
+    super::accept(listener, most, "TDS", front.lifecycle.stop_accepting(), each).await;
 }
 
 struct Connection<'a> {
@@ -108,15 +108,15 @@
     }
 }
 
-async fn serve_one(stream: TcpStream, seat: &Seat, front: &Tds) -> Io<()> {
+async fn serve_one(stream: TcpStream, permit: &ConnectionPermit, front: &Tds) -> Io<()> {
     stream.set_nodelay(true)?;
-    let _present = front.life.connection();
+    let _present = front.lifecycle.connection();
     let login = tokio::time::timeout(LOGIN_TIME, async {
         let Some(mut connection) = prelogin(stream, front).await? else { return Ok(None) };
         Ok::<_, std::io::Error>(connection.login().await?.map(|tenant| (connection, tenant)))
     });
     match login.await.map_err(|_| std::io::ErrorKind::TimedOut)?? {
-        Some((connection, tenant)) => connection.run(seat, tenant).await,
+        Some((connection, tenant)) => connection.run(permit, tenant).await,
         None => Ok(()),
     }
 }
@@ -152,9 +152,9 @@
 }
 
 impl Connection<'_> {
-    async fn run(mut self, seat: &Seat, tenant: String) -> Io<()> {
+    async fn run(mut self, permit: &ConnectionPermit, tenant: String) -> Io<()> {
         loop {
-            seat.idle();
+            permit.idle();
             if self.received.is_empty() {
                 // TDS has no word for "go elsewhere": a client that is sent away finds its connection closed.
                 tokio::select! {
@@ -164,12 +164,12 @@
                             return Ok(());
                         }
                     }
-                    () = self.front.life.close_idle() => return Ok(()),
+                    () = self.front.lifecycle.close_idle() => return Ok(()),
                 }
             }
             let next = tokio::time::timeout(MESSAGE_TIME, self.next()).await;
             let Some(message) = next.map_err(|_| std::io::ErrorKind::TimedOut)?? else { return Ok(()) };
-            seat.busy();
+            permit.busy();
             if !self.request(message, &tenant).await? {
                 return Ok(());
             }
@@ -207,7 +207,7 @@
 
     /// Serves one request; false where the connection ends.
     async fn request(&mut self, message: Message, tenant: &str) -> Io<bool> {
-        let counted = self.front.life.request();
+        let counted = self.front.lifecycle.request();
         let (to, statement) = match message.kind {
             packet::SQL_BATCH => (To::Batch, token::read_batch(&message.data)),
             packet::RPC => (To::Call, token::read_call(&message.data)),
@@ -249,8 +249,8 @@
     }
 
     /// Hands a request over and waits for its answer, or until the client stops waiting for it.
-    async fn ask(&mut self, arrival: Arrival) -> Io<Waited> {
-        let Ok(mut asked) = self.front.handle.ask(arrival).await else {
+    async fn ask(&mut self, arrival: IncomingRequest) -> Io<Waited> {
+        let Ok(mut asked) = self.front.handle.submit(arrival).await else {
             return Ok(Waited::Answer(Answer::Failed(None)));
         };
         let waited = loop {
@@ -272,13 +272,13 @@
             }
         };
         // The core stops the work; the answer, if one crosses this, is not written: the client gets one end.
-        let _ended = self.front.handle.tell(Input::Left(asked.request)).await;
+        let _ended = self.front.handle.notify(Input::ClientDisconnected(asked.request)).await;
         Ok(waited)
     }
 }
 
 impl Tds {
-    fn arrival(&self, statement: &str, tenant: &str) -> Result<Arrival, String> {
+    fn arrival(&self, statement: &str, tenant: &str) -> Result<IncomingRequest, String> {
         let hints = sql::hints(statement);
         let hint = |name: &str| hints.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
         let left = match hint("ttl_ms") {
@@ -291,7 +291,7 @@
         let number = self.named.fetch_add(1, Ordering::Relaxed);
         // Distinct for distinct numbers, and unlike those of another start.
         let name = (self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as u128;
-        Ok(Arrival {
+        Ok(IncomingRequest {
             request: 0,
             name: format!("{name:016x}"),
             class: hint("class").unwrap_or(&self.class).to_owned(),
@@ -306,7 +306,7 @@
 fn written(to: To, answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Served(table) => token::table(to, &table),
-        Answer::Refused { retry_after, reason: None } => {
+        Answer::Rejected { retry_after, reason: None } => {
             let seconds = (retry_after.0 + 999_999) / 1_000_000;
             let text = format!(
                 "The service is currently busy. Retry the request after {seconds} seconds. retry_after_ms={}",
@@ -314,7 +314,7 @@
             );
             token::error(to, REFUSED, 16, &text)
         }
-        Answer::Refused { retry_after, reason: Some(reason) } => {
+        Answer::Rejected { retry_after, reason: Some(reason) } => {
             let number = if reason.passes_by_itself() { LIMITED } else { FORBIDDEN };
             let (code, ms) = (reason.code(), retry_after.0 / 1000);
             let text = format!("The tenant's request is refused: {code}. retry_after_ms={ms}");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! ```
 //! use sanddyke::{Action, ClassSettings, EngineEntry, EngineId, EngineState, Event, Gateway};
-//! use sanddyke::{KindId, KindSettings, ListNews, Request, RequestId, Settings, ZoneId};
+//! use sanddyke::{KindId, KindSettings, EngineListEvent, Request, RequestId, Settings, ZoneId};
 //!
 //! let settings = Settings {
 //!     classes: vec![ClassSettings { target_ms: 300.0, deadline_ms: 1500.0, ..Default::default() }],
@@ -26,7 +26,7 @@
 //!     started_at: None,
 //!     weight: 1.0,
 //! };
-//! gateway.handle(0.0, Event::List(ListNews::Replace(vec![engine])), &mut actions);
+//! gateway.handle(0.0, Event::EngineList(EngineListEvent::Replace(vec![engine])), &mut actions);
 //! let request = Request { id: RequestId(1), remaining_ms: 1500.0, ..Default::default() };
 //! gateway.handle(5.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The program's life ([`sanddyke_lifecycle`]) as all its tasks see it: doors and health checks read it, signals and
+//! The program's lifecycle ([`sanddyke_lifecycle`]) as all its tasks see it: doors and health checks read it, signals and
 //! the second address move it, and connections wait here to be told that they shall end.
 
-use sanddyke_lifecycle::{Event, Life, Phase, Refused, Socket};
+use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -19,16 +19,16 @@
 /// Connections that a socket's queue holds (the `listen` of tokio's own sockets).
 const QUEUED: usize = 1024;
 
-/// The life, and since when it stands where it does.
+/// The lifecycle, and since when it stands where it does.
 #[derive(Debug, Clone, Copy)]
 struct Moment {
-    life: Life,
+    lifecycle: Lifecycle,
     since: Instant,
 }
 
-/// What a program knows of its own life. Clones are of one life.
+/// What a program knows of its own lifecycle. Clones are of one lifecycle.
 #[derive(Debug, Clone)]
-pub struct Lifeline {
+pub struct LifecycleHandle {
     now: Arc<watch::Sender<Moment>>,
     unanswered: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
@@ -52,19 +52,23 @@
     }
 }
 
-impl Lifeline {
-    /// The life of a program that has just started.
-    pub fn new(socket: Socket) -> Lifeline {
-        let now = Moment { life: Life::new(socket), since: Instant::now() };
+impl LifecycleHandle {
+    /// The lifecycle of a program that has just started.
+    pub fn new(socket: ListenSocket) -> LifecycleHandle {
+        let now = Moment { lifecycle: Lifecycle::new(socket), since: Instant::now() };
         let counts = (Arc::default(), Arc::default());
-        Lifeline { now: Arc::new(watch::Sender::new(now)), unanswered: counts.0, connections: counts.1 }
+        LifecycleHandle {
+            now: Arc::new(watch::Sender::new(now)),
+            unanswered: counts.0,
+            connections: counts.1,
+        }
     }
 
     /// Tells what has happened; gives the phase that the program is in then, or why it can't be.
-    pub fn apply(&self, event: Event) -> Result<Phase, Refused> {
+    pub fn apply(&self, event: Event) -> Result<Phase, TransitionError> {
         let mut result = Ok(None);
         self.now.send_if_modified(|moment| {
-            result = moment.life.apply(event);
+            result = moment.lifecycle.apply(event);
             let changed = matches!(result, Ok(Some(_)));
             if changed {
                 moment.since = Instant::now();
@@ -72,39 +76,39 @@
             changed
         });
         match result? {
-            Some(phase) => log::info!("life: {phase}, by {event:?}"),
-            None => log::debug!("life: {event:?} changes nothing"),
+            Some(phase) => log::info!("lifecycle: {phase}, by {event:?}"),
+            None => log::debug!("lifecycle: {event:?} changes nothing"),
         }
         Ok(self.phase())
     }
 
-    fn life(&self) -> Life {
-        self.now.borrow().life
+    fn lifecycle(&self) -> Lifecycle {
+        self.now.borrow().lifecycle
     }
 
     /// Where it stands.
     pub fn phase(&self) -> Phase {
-        self.life().phase()
+        self.lifecycle().phase()
     }
 
     /// Whether a health check finds the service well.
     pub fn is_ready(&self) -> bool {
-        self.life().is_ready()
+        self.lifecycle().is_ready()
     }
 
     /// Whether the program is about to end.
-    pub fn is_leaving(&self) -> bool {
-        self.life().is_leaving()
+    pub fn is_shutting_down(&self) -> bool {
+        self.lifecycle().is_shutting_down()
     }
 
     /// Whether new connections are accepted.
-    pub fn takes_connections(&self) -> bool {
-        self.life().takes_connections()
+    pub fn accepts_connections(&self) -> bool {
+        self.lifecycle().accepts_connections()
     }
 
     /// Whether a connection stays open for its client's next request.
-    pub fn keeps_connections(&self) -> bool {
-        self.life().keeps_connections()
+    pub fn keeps_idle_connections(&self) -> bool {
+        self.lifecycle().keeps_idle_connections()
     }
 
     /// Ends when an open connection that brings nothing shall be closed.
@@ -129,13 +133,13 @@
         if self.phase() == Phase::Stopping { QUEUED } else { 0 }
     }
 
-    /// Ends once the life has stood for so long in a phase that such a time is given for.
+    /// Ends once the lifecycle has stood for so long in a phase that such a time is given for.
     async fn after(&self, wait: impl Fn(Phase) -> Option<Duration>) {
         let mut told = self.now.subscribe();
         loop {
             let moment = *told.borrow_and_update();
             let waited = async {
-                match wait(moment.life.phase()) {
+                match wait(moment.lifecycle.phase()) {
                     Some(wait) => tokio::time::sleep_until(moment.since + wait).await,
                     None => std::future::pending().await,
                 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,18 +9,18 @@
 use sanddyke::clock::{Clock, Micros};
 use sanddyke::cluster::Cluster;
 use sanddyke::config::{Config, Read, Source};
-use sanddyke::core::{Core, EngineNews, Input};
-use sanddyke::discovery::{self, Told};
+use sanddyke::core::{Core, EngineListUpdate, Input};
+use sanddyke::discovery::{self, DiscoveryTarget};
 use sanddyke::frontend::http::{self, Http};
 use sanddyke::frontend::tds::{self, Tds};
-use sanddyke::lifecycle::Lifeline;
-use sanddyke::operations_endpoint::{self, Ops, Pulse};
-use sanddyke::service::{self, Handle};
+use sanddyke::lifecycle::LifecycleHandle;
+use sanddyke::operations_endpoint::{self, Heartbeat, OperationsEndpoint};
+use sanddyke::service::{self, ServiceHandle};
 use sanddyke::state_handover;
-use sanddyke::tenants::{Failure, Keeper};
-use sanddyke::upstream::{Backs, Limits, Wire};
-use sanddyke_lifecycle::{Event, Refused, Socket};
-use sanddyke_socket_activation::Unfit;
+use sanddyke::tenants::{TenantService, TenantServiceError};
+use sanddyke::upstream::{UpstreamLimits, UpstreamPool, UpstreamProtocol};
+use sanddyke_lifecycle::{Event, ListenSocket, TransitionError};
+use sanddyke_socket_activation::SocketActivationError;
 use sanddyke_store::{Store, StoreError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -76,24 +76,24 @@
     #[error("listen: can't listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error("ops: can't listen on {0}: {1}")]
-    Ops(SocketAddr, std::io::Error),
+    OperationsEndpoint(SocketAddr, std::io::Error),
     #[cfg(feature = "cluster")]
     #[error("cluster.listen: can't listen on {0}: {1}")]
     Cluster(SocketAddr, std::io::Error),
     #[error("{ACCEPT_FD}: {0}")]
-    Inherit(#[from] Unfit),
+    SocketActivation(#[from] SocketActivationError),
     #[error("{ACCEPT_FD}: is set, and no address to listen on is told")]
-    InheritNothing,
-    #[error("the life of the program: {0}")]
-    Life(#[from] Refused),
+    SocketWithoutAddress,
+    #[error("the lifecycle of the program: {0}")]
+    Lifecycle(#[from] TransitionError),
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("{0}")]
-    Ended(#[from] service::Ended),
+    Ended(#[from] service::ServiceEnded),
     #[error("store.path: {0}")]
     Store(#[from] StoreError),
     #[error("the settings' tenants: {0}")]
-    Tenants(#[from] Failure),
+    Tenants(#[from] TenantServiceError),
     #[error("{0}")]
     Command(cli::Failed),
 }
@@ -125,10 +125,11 @@
     // Before anything else is opened: an unused number must be found unused.
     let socket = match (std::env::var(ACCEPT_FD), config.listen) {
         (Err(_), _) => None,
-        (Ok(_), None) => return Err(Fatal::InheritNothing),
-        (Ok(told), Some(listen)) => {
-            Some(sanddyke_socket_activation::listener(sanddyke_socket_activation::number(&told)?, listen)?)
-        }
+        (Ok(_), None) => return Err(Fatal::SocketWithoutAddress),
+        (Ok(told), Some(listen)) => Some(sanddyke_socket_activation::take_listener(
+            sanddyke_socket_activation::parse_descriptor(&told)?,
+            listen,
+        )?),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(source, clock, config, socket))
@@ -141,21 +142,21 @@
     name: &str,
     seed: u64,
     clock: Clock,
-    keeper: &Arc<Keeper>,
-    life: &Lifeline,
+    tenant_service: &Arc<TenantService>,
+    lifecycle: &LifecycleHandle,
     restart: &Arc<Notify>,
 ) -> Result<Cluster, Fatal> {
     use sanddyke::cluster::{ROLLING_RESTART_LEASE, backup, follow, restart_controller, start};
     let (address, every) = (fleet.listen, fleet.backup_every_ms);
-    let (cluster, mut news) = start(fleet, name, clock, seed, (life.clone(), restart.clone()))
+    let (cluster, mut news) = start(fleet, name, clock, seed, (lifecycle.clone(), restart.clone()))
         .map_err(|error| Fatal::Cluster(address, error))?;
     if let (Some(news), Some(every)) = (news.remove(backup::DUTY), every) {
-        tokio::spawn(backup::run(cluster.clone(), news, keeper.clone(), clock, every));
+        tokio::spawn(backup::run(cluster.clone(), news, tenant_service.clone(), clock, every));
     }
     if let Some(news) = news.remove(ROLLING_RESTART_LEASE) {
         tokio::spawn(restart_controller::run(cluster.clone(), news, clock));
     }
-    tokio::spawn(follow(cluster.clone(), life.clone()));
+    tokio::spawn(follow(cluster.clone(), lifecycle.clone()));
     Ok(cluster)
 }
 
@@ -168,7 +169,7 @@
     read: &mut Read,
     source: &Source,
     clock: &Clock,
-    names: &watch::Sender<Told>,
+    names: &watch::Sender<DiscoveryTarget>,
     admin: &Certificates,
 ) {
     let config = match Config::from(source, clock) {
@@ -182,7 +183,11 @@
         }
     }
     *read = config.read;
-    names.send_replace(Told { resolver: config.resolver, service: config.service, listed: config.listed });
+    names.send_replace(DiscoveryTarget {
+        resolver: config.resolver,
+        service: config.service,
+        listed: config.listed,
+    });
     // The files may have changed where the keys have not. A listener that is not encrypted stays so.
     if let Some(certificate) = config.admin.and_then(|admin| admin.tls).filter(|_| admin.borrow().is_some()) {
         admin.send_replace(Some(certificate));
@@ -200,13 +205,14 @@
     config: Config,
     socket: Option<std::net::TcpListener>,
 ) -> Result<(), Fatal> {
-    let life = Lifeline::new(if socket.is_some() { Socket::Shared } else { Socket::Own });
+    let lifecycle =
+        LifecycleHandle::new(if socket.is_some() { ListenSocket::Shared } else { ListenSocket::Exclusive });
     let document = config.document();
     let mut read = config.read.clone();
     let mut terminated = signal(SignalKind::terminate())?;
     let mut reloaded = signal(SignalKind::hangup())?;
-    let (handle, queue) = Handle::new();
-    let limits = Limits {
+    let (handle, queue) = ServiceHandle::new();
+    let limits = UpstreamLimits {
         connect_timeout: Micros::from_ms(config.connect_ms).to_duration(),
         probe_timeout: Micros::from_ms(config.connect_ms),
         silent_after: match config.front.settings.engines.notes_every_ms {
@@ -220,11 +226,11 @@
         collected: config.sockets / CLIENTS_PART * RESULT_BYTES,
         streams: config.streams,
         connections: match config.wire {
-            Wire::Lines => MOST_CONNECTIONS,
-            Wire::Tds(_) => MOST_TDS_CONNECTIONS,
+            UpstreamProtocol::LineProtocol => MOST_CONNECTIONS,
+            UpstreamProtocol::Tds(_) => MOST_TDS_CONNECTIONS,
         },
     };
-    let backs = Backs::new(config.wire, handle.clone(), clock, limits);
+    let upstream = UpstreamPool::new(config.wire, handle.clone(), clock, limits);
     let shared = socket.is_some();
     // As the platform counts it when it ends the process by force. Elsewhere a service manager waits for longer.
     let deadlines = config.front.settings.classes.iter().map(|class| Micros::from_ms(class.deadline_ms));
@@ -246,29 +252,33 @@
         core = core.host();
     }
     let backups = config.store.and_then(|store| store.backups);
-    tokio::spawn(service::run(core, clock, queue, backs));
-    handle.tell(Input::Engines(EngineNews::Start(config.listed.engines()))).await?;
+    tokio::spawn(service::run(core, clock, queue, upstream));
+    handle.notify(Input::Engines(EngineListUpdate::Initial(config.listed.engines()))).await?;
     if let Some(address) = config.ops {
-        let ops = Ops { life: life.clone(), pulse: Pulse::default(), clock };
-        tokio::spawn(ops.pulse.clone().run(handle.clone(), clock));
+        let ops = OperationsEndpoint { lifecycle: lifecycle.clone(), heartbeat: Heartbeat::default(), clock };
+        tokio::spawn(ops.heartbeat.clone().run(handle.clone(), clock));
         let callers = (config.sockets / CALLERS.0).clamp(CALLERS.1, CALLERS.2);
-        operations_endpoint::start(address, ops, callers).map_err(|error| Fatal::Ops(address, error))?;
+        operations_endpoint::start(address, ops, callers)
+            .map_err(|error| Fatal::OperationsEndpoint(address, error))?;
     }
     let left = state_handover::place(&config.name).filter(|_| shared);
     if let Some(place) = &left {
         state_handover::take(place, &handle, &clock).await?;
     }
-    let keeper = Keeper::start(held, &document, backups, handle.clone(), config.known, clock).await?;
+    let tenant_service =
+        TenantService::start(held, &document, backups, handle.clone(), config.known, clock).await?;
     let restart = Arc::new(Notify::new());
     #[cfg(feature = "cluster")]
     let cluster = match config.fleet {
-        Some(fleet) => Some(join(fleet, &config.name, config.seed, clock, &keeper, &life, &restart)?),
+        Some(fleet) => {
+            Some(join(fleet, &config.name, config.seed, clock, &tenant_service, &lifecycle, &restart)?)
+        }
         None => None,
     };
     #[cfg(not(feature = "cluster"))]
     let cluster: Option<Cluster> = None;
     let certificates: Certificates = watch::Sender::new(None);
-    let told = Told { resolver: config.resolver, service: config.service, listed: config.listed };
+    let told = DiscoveryTarget { resolver: config.resolver, service: config.service, listed: config.listed };
     let (names, names_told) = watch::channel(told);
     tokio::spawn(discovery::run(names_told, handle.clone(), clock, config.seed));
     if shared {
@@ -282,14 +292,14 @@
             Some(socket) => TcpListener::from_std(socket)?,
             None => bind(address).await?,
         };
-        let front = Http::new(handle.clone(), life.clone(), config.page_bytes);
+        let front = Http::new(handle.clone(), lifecycle.clone(), config.page_bytes);
         fronts.push(tokio::spawn(http::serve(listener, front, places)));
     }
     if let Some(told) = config.tds {
         let listener = bind(told.listen).await?;
         let front = Tds {
             handle: handle.clone(),
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             directory: told.directory,
             tls: told.tls,
             class: told.class,
@@ -302,18 +312,19 @@
     if let Some(told) = config.admin {
         let listener = bind(told.listen).await?;
         certificates.send_replace(told.tls);
-        let api = Admin::new(handle.clone(), life.clone(), keeper, clock, told.token, cluster.clone());
+        let api =
+            Admin::new(handle.clone(), lifecycle.clone(), tenant_service, clock, told.token, cluster.clone());
         fronts.push(tokio::spawn(admin::serve(listener, api, certificates.subscribe())));
     }
-    for event in [Event::Listed, Event::Heard] {
-        life.apply(event)?;
+    for event in [Event::EngineListLoaded, Event::EnginesChecked] {
+        lifecycle.apply(event)?;
     }
     if let Some(place) = left {
-        tokio::spawn(state_handover::keep(place, handle.clone(), clock, life.clone()));
+        tokio::spawn(state_handover::keep(place, handle.clone(), clock, lifecycle.clone()));
     }
     let leaving = state_handover::leaving(&config.name).filter(|_| shared);
     if let Some(place) = leaving.clone() {
-        tokio::spawn(state_handover::beside(place, handle.clone(), clock, life.clone()));
+        tokio::spawn(state_handover::beside(place, handle.clone(), clock, lifecycle.clone()));
     }
     log::info!("{} is ready", config.name);
     loop {
@@ -327,17 +338,17 @@
                 log::info!("roll: finishing what is open, to be started again");
                 break;
             }
-            _ = reloaded.recv() => match life.apply(Event::Reload) {
+            _ = reloaded.recv() => match lifecycle.apply(Event::Reload) {
                 Ok(_) => reload(&mut read, &source, &clock, &names, &certificates),
                 Err(why) => log::warn!("SIGHUP: {why}"),
             },
         }
     }
-    life.apply(Event::Terminate)?;
+    lifecycle.apply(Event::Terminate)?;
     let shutdown_by = clock.now() + counted + FORCED_AFTER - KEPT_FOR_ANSWERS;
-    handle.tell(Input::ShutdownBy(shutdown_by)).await?;
+    handle.notify(Input::ShutdownBy(shutdown_by)).await?;
     if let Some(place) = leaving {
-        tokio::spawn(state_handover::leave(place, clock, life.clone()));
+        tokio::spawn(state_handover::leave(place, clock, lifecycle.clone()));
     }
     let served = async {
         for front in fronts {
@@ -347,32 +358,32 @@
             }
         }
         if !shared {
-            handle.tell(Input::RefuseNew).await?;
+            handle.notify(Input::RejectNew).await?;
         }
         // What was accepted here is served to its end, also a request whose client is still writing it.
-        while handle.open().await? > 0 || life.unanswered() > 0 || life.connections() > 0 {
+        while handle.open_requests().await? > 0 || lifecycle.unanswered() > 0 || lifecycle.connections() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        Ok::<(), service::Ended>(())
+        Ok::<(), service::ServiceEnded>(())
     };
     let last = clock.instant(shutdown_by + Micros(KEPT_FOR_ANSWERS.0 / 2));
     match tokio::time::timeout_at(last.into(), served).await {
         Ok(served) => {
             served?;
             debug_assert_eq!(
-                (life.unanswered(), life.connections()),
+                (lifecycle.unanswered(), lifecycle.connections()),
                 (0, 0),
                 "counts are at zero at the end"
             );
         }
-        Err(_) => log::warn!("{} requests have no whole answer at the end", life.unanswered()),
+        Err(_) => log::warn!("{} requests have no whole answer at the end", lifecycle.unanswered()),
     }
     if let Some(cluster) = &cluster {
         // Its duties were handed over from SIGTERM on: the others need not wait for their leases' end.
         let _over = tokio::time::timeout(HANDED_OVER_WITHIN, cluster.leave()).await;
     }
     tokio::time::sleep(LAST_WORDS).await;
-    life.apply(Event::LastAnswer)?;
+    lifecycle.apply(Event::LastResponseSent)?;
     log::info!("all is answered");
     Ok(())
 }
--- a/src/operations_endpoint.rs
+++ b/src/operations_endpoint.rs
@@ -6,9 +6,9 @@
 use crate::clock::{Clock, Micros};
 use crate::frontend::http::message::{Request, Response};
 use crate::frontend::http::{first_by, read_request};
-use crate::frontend::{self, Seat};
-use crate::lifecycle::Lifeline;
-use crate::service::Handle;
+use crate::frontend::{self, ConnectionPermit};
+use crate::lifecycle::LifecycleHandle;
+use crate::service::ServiceHandle;
 use bytes::BytesMut;
 use sanddyke_lifecycle::{Event, Phase};
 use serde_json::json;
@@ -31,13 +31,13 @@
 
 /// When the task that serves last turned, in microseconds of the program's clock.
 #[derive(Debug, Clone, Default)]
-pub struct Pulse(Arc<AtomicI64>);
+pub struct Heartbeat(Arc<AtomicI64>);
 
-impl Pulse {
+impl Heartbeat {
     /// Asks the service again and again for as long as it is there.
-    pub async fn run(self, handle: Handle, clock: Clock) {
+    pub async fn run(self, handle: ServiceHandle, clock: Clock) {
         // The answer comes by the same queue and the same turns as a request's.
-        while handle.open().await.is_ok() {
+        while handle.open_requests().await.is_ok() {
             self.0.store(clock.now().0, Ordering::Relaxed);
             tokio::time::sleep(BEAT_EVERY).await;
         }
@@ -50,28 +50,34 @@
 
 /// What a call at the second address knows.
 #[derive(Debug, Clone)]
-pub struct Ops {
-    /// The life that it tells of and moves.
-    pub life: Lifeline,
+pub struct OperationsEndpoint {
+    /// The lifecycle that it tells of and moves.
+    pub lifecycle: LifecycleHandle,
     /// Whether the service turns.
-    pub pulse: Pulse,
-    /// The clock of the pulse.
+    pub heartbeat: Heartbeat,
+    /// The clock of the heartbeat.
     pub clock: Clock,
 }
 
 /// Serves the second address on a thread of its own until the program ends. At most so many callers are heard
 /// at once: the oldest who has said nothing whole gives way to a new one.
-pub fn start(address: SocketAddr, ops: Ops, most: usize) -> std::io::Result<()> {
+pub fn start(address: SocketAddr, ops: OperationsEndpoint, most: usize) -> std::io::Result<()> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let serve = async move {
         match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => {
-                frontend::accept(listener, most, "second address", std::future::pending(), |stream, seat| {
-                    let ops = ops.clone();
-                    async move { ops.connection(stream, &seat).await }
-                })
+                frontend::accept(
+                    listener,
+                    most,
+                    "second address",
+                    std::future::pending(),
+                    |stream, permit| {
+                        let ops = ops.clone();
+                        async move { ops.connection(stream, &permit).await }
+                    },
+                )
                 .await;
             }
             Err(error) => log::error!("ops: {error}"),
@@ -81,21 +87,21 @@
     Ok(())
 }
 
-impl Ops {
+impl OperationsEndpoint {
     /// One call, one answer: what else comes on the connection is dropped.
-    async fn connection(&self, mut stream: TcpStream, seat: &Seat) -> std::io::Result<()> {
+    async fn connection(&self, mut stream: TcpStream, permit: &ConnectionPermit) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut buffer = BytesMut::with_capacity(1024);
         let Some(read) = read_request(&mut stream, &mut buffer, Some(first_by()), LONGEST_BODY).await? else {
             return Ok(());
         };
-        seat.busy();
+        permit.busy();
         let response = match read {
             Ok(request) => self.call(&request),
             Err(error) => Response::json(error.status(), json!({ "error": error.to_string() }).to_string()),
         };
         tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(true))).await??;
-        seat.ending();
+        permit.ending();
         frontend::linger(&mut stream, &mut buffer).await
     }
 
@@ -115,17 +121,17 @@
     }
 
     fn health(&self) -> Response {
-        let phase = self.life.phase();
-        let state = if self.pulse.beats(self.clock.now()) { phase.word() } else { "stuck" };
-        let status = if state == Phase::Ready.word() { 200 } else { 503 };
+        let phase = self.lifecycle.phase();
+        let state = if self.heartbeat.beats(self.clock.now()) { phase.name() } else { "stuck" };
+        let status = if state == Phase::Ready.name() { 200 } else { 503 };
         Response::json(status, json!({ "state": state }).to_string())
     }
 
     fn tell(&self, event: Event) -> Response {
-        match self.life.apply(event) {
-            Ok(phase) => Response::json(200, json!({ "state": phase.word() }).to_string()),
+        match self.lifecycle.apply(event) {
+            Ok(phase) => Response::json(200, json!({ "state": phase.name() }).to_string()),
             Err(why) => {
-                let told = json!({ "state": self.life.phase().word(), "error": why.to_string() });
+                let told = json!({ "state": self.lifecycle.phase().name(), "error": why.to_string() });
                 Response::json(409, told.to_string())
             }
         }
--- a/src/service.rs
+++ b/src/service.rs
@@ -2,8 +2,8 @@
 //! bounded channel, and hands on what the core wants done.
 
 use crate::clock::{Clock, Micros};
-use crate::core::{Answer, Arrival, Command, Core, Handover, Input, Report, TenantReport};
-use crate::upstream::Backs;
+use crate::core::{Answer, Command, Core, HandoverState, IncomingRequest, Input, Report, TenantReport};
+use crate::upstream::UpstreamPool;
 use sanddyke_tenancy::TenantId;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,27 +24,27 @@
     /// Something for the core.
     Input(Input),
     /// A request, and where its answer goes.
-    Ask(Arrival, oneshot::Sender<Answer>),
+    Submit(IncomingRequest, oneshot::Sender<Answer>),
     /// An operator wants to see the state.
     Inspect(oneshot::Sender<Report>),
     /// What is under way of these tenants.
     Usage(Vec<TenantId>, oneshot::Sender<HashMap<TenantId, TenantReport>>),
     /// How many requests are owed an answer.
-    Open(oneshot::Sender<usize>),
+    OpenRequests(oneshot::Sender<usize>),
     /// Whether enough engines were heard.
-    Heard(oneshot::Sender<bool>),
+    EnginesChecked(oneshot::Sender<bool>),
     /// What was learnt.
-    Learnt(oneshot::Sender<Handover>),
+    HandoverState(oneshot::Sender<HandoverState>),
 }
 
 /// The service has ended.
 #[derive(Debug, Error)]
 #[error("the service has ended")]
-pub struct Ended;
+pub struct ServiceEnded;
 
 /// A request that waits for its answer.
 #[derive(Debug)]
-pub struct Asked {
+pub struct PendingResponse {
     /// Its number.
     pub request: u64,
     /// Where its answer comes.
@@ -53,71 +53,76 @@
 
 /// How fronts, engines and discovery reach the service.
 #[derive(Debug, Clone)]
-pub struct Handle {
+pub struct ServiceHandle {
     messages: mpsc::Sender<Message>,
     next: Arc<AtomicU64>,
 }
 
-impl Handle {
+impl ServiceHandle {
     /// A handle and the end at which the service listens.
-    pub fn new() -> (Handle, mpsc::Receiver<Message>) {
+    pub fn new() -> (ServiceHandle, mpsc::Receiver<Message>) {
         let (messages, queue) = mpsc::channel(QUEUE);
-        (Handle { messages, next: Arc::new(AtomicU64::new(1)) }, queue)
+        (ServiceHandle { messages, next: Arc::new(AtomicU64::new(1)) }, queue)
     }
 
-    async fn send(&self, message: Message) -> Result<(), Ended> {
-        self.messages.send(message).await.map_err(|_| Ended)
+    async fn send(&self, message: Message) -> Result<(), ServiceEnded> {
+        self.messages.send(message).await.map_err(|_| ServiceEnded)
     }
 
     /// Tells the core something.
-    pub async fn tell(&self, input: Input) -> Result<(), Ended> {
+    pub async fn notify(&self, input: Input) -> Result<(), ServiceEnded> {
         self.send(Message::Input(input)).await
     }
 
     /// Hands a request over; its number is given here.
-    pub async fn ask(&self, mut arrival: Arrival) -> Result<Asked, Ended> {
+    pub async fn submit(&self, mut arrival: IncomingRequest) -> Result<PendingResponse, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
         arrival.request = self.next.fetch_add(1, Ordering::Relaxed);
         let request = arrival.request;
-        self.send(Message::Ask(arrival, reply)).await?;
-        Ok(Asked { request, answer })
+        self.send(Message::Submit(arrival, reply)).await?;
+        Ok(PendingResponse { request, answer })
     }
 
     /// Sends a question, and waits for its answer.
-    async fn question<T>(&self, of: impl FnOnce(oneshot::Sender<T>) -> Message) -> Result<T, Ended> {
+    async fn query<T>(&self, of: impl FnOnce(oneshot::Sender<T>) -> Message) -> Result<T, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
         self.send(of(reply)).await?;
-        answer.await.map_err(|_| Ended)
+        answer.await.map_err(|_| ServiceEnded)
     }
 
     /// The state, as an operator sees it.
-    pub async fn inspect(&self) -> Result<Report, Ended> {
-        self.question(Message::Inspect).await
+    pub async fn inspect(&self) -> Result<Report, ServiceEnded> {
+        self.query(Message::Inspect).await
     }
 
     /// What is under way of these tenants.
-    pub async fn usage(&self, ids: Vec<TenantId>) -> Result<HashMap<TenantId, TenantReport>, Ended> {
-        self.question(|reply| Message::Usage(ids, reply)).await
+    pub async fn usage(&self, ids: Vec<TenantId>) -> Result<HashMap<TenantId, TenantReport>, ServiceEnded> {
+        self.query(|reply| Message::Usage(ids, reply)).await
     }
 
     /// How many requests are owed an answer.
-    pub async fn open(&self) -> Result<usize, Ended> {
-        self.question(Message::Open).await
+    pub async fn open_requests(&self) -> Result<usize, ServiceEnded> {
+        self.query(Message::OpenRequests).await
     }
 
     /// Whether most engines have answered something.
-    pub async fn heard(&self) -> Result<bool, Ended> {
-        self.question(Message::Heard).await
+    pub async fn engines_checked(&self) -> Result<bool, ServiceEnded> {
+        self.query(Message::EnginesChecked).await
     }
 
     /// What was learnt, for a process that takes over.
-    pub async fn learnt(&self) -> Result<Handover, Ended> {
-        self.question(Message::Learnt).await
+    pub async fn handover_state(&self) -> Result<HandoverState, ServiceEnded> {
+        self.query(Message::HandoverState).await
     }
 }
 
 /// Runs the service until every handle is gone.
-pub async fn run(mut core: Core, clock: Clock, mut queue: mpsc::Receiver<Message>, mut backs: Backs) {
+pub async fn run(
+    mut core: Core,
+    clock: Clock,
+    mut queue: mpsc::Receiver<Message>,
+    mut upstream: UpstreamPool,
+) {
     let mut replies: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
     let mut messages = Vec::with_capacity(TURN);
     let mut commands = Vec::new();
@@ -133,28 +138,28 @@
             match message {
                 Message::Input(input) => {
                     // A client that left takes no answer: its place goes with it.
-                    if let Input::Left(request) = &input {
+                    if let Input::ClientDisconnected(request) = &input {
                         replies.remove(request);
                     }
                     core.handle(now, input, &mut commands);
                 }
-                Message::Ask(arrival, reply) => {
+                Message::Submit(arrival, reply) => {
                     replies.insert(arrival.request, reply);
-                    core.handle(now, Input::Arrived(arrival), &mut commands);
+                    core.handle(now, Input::RequestReceived(arrival), &mut commands);
                 }
                 // Who asked may have left: nothing is owed then.
                 Message::Inspect(reply) => drop(reply.send(core.report(now))),
                 Message::Usage(ids, reply) => drop(reply.send(core.usage(&ids))),
-                Message::Open(reply) => drop(reply.send(core.open())),
-                Message::Heard(reply) => drop(reply.send(core.is_heard())),
-                Message::Learnt(reply) => drop(reply.send(core.learnt())),
+                Message::OpenRequests(reply) => drop(reply.send(core.open_requests())),
+                Message::EnginesChecked(reply) => drop(reply.send(core.engines_checked())),
+                Message::HandoverState(reply) => drop(reply.send(core.handover_state())),
             }
         }
         if now >= state_at {
             state_at = now + STATE_EVERY;
             log::info!("{}", core.state_line());
         }
-        core.handle(now, Input::Clock, &mut commands);
+        core.handle(now, Input::Tick, &mut commands);
         while !commands.is_empty() {
             let mut bounced = Vec::new();
             for command in commands.drain(..) {
@@ -165,7 +170,7 @@
                         }
                     }
                     Command::Log(text) => log::info!("module: {text}"),
-                    other => bounced.extend(backs.carry_out(other)),
+                    other => bounced.extend(upstream.carry_out(other)),
                 }
             }
             for input in bounced {
@@ -173,7 +178,7 @@
             }
         }
         // One answer for each request taken: whoever waits for one is in the core's table, and the other way round.
-        debug_assert_eq!(replies.len(), core.open());
+        debug_assert_eq!(replies.len(), core.open_requests());
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of one workload manager, from the platform's JSON to the module's terms.
 
 use crate::decision::{
-    ClassSettings, DedupScope, Effect, EngineTraits, KindId, KindSettings, Limits, MemoryShort, RetryBudget,
-    Rules, Settings, TenantSettings, ZoneId,
+    ClassSettings, DedupScope, Effect, EngineTraits, KindId, KindSettings, Limits, MemoryShortage,
+    RetryBudget, Rules, Settings, TenantSettings, ZoneId,
 };
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -254,9 +254,9 @@
         },
         engines: EngineTraits {
             when_short: match info.out_of_memory.as_deref() {
-                None | Some("queue") => MemoryShort::Wait,
-                Some("trim") => MemoryShort::Trim,
-                Some("swap") => MemoryShort::Page,
+                None | Some("queue") => MemoryShortage::Wait,
+                Some("trim") => MemoryShortage::Trim,
+                Some("swap") => MemoryShortage::Page,
                 Some(other) => return Err(format!("familyInfo.outOfMemory: unknown word {other:?}")),
             },
             grants: info.grants,
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -2,10 +2,10 @@
 //! written once a second while it serves. Off where the socket is the process's own, or `$TMPDIR` is not set.
 
 use crate::clock::{Clock, Micros};
-use crate::core::{Handover, Input};
-use crate::lifecycle::Lifeline;
-use crate::service::{Ended, Handle};
-use sanddyke_snapshot::Place;
+use crate::core::{HandoverState, Input};
+use crate::lifecycle::LifecycleHandle;
+use crate::service::{ServiceEnded, ServiceHandle};
+use sanddyke_snapshot::SnapshotFile;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -25,14 +25,14 @@
 const WORD_LASTS: Duration = Duration::from_secs(1);
 
 /// Where a process that leaves says how many connections it still has.
-pub fn leaving(name: &str) -> Option<Place> {
+pub fn leaving(name: &str) -> Option<SnapshotFile> {
     place(&format!("{name}-leaving"))
 }
 
 /// Says how many connections of clients this process still has, until it ends.
-pub async fn leave(place: Place, clock: Clock, life: Lifeline) {
+pub async fn leave(place: SnapshotFile, clock: Clock, lifecycle: LifecycleHandle) {
     loop {
-        let word = (life.connections() as u64).to_le_bytes();
+        let word = (lifecycle.connections() as u64).to_le_bytes();
         if let Err(error) = place.write(&word, clock.unix_ms()) {
             return log::warn!("handover: the next process is not told of open connections: {error}");
         }
@@ -42,16 +42,16 @@
 
 /// Tells the service how many of the connections that clients may have another process of this manager holds,
 /// for as long as this one does not leave itself: both count as one.
-pub async fn beside(place: Place, handle: Handle, clock: Clock, life: Lifeline) {
+pub async fn beside(place: SnapshotFile, handle: ServiceHandle, clock: Clock, lifecycle: LifecycleHandle) {
     let mut told = 0;
-    while !life.is_leaving() {
+    while !lifecycle.is_shutting_down() {
         // None, one that is old, and one that can't be read all say that nobody is there.
         let word = place.read(clock.unix_ms(), WORD_LASTS).ok().flatten();
         let word = word.and_then(|(bytes, _)| <[u8; 8]>::try_from(bytes).ok()).map_or(0, u64::from_le_bytes);
         let word = usize::try_from(word).unwrap_or(usize::MAX);
         if word != told {
             told = word;
-            if handle.tell(Input::Beside(word)).await.is_err() {
+            if handle.notify(Input::PeerProcessConnections(word)).await.is_err() {
                 return;
             }
         }
@@ -60,19 +60,19 @@
 }
 
 /// Where snapshots of a manager of this name are kept, if they are.
-pub fn place(name: &str) -> Option<Place> {
+pub fn place(name: &str) -> Option<SnapshotFile> {
     let folder = PathBuf::from(std::env::var_os("TMPDIR")?);
-    Some(Place::new(&folder, name))
+    Some(SnapshotFile::new(&folder, name))
 }
 
 /// Has the service go on from the snapshot that is there. One that can't be used costs one line in the log.
-pub async fn take(place: &Place, handle: &Handle, clock: &Clock) -> Result<(), Ended> {
-    if let Err(error) = place.sweep() {
+pub async fn take(place: &SnapshotFile, handle: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
+    if let Err(error) = place.remove_stale_parts() {
         log::warn!("handover: what was left aside stays: {error}");
     }
     let found = match place.read(clock.unix_ms(), OLDEST) {
         Ok(None) => return Ok(()),
-        Ok(Some((payload, age))) => serde_json::from_slice::<Handover>(&payload)
+        Ok(Some((payload, age))) => serde_json::from_slice::<HandoverState>(&payload)
             .map(|handover| (handover, age))
             .map_err(|error| error.to_string()),
         Err(unfit) => Err(unfit.to_string()),
@@ -83,7 +83,7 @@
             let ms = age.as_millis();
             log::info!("handover: goes on from {classes} classes and {engines} engines, {ms} ms old");
             let age = Micros(i64::try_from(age.as_micros()).unwrap_or(i64::MAX));
-            handle.tell(Input::Learnt(Box::new(handover), age)).await
+            handle.notify(Input::RestoreState(Box::new(handover), age)).await
         }
         Err(why) => {
             log::warn!("handover: a snapshot is left out: {why}");
@@ -93,12 +93,12 @@
 }
 
 /// Leaves snapshots until the program is about to end: from then on, they are the next one's to write.
-pub async fn keep(place: Place, handle: Handle, clock: Clock, life: Lifeline) {
+pub async fn keep(place: SnapshotFile, handle: ServiceHandle, clock: Clock, lifecycle: LifecycleHandle) {
     let mut well = true;
     loop {
         tokio::time::sleep(EVERY).await;
-        let Ok(handover) = handle.learnt().await else { return };
-        if life.is_leaving() {
+        let Ok(handover) = handle.handover_state().await else { return };
+        if lifecycle.is_shutting_down() {
             return;
         }
         let place = place.clone();
@@ -117,9 +117,9 @@
 }
 
 /// Waits until enough engines were heard, or it has taken too long.
-pub async fn heard(handle: &Handle, clock: &Clock) -> Result<(), Ended> {
+pub async fn heard(handle: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
     let until = clock.now() + HEARD_WITHIN;
-    while !handle.heard().await? {
+    while !handle.engines_checked().await? {
         if clock.now() >= until {
             log::warn!("most engines have said nothing yet: ready without their word");
             break;
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -1,7 +1,7 @@
 //! Who belongs to which tenant: by the database that a login names, or by a tenant's LDAP directory.
 
 use crate::tds::login::Login;
-use crate::tenants::Known;
+use crate::tenants::KnownTenants;
 use ldap3::{LdapConnAsync, LdapConnSettings, Scope, SearchEntry, dn_escape, ldap_escape};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone)]
 pub enum Directory {
     /// The login's database is the tenant, and the password is not heeded.
-    Database(Known),
+    Database(KnownTenants),
     /// A directory knows the user, and the tenant.
-    Ldap(Ldap, Known),
+    Ldap(Ldap, KnownTenants),
 }
 
 impl Directory {
--- a/src/tenants/known.rs
+++ b/src/tenants/known.rs
@@ -6,7 +6,7 @@
 
 /// Names that are taken.
 #[derive(Debug, Clone, Default)]
-pub struct Known(Arc<RwLock<Names>>);
+pub struct KnownTenants(Arc<RwLock<Names>>);
 
 #[derive(Debug, Default)]
 struct Names {
@@ -15,11 +15,11 @@
     names: HashSet<String>,
 }
 
-impl Known {
+impl KnownTenants {
     /// The settings' tenants; any name where there are none.
-    pub fn new(names: impl IntoIterator<Item = String>) -> Known {
+    pub fn new(names: impl IntoIterator<Item = String>) -> KnownTenants {
         let names: HashSet<String> = names.into_iter().collect();
-        Known(Arc::new(RwLock::new(Names { any: names.is_empty(), names })))
+        KnownTenants(Arc::new(RwLock::new(Names { any: names.is_empty(), names })))
     }
 
     /// Whether a name is a tenant's.
--- a/src/tenants/mod.rs
+++ b/src/tenants/mod.rs
@@ -1,18 +1,18 @@
-//! The tenants of a hosted service while it runs. The [`Keeper`] makes each change in this order: judge it,
+//! The tenants of a hosted service while it runs. The [`TenantService`] makes each change in this order: judge it,
 //! have it on the disk, take it over, tell the core and the fronts, and only then acknowledge it. One change is
 //! made at a time, and none is left half when whoever asked for it goes away.
 
 mod known;
 
-pub use known::Known;
+pub use known::KnownTenants;
 
 use crate::clock::Clock;
-use crate::core::{Input, TenantNews};
-use crate::service::{Ended, Handle};
-use sanddyke_authorization::{Grant, Token, Tokens, Unfit};
-use sanddyke_store::{AuditEntry, Commit, Creation, Done, Loaded, Store, StoreError};
+use crate::core::{Input, TenantUpdate};
+use crate::service::{ServiceEnded, ServiceHandle};
+use sanddyke_authorization::{Grant, GrantError, Token, Tokens};
+use sanddyke_store::{AuditAction, AuditEntry, Commit, Creation, Loaded, Store, StoreError};
 use sanddyke_tenancy::{
-    Change, Document, Generation, Plan, Record, Refusal, Registry, Subject, TenantId, shares,
+    Change, ChangeError, Document, Generation, Plan, Record, Registry, Subject, TenantId, shares,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::path::PathBuf;
@@ -32,10 +32,10 @@
 
 /// Why a change is not made.
 #[derive(Debug, Error)]
-pub enum Failure {
+pub enum TenantServiceError {
     /// The registry refuses it.
     #[error("{0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] ChangeError),
     /// It can't be kept.
     #[error("{0}")]
     Store(#[from] StoreError),
@@ -47,7 +47,7 @@
     KeyTaken,
     /// A grant that makes no sense.
     #[error("{0}")]
-    Grant(#[from] Unfit),
+    Grant(#[from] GrantError),
     /// No such token.
     #[error("no such token")]
     NoToken,
@@ -59,15 +59,15 @@
     Ended,
 }
 
-impl From<Ended> for Failure {
-    fn from(Ended: Ended) -> Failure {
-        Failure::Ended
+impl From<ServiceEnded> for TenantServiceError {
+    fn from(ServiceEnded: ServiceEnded) -> TenantServiceError {
+        TenantServiceError::Ended
     }
 }
 
 /// What to change, for whom, and on what condition.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct ChangeRequest {
     /// Who wants it: a token's id.
     pub who: String,
     /// What.
@@ -80,16 +80,16 @@
 
 /// What became of a wish.
 #[derive(Debug)]
-pub enum Made {
+pub enum ChangeOutcome {
     /// It was made now.
-    Now(Vec<Record>),
+    Applied(Vec<Record>),
     /// It had been made before under the same key: the name that was created.
-    Before(String),
+    AlreadyApplied(String),
 }
 
 /// A change as watchers see it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ChangeEvent {
     /// When (Unix time, ms).
     pub at_ms: u64,
     /// Who made it.
@@ -98,7 +98,7 @@
     pub record: Record,
 }
 
-/// What the keeper holds; read it by [`Keeper::read`].
+/// What the tenant_service holds; read it by [`TenantService::read`].
 #[derive(Debug, Default)]
 pub struct State {
     /// The tenants and groups.
@@ -109,17 +109,17 @@
     pub shares: BTreeMap<TenantId, f64>,
     creations: HashMap<String, Creation>,
     creation_order: VecDeque<String>,
-    recent: VecDeque<Seen>,
+    recent: VecDeque<ChangeEvent>,
 }
 
 /// Owns the tenants, and makes the changes.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct TenantService {
     state: Mutex<State>,
     store: Option<Arc<Store>>,
     backups: Option<PathBuf>,
-    handle: Handle,
-    known: Known,
+    handle: ServiceHandle,
+    known: KnownTenants,
     clock: Clock,
     latest: watch::Sender<Generation>,
 }
@@ -130,16 +130,16 @@
         group.map(|group| group.id)
     }
 
-    fn set(&self, id: TenantId) -> Option<TenantNews> {
+    fn set(&self, id: TenantId) -> Option<TenantUpdate> {
         let tenant = self.registry.by_id(id)?;
         let share = self.shares.get(&id).copied().unwrap_or(0.0);
         let (tenant, group) = (Box::new(tenant.clone()), self.group_id(tenant));
-        Some(TenantNews::Set { tenant, share, group })
+        Some(TenantUpdate::Set { tenant, share, group })
     }
 
     /// Takes over what was planned; gives the news for the core: removals first, so that a name which is added
     /// again in the same change is the new tenant's.
-    fn take_over(&mut self, plan: Plan, who: &str, at_ms: u64) -> Vec<TenantNews> {
+    fn take_over(&mut self, plan: Plan, who: &str, at_ms: u64) -> Vec<TenantUpdate> {
         let old = (std::mem::replace(&mut self.registry, Arc::new(plan.after)), plan.shares);
         let old = (old.0, std::mem::replace(&mut self.shares, old.1));
         // Some thousand tenants take a while to free.
@@ -148,11 +148,11 @@
         touched.sort_unstable();
         touched.dedup();
         let gone = touched.iter().filter(|id| self.registry.by_id(**id).is_none());
-        let mut news: Vec<TenantNews> = gone.map(|id| TenantNews::Removed(*id)).collect();
+        let mut news: Vec<TenantUpdate> = gone.map(|id| TenantUpdate::Removed(*id)).collect();
         news.extend(touched.iter().filter_map(|id| self.set(*id)));
         let moved = plan.moved.into_iter().filter(|(id, _)| touched.binary_search(id).is_err());
-        news.extend(moved.map(|(id, (_, share))| TenantNews::Share { id, share }));
-        let seen = |record| Seen { at_ms, who: who.to_owned(), record };
+        news.extend(moved.map(|(id, (_, share))| TenantUpdate::Share { id, share }));
+        let seen = |record| ChangeEvent { at_ms, who: who.to_owned(), record };
         self.recent.extend(plan.records.into_iter().map(seen));
         self.recent.drain(..self.recent.len().saturating_sub(RECENT));
         news
@@ -161,8 +161,8 @@
     /// What the audit trail tells of earlier runs, the newest first: watchers resume across a start.
     fn remember(&mut self, entries: Vec<AuditEntry>) {
         for entry in entries {
-            if let Done::Registry { record } = entry.what {
-                self.recent.push_front(Seen { at_ms: entry.at_ms, who: entry.who, record: *record });
+            if let AuditAction::Registry { record } = entry.what {
+                self.recent.push_front(ChangeEvent { at_ms: entry.at_ms, who: entry.who, record: *record });
             }
         }
     }
@@ -177,7 +177,7 @@
     }
 
     /// Changes after a generation, the oldest first; `None` where those are no longer at hand.
-    pub fn since(&self, after: Generation) -> Option<impl Iterator<Item = &Seen>> {
+    pub fn since(&self, after: Generation) -> Option<impl Iterator<Item = &ChangeEvent>> {
         let first =
             self.recent.front().map_or(self.registry.generation().0 + 1, |seen| seen.record.generation.0);
         let known = after.0 + 1 >= first && after <= self.registry.generation();
@@ -185,23 +185,23 @@
     }
 }
 
-impl Keeper {
-    /// A keeper of what a store held, or of the settings' tenants where there is no store: those can't be
+impl TenantService {
+    /// A tenant_service of what a store held, or of the settings' tenants where there is no store: those can't be
     /// changed. A store that is new begins with the settings' tenants.
     pub async fn start(
         held: Option<(Store, Loaded)>,
         settings: &Document,
         backups: Option<PathBuf>,
-        handle: Handle,
-        known: Known,
+        handle: ServiceHandle,
+        known: KnownTenants,
         clock: Clock,
-    ) -> Result<Arc<Keeper>, Failure> {
+    ) -> Result<Arc<TenantService>, TenantServiceError> {
         let hosted = held.is_some();
         let mut state = State::default();
         let (mut first, mut store) = (true, None);
         if let Some((opened, loaded)) = held {
             state.remember(
-                opened.audit(u64::MAX, RECENT, |entry| matches!(entry.what, Done::Registry { .. }))?,
+                opened.audit(u64::MAX, RECENT, |entry| matches!(entry.what, AuditAction::Registry { .. }))?,
             );
             first = loaded.is_new || loaded.registry.generation() == Generation(0);
             (state.registry, state.tokens) = (Arc::new(loaded.registry), loaded.tokens);
@@ -226,10 +226,10 @@
         if hosted {
             known.replace(state.registry.tenants().map(|tenant| tenant.name.clone()));
             let news = state.registry.tenants().filter_map(|tenant| state.set(tenant.id)).collect();
-            handle.tell(Input::Tenants(news)).await?;
+            handle.notify(Input::Tenants(news)).await?;
         }
         let state = Mutex::new(state);
-        Ok(Arc::new(Keeper { state, store, backups, handle, known, clock, latest }))
+        Ok(Arc::new(TenantService { state, store, backups, handle, known, clock, latest }))
     }
 
     /// Reads what is there now.
@@ -243,7 +243,7 @@
     }
 
     /// What a wish would do.
-    pub async fn plan(&self, wish: &Wish) -> Result<Plan, Failure> {
+    pub async fn plan(&self, wish: &ChangeRequest) -> Result<Plan, TenantServiceError> {
         let (registry, wish) = (self.read(|state| state.registry.clone()).await, wish.clone());
         aside(move || {
             if let Some((subject, expected)) = &wish.expected {
@@ -256,14 +256,14 @@
 
     /// Makes a change. It goes on to its end when the caller does not wait for it any more: what is on the disk
     /// is always what the core is told.
-    pub async fn change(self: &Arc<Self>, wish: Wish) -> Result<Made, Failure> {
-        let keeper = self.clone();
-        let made = tokio::spawn(async move { keeper.make(wish).await }).await;
-        made.unwrap_or(Err(Failure::Ended))
+    pub async fn change(self: &Arc<Self>, wish: ChangeRequest) -> Result<ChangeOutcome, TenantServiceError> {
+        let tenant_service = self.clone();
+        let made = tokio::spawn(async move { tenant_service.make(wish).await }).await;
+        made.unwrap_or(Err(TenantServiceError::Ended))
     }
 
-    async fn make(&self, wish: Wish) -> Result<Made, Failure> {
-        let store = self.store.clone().ok_or(Failure::NoStore)?;
+    async fn make(&self, wish: ChangeRequest) -> Result<ChangeOutcome, TenantServiceError> {
+        let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         let mut state = self.state.lock().await;
         let now = self.clock.unix_ms();
         let key = wish.key.map(|(key, asked)| (format!("{} {key}", wish.who), asked));
@@ -271,8 +271,8 @@
             && let Some(before) = state.creations.get(key).filter(|before| now < before.until_ms)
         {
             return match before.asked == *asked {
-                true => Ok(Made::Before(before.name.clone())),
-                false => Err(Failure::KeyTaken),
+                true => Ok(ChangeOutcome::AlreadyApplied(before.name.clone())),
+                false => Err(TenantServiceError::KeyTaken),
             };
         }
         if let Some((subject, expected)) = &wish.expected {
@@ -307,11 +307,11 @@
         let mut news = news.into_iter().peekable();
         while news.peek().is_some() {
             // A change that moves everyone's share is told in parts, between which requests are served.
-            self.handle.tell(Input::Tenants(news.by_ref().take(NEWS_AT_ONCE).collect())).await?;
+            self.handle.notify(Input::Tenants(news.by_ref().take(NEWS_AT_ONCE).collect())).await?;
             tokio::task::yield_now().await;
         }
         self.latest.send_replace(state.registry.generation());
-        Ok(Made::Now(records))
+        Ok(ChangeOutcome::Applied(records))
     }
 
     /// Waits until there is a change after a generation, or the time is up.
@@ -322,7 +322,11 @@
     }
 
     /// Makes a token; gives it with its secret, which nobody is told again.
-    pub async fn issue(self: &Arc<Self>, who: &str, grant: Grant) -> Result<(Token, String), Failure> {
+    pub async fn issue(
+        self: &Arc<Self>,
+        who: &str,
+        grant: Grant,
+    ) -> Result<(Token, String), TenantServiceError> {
         let now = self.clock.unix_ms();
         grant.check(now)?;
         let (token, secret) = Tokens::issue(grant, now, random());
@@ -336,16 +340,17 @@
         who: &str,
         id: &str,
         overlap_ms: u64,
-    ) -> Result<(Token, String), Failure> {
-        let old = self.read(|state| state.tokens.get(id).cloned()).await.ok_or(Failure::NoToken)?;
+    ) -> Result<(Token, String), TenantServiceError> {
+        let old =
+            self.read(|state| state.tokens.get(id).cloned()).await.ok_or(TenantServiceError::NoToken)?;
         let (token, secret) = Tokens::rotate(&old, self.clock.unix_ms(), overlap_ms, random());
         self.put(who, id, Some(token.clone()), "rotated").await?;
         Ok((token, secret))
     }
 
     /// Takes a token back.
-    pub async fn revoke(self: &Arc<Self>, who: &str, id: &str) -> Result<(), Failure> {
-        self.read(|state| state.tokens.get(id).map(drop)).await.ok_or(Failure::NoToken)?;
+    pub async fn revoke(self: &Arc<Self>, who: &str, id: &str) -> Result<(), TenantServiceError> {
+        self.read(|state| state.tokens.get(id).map(drop)).await.ok_or(TenantServiceError::NoToken)?;
         self.put(who, id, None, "removed").await
     }
 
@@ -355,24 +360,24 @@
         id: &str,
         token: Option<Token>,
         how: &'static str,
-    ) -> Result<(), Failure> {
-        let (keeper, who, id) = (self.clone(), who.to_owned(), id.to_owned());
+    ) -> Result<(), TenantServiceError> {
+        let (tenant_service, who, id) = (self.clone(), who.to_owned(), id.to_owned());
         let made = tokio::spawn(async move {
-            let store = keeper.store.clone().ok_or(Failure::NoStore)?;
-            let mut state = keeper.state.lock().await;
+            let store = tenant_service.store.clone().ok_or(TenantServiceError::NoStore)?;
+            let mut state = tenant_service.state.lock().await;
             let mut tokens = state.tokens.clone();
             match &token {
                 Some(token) => tokens.put(token.clone())?,
                 None => drop(tokens.remove(&id)),
             }
-            let now = keeper.clock.unix_ms();
+            let now = tenant_service.clock.unix_ms();
             let commit = Commit::token(&who, now, &state.registry, &id, token, how);
             aside(move || Ok(store.commit(&commit)?)).await?;
             log::info!(who = who.as_str(), token = id.as_str(); "admin: a token was {how}");
             state.tokens = tokens;
             Ok(())
         });
-        made.await.unwrap_or(Err(Failure::Ended))
+        made.await.unwrap_or(Err(TenantServiceError::Ended))
     }
 
     /// Entries of the audit trail before a number, the newest first.
@@ -381,15 +386,15 @@
         before: u64,
         most: usize,
         fits: impl Fn(&AuditEntry) -> bool + Send + 'static,
-    ) -> Result<Vec<AuditEntry>, Failure> {
-        let store = self.store.clone().ok_or(Failure::NoStore)?;
+    ) -> Result<Vec<AuditEntry>, TenantServiceError> {
+        let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         aside(move || Ok(store.audit(before, most, fits)?)).await
     }
 
     /// Writes a backup into the folder for them; gives its path.
-    pub async fn backup(&self) -> Result<PathBuf, Failure> {
-        let store = self.store.clone().ok_or(Failure::NoStore)?;
-        let folder = self.backups.clone().ok_or(Failure::NoBackups)?;
+    pub async fn backup(&self) -> Result<PathBuf, TenantServiceError> {
+        let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
+        let folder = self.backups.clone().ok_or(TenantServiceError::NoBackups)?;
         let generation = self.read(|state| state.registry.generation().0).await;
         let path = folder.join(format!("sanddyke-{}-{generation}.redb", self.clock.unix_ms()));
         let to = path.clone();
@@ -399,17 +404,17 @@
     }
 
     /// Writes a backup under a name that is taken once, whoever of a fleet comes first: false where it was taken.
-    pub async fn backup_as(&self, name: &str, turn: u64) -> Result<bool, Failure> {
-        let store = self.store.clone().ok_or(Failure::NoStore)?;
-        let to = self.backups.clone().ok_or(Failure::NoBackups)?.join(name);
+    pub async fn backup_as(&self, name: &str, turn: u64) -> Result<bool, TenantServiceError> {
+        let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
+        let to = self.backups.clone().ok_or(TenantServiceError::NoBackups)?.join(name);
         aside(move || Ok(store.backup_once(&to, turn)?)).await
     }
 }
 
 /// Runs what takes long, or waits for the disk, on a thread of its own: the service goes on meanwhile.
 async fn aside<T: Send + 'static>(
-    run: impl FnOnce() -> Result<T, Failure> + Send + 'static,
-) -> Result<T, Failure> {
+    run: impl FnOnce() -> Result<T, TenantServiceError> + Send + 'static,
+) -> Result<T, TenantServiceError> {
     let ran = tokio::task::spawn_blocking(run).await;
     ran.unwrap_or_else(|error| Err(StoreError::Write(error.to_string()).into()))
 }
--- a/src/upstream/line_protocol/connection.rs
+++ b/src/upstream/line_protocol/connection.rs
@@ -2,10 +2,10 @@
 
 use super::parse::{self, Line, Word};
 use crate::clock::Micros;
-use crate::core::{AttemptNews, Call, ConnectionEnd, Row, Table};
+use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
 use crate::decision::{LoadReport, Usage};
-use crate::service::Ended;
-use crate::upstream::{AttemptId, Collected, Order, Uplink, failed_connect, failed_io};
+use crate::service::ServiceEnded;
+use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, ResultBudget, failed_connect, failed_io};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
@@ -27,7 +27,7 @@
     heard: Micros,
     pages: Vec<Option<Bytes>>,
     /// Its bytes so far, as they count in all that is collected.
-    bytes: Collected,
+    bytes: ResultBudget,
     usage: Option<Usage>,
     report: Option<LoadReport>,
 }
@@ -41,7 +41,7 @@
 }
 
 struct State {
-    uplink: Uplink,
+    context: EndpointContext,
     carried: HashMap<String, Carried>,
     probes: HashMap<String, Micros>,
     /// Attempts whose stop the engine has not shown to have read, by the tag whose answer will show it.
@@ -73,28 +73,28 @@
     Service,
 }
 
-impl From<Ended> for Over {
-    fn from(_: Ended) -> Over {
+impl From<ServiceEnded> for Over {
+    fn from(_: ServiceEnded) -> Over {
         Over::Service
     }
 }
 
 /// Opens a connection and carries what is ordered on it, until it ends.
 pub async fn run(
-    uplink: Uplink,
+    context: EndpointContext,
     address: SocketAddr,
-    mut orders: mpsc::Receiver<Order>,
+    mut commands: mpsc::Receiver<EndpointCommand>,
     count: Arc<AtomicUsize>,
 ) {
-    let connecting = tokio::time::timeout(uplink.limits.connect_timeout, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(context.limits.connect_timeout, TcpStream::connect(address));
     let stream = match connecting.await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => Err(failed_connect(&error)),
-        Err(_) => Err(ConnectionEnd::NotUp),
+        Err(_) => Err(ConnectionEnd::ConnectTimeout),
     };
-    let now = uplink.clock.now();
+    let now = context.clock.now();
     let mut state = State {
-        uplink,
+        context,
         carried: HashMap::new(),
         probes: HashMap::new(),
         stops: HashMap::new(),
@@ -111,7 +111,7 @@
         part_since: None,
     };
     let (over, unwritten) = match stream {
-        Ok(stream) => (state.carry(stream, &mut orders).await, ConnectionEnd::NeverWritten),
+        Ok(stream) => (state.carry(stream, &mut commands).await, ConnectionEnd::NeverWritten),
         Err(end) => (Over::Connection(end), end),
     };
     let end = match over {
@@ -123,39 +123,39 @@
         log::warn!("engine at {address}: connection ended ({end:?}) with {} out", state.carried.len());
     }
     // What was written may have run; what still waits, or is there in part, never did.
-    orders.close();
-    let now = state.uplink.clock.now();
+    commands.close();
+    let now = state.context.clock.now();
     if let Some(partial) = state.partial.take() {
         state.carried.remove(&partial.name);
         state.never_written.push(partial.attempt);
     }
     state.never_written.extend(state.waiting.drain(..).map(|(attempt, _)| attempt));
     for attempt in state.never_written {
-        if state.uplink.ended(attempt, ConnectionEnd::NeverWritten).await.is_err() {
+        if state.context.ended(attempt, ConnectionEnd::NeverWritten).await.is_err() {
             return;
         }
     }
     let carried = state.carried.drain().map(|(_, carried)| carried.attempt);
     let lost: Vec<AttemptId> = carried.chain(state.stops.drain().map(|(_, attempt)| attempt)).collect();
     for attempt in lost {
-        if state.uplink.ended(attempt, end).await.is_err() {
+        if state.context.ended(attempt, end).await.is_err() {
             return;
         }
     }
     for (_, sent) in state.probes.drain() {
-        if state.uplink.probed(end, None, now - sent).await.is_err() {
+        if state.context.probed(end, None, now - sent).await.is_err() {
             return;
         }
     }
-    while let Some(order) = orders.recv().await {
-        if state.uplink.unwritten(order, unwritten).await.is_err() {
+    while let Some(command) = commands.recv().await {
+        if state.context.unwritten(command, unwritten).await.is_err() {
             return;
         }
     }
 }
 
 impl State {
-    async fn carry(&mut self, stream: TcpStream, orders: &mut mpsc::Receiver<Order>) -> Over {
+    async fn carry(&mut self, stream: TcpStream, commands: &mut mpsc::Receiver<EndpointCommand>) -> Over {
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!("no delay: {error}");
         }
@@ -164,16 +164,16 @@
         loop {
             self.begin();
             for attempt in std::mem::take(&mut self.never_written) {
-                if let Err(ended) = self.uplink.ended(attempt, ConnectionEnd::NeverWritten).await {
+                if let Err(ended) = self.context.ended(attempt, ConnectionEnd::NeverWritten).await {
                     return ended.into();
                 }
             }
             if self.owes() {
-                self.owes_since.get_or_insert(self.uplink.clock.now());
+                self.owes_since.get_or_insert(self.context.clock.now());
             }
             match self.unwritten.is_empty() {
                 true => self.unread_since = None,
-                false => _ = self.unread_since.get_or_insert(self.uplink.clock.now()),
+                false => _ = self.unread_since.get_or_insert(self.context.clock.now()),
             }
             let wake = self.next_wake();
             tokio::select! {
@@ -185,7 +185,7 @@
                         Ok(_) => None,
                         Err(error) => Some(failed_io(&error)),
                     };
-                    self.heard = self.uplink.clock.now();
+                    self.heard = self.context.clock.now();
                     self.owes_since = None;
                     if let Err(over) = self.take(&mut received).await {
                         return over;
@@ -194,14 +194,14 @@
                         return Over::Connection(end);
                     }
                 }
-                order = orders.recv() => match order {
-                    Some(order) => {
-                        let (now, mut next) = (self.uplink.clock.now(), Some(order));
-                        while let Some(order) = next {
-                            if let Err(over) = self.order(order, now) {
+                command = commands.recv() => match command {
+                    Some(command) => {
+                        let (now, mut next) = (self.context.clock.now(), Some(command));
+                        while let Some(command) = next {
+                            if let Err(over) = self.command(command, now) {
                                 return over;
                             }
-                            next = orders.try_recv().ok();
+                            next = commands.try_recv().ok();
                         }
                     }
                     None => return Over::Service,
@@ -223,7 +223,7 @@
     }
 
     fn next_wake(&self) -> Instant {
-        let limits = &self.uplink.limits;
+        let limits = &self.context.limits;
         let probes = self.probes.values().map(|sent| *sent + limits.probe_timeout);
         let told = self.carried.values().filter(|_| limits.reports_progress);
         let unheard = told.map(|carried| carried.heard + limits.silent_after);
@@ -234,7 +234,7 @@
             .chain(part)
             .min()
             .unwrap_or(self.used + limits.idle_after);
-        self.uplink.clock.instant(at)
+        self.context.clock.instant(at)
     }
 
     fn is_busy(&self) -> bool {
@@ -246,36 +246,36 @@
 
     /// Whether the engine owes word.
     fn owes(&self) -> bool {
-        let tells = self.uplink.limits.reports_progress && !self.carried.is_empty();
+        let tells = self.context.limits.reports_progress && !self.carried.is_empty();
         tells || !(self.probes.is_empty() && self.stops.is_empty())
     }
 
     /// An engine that owes word sends some all the time; one that does not is cut off or stands still.
     fn silent_at(&self) -> Option<Micros> {
         let since = self.owes_since.into_iter().chain(self.unread_since).min();
-        since.map(|since| since + self.uplink.limits.silent_after)
+        since.map(|since| since + self.context.limits.silent_after)
     }
 
-    /// Carries an order out.
-    fn order(&mut self, order: Order, now: Micros) -> Result<(), Over> {
+    /// Carries an command out.
+    fn command(&mut self, command: EndpointCommand, now: Micros) -> Result<(), Over> {
         self.used = now;
-        match order {
-            Order::Launch(attempt, call) => self.waiting.push_back((attempt, call)),
-            Order::Halt(attempt, confirm) => self.halt(attempt, confirm)?,
-            Order::Rank(attempt, priority) => {
+        match command {
+            EndpointCommand::Start(attempt, call) => self.waiting.push_back((attempt, call)),
+            EndpointCommand::Cancel(attempt, confirm) => self.halt(attempt, confirm)?,
+            EndpointCommand::SetPriority(attempt, priority) => {
                 let waiting = self.waiting.iter_mut().filter(|(waiting, _)| *waiting == attempt);
                 waiting.for_each(|(_, call)| call.priority = priority);
                 if let Some(name) = self.name_of(attempt) {
                     self.line(format_args!("NICE {name} {priority}\r\n"));
                 }
             }
-            Order::Probe => {
+            EndpointCommand::HealthCheck => {
                 self.probe_count += 1;
                 let tag = format!("p{}", self.probe_count);
                 self.line(format_args!("STAT {tag}\r\n"));
                 self.probes.insert(tag, now);
             }
-            Order::Address(_) => {}
+            EndpointCommand::Address(_) => {}
         }
         Ok(())
     }
@@ -286,7 +286,7 @@
         while self.unwritten.is_empty()
             && let Some((attempt, call)) = self.waiting.pop_front()
         {
-            let now = self.uplink.clock.now();
+            let now = self.context.clock.now();
             match call.cancel_token.is_cancelled(now) {
                 true => self.unbegun(attempt),
                 false => self.launch(attempt, call, now),
@@ -353,7 +353,7 @@
         ));
         let bytes = self.unwritten.len();
         self.partial = Some(PartialWrite { name: name.clone(), attempt, bytes, left: bytes });
-        let bytes = self.uplink.collect();
+        let bytes = self.context.collect();
         let (pages, usage, report) = (Vec::new(), None, None);
         self.carried.insert(name, Carried { attempt, heard: now, bytes, pages, usage, report });
     }
@@ -390,7 +390,7 @@
                 }
                 Err(error) => {
                     log::warn!("an engine's line can't be used, its connection ends: {error}");
-                    return Err(Over::Connection(ConnectionEnd::Garbled));
+                    return Err(Over::Connection(ConnectionEnd::Malformed));
                 }
             }
         }
@@ -403,10 +403,10 @@
                 Word::Full => ConnectionEnd::AnsweredFull,
                 _ => ConnectionEnd::AnsweredError,
             };
-            return Ok(self.uplink.probed(end, line.fields.report, self.heard - sent).await?);
+            return Ok(self.context.probed(end, line.fields.report, self.heard - sent).await?);
         }
         if let Some(attempt) = self.stops.remove(&line.id) {
-            return Ok(self.uplink.ended(attempt, ConnectionEnd::GivenUp).await?);
+            return Ok(self.context.ended(attempt, ConnectionEnd::Cancelled).await?);
         }
         // Word of what was given up crosses its stop: it is not heard.
         let Some(carried) = self.carried.get_mut(&line.id) else { return Ok(()) };
@@ -415,7 +415,7 @@
         match line.word {
             Word::Status => {
                 if let Some(note) = line.fields.note {
-                    self.uplink.news(attempt, AttemptNews::Note(note)).await?;
+                    self.context.news(attempt, AttemptEvent::Note(note)).await?;
                 }
             }
             Word::Ok | Word::Chunk => return self.page(line).await,
@@ -426,7 +426,7 @@
                     Word::Over => ConnectionEnd::AnsweredOver,
                     _ => ConnectionEnd::AnsweredError,
                 };
-                self.uplink.news(attempt, AttemptNews::Ended { end, report: line.fields.report }).await?;
+                self.context.news(attempt, AttemptEvent::Ended { end, report: line.fields.report }).await?;
             }
         }
         Ok(())
@@ -448,7 +448,7 @@
         };
         let Some(place) = carried.pages.get_mut(number) else {
             log::warn!("an engine sent a page that nobody asked for: the connection ends");
-            return Err(Over::Connection(ConnectionEnd::Garbled));
+            return Err(Over::Connection(ConnectionEnd::Malformed));
         };
         if place.is_some() {
             // Guards against a second copy: dropped, and what else the connection carries lives on.
@@ -457,9 +457,9 @@
         }
         // A copy of its own: a piece of what was received would keep the whole of it.
         *place = Some(Bytes::copy_from_slice(&line.body));
-        if !carried.bytes.add(line.body.len(), self.uplink.limits.collected) {
+        if !carried.bytes.add(line.body.len(), self.context.limits.collected) {
             log::warn!("a result is too long: request {} is given up there", line.id);
-            return self.give_up(&line.id, ConnectionEnd::Unheard).await;
+            return self.give_up(&line.id, ConnectionEnd::RequestSilent).await;
         }
         let pages = carried.pages.len();
         if first {
@@ -478,13 +478,13 @@
                 Ok(pages) => pages.into_iter().flatten().collect(),
                 Err(error) => {
                     log::warn!("an engine's page can't be used, its connection ends: {error}");
-                    self.uplink.ended(attempt, ConnectionEnd::Garbled).await?;
-                    return Err(Over::Connection(ConnectionEnd::Garbled));
+                    self.context.ended(attempt, ConnectionEnd::Malformed).await?;
+                    return Err(Over::Connection(ConnectionEnd::Malformed));
                 }
             };
             let table = Table { columns: Vec::new(), rows };
-            let news = AttemptNews::Served { table, usage: carried.usage, report: carried.report };
-            self.uplink.news(attempt, news).await?;
+            let news = AttemptEvent::Served { table, usage: carried.usage, report: carried.report };
+            self.context.news(attempt, news).await?;
         }
         Ok(())
     }
@@ -492,21 +492,21 @@
     /// Stops a request here whose answer is of no more use; the others go on.
     async fn give_up(&mut self, name: &str, end: ConnectionEnd) -> Result<(), Over> {
         if let Some(carried) = self.stop(name) {
-            self.uplink.ended(carried.attempt, end).await?;
+            self.context.ended(carried.attempt, end).await?;
         }
         Ok(())
     }
 
     async fn time_passed(&mut self) -> Result<(), Over> {
-        let now = self.uplink.clock.now();
-        let limits = &self.uplink.limits;
+        let now = self.context.clock.now();
+        let limits = &self.context.limits;
         if self.silent_at().is_some_and(|at| now >= at) {
             return Err(Over::Connection(ConnectionEnd::Silent));
         }
         // Guards against an answer that stops short, or trickles: nothing behind it can be read any more.
         if self.part_since.is_some_and(|since| now >= since + limits.line_within) {
             log::warn!("an engine's line does not end, its connection ends");
-            return Err(Over::Connection(ConnectionEnd::Garbled));
+            return Err(Over::Connection(ConnectionEnd::Malformed));
         }
         // Guards against an answer, or a page, that never comes: the request may go elsewhere before its end.
         let told = self.carried.iter().filter(|_| limits.reports_progress);
@@ -514,9 +514,9 @@
         let unheard: Vec<String> = unheard.map(|(name, _)| name.clone()).collect();
         for name in unheard {
             log::warn!("an engine says no more of request {name}: given up there");
-            self.give_up(&name, ConnectionEnd::Unheard).await?;
+            self.give_up(&name, ConnectionEnd::RequestSilent).await?;
         }
-        let limits = &self.uplink.limits;
+        let limits = &self.context.limits;
         if !self.is_busy() && now >= self.used + limits.idle_after {
             return Err(Over::Idle);
         }
@@ -528,7 +528,7 @@
             .collect();
         for tag in late {
             if let Some(sent) = self.probes.remove(&tag) {
-                self.uplink.probed(ConnectionEnd::TimedOut, None, now - sent).await?;
+                self.context.probed(ConnectionEnd::TimedOut, None, now - sent).await?;
             }
         }
         Ok(())
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -5,7 +5,7 @@
 
 pub use parse::load_report;
 
-use super::{Order, Uplink};
+use super::{EndpointCommand, EndpointContext};
 use crate::core::ConnectionEnd;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,58 +19,68 @@
 
 #[derive(Debug)]
 struct Connection {
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<EndpointCommand>,
     carried: Arc<AtomicUsize>,
     /// The engine has moved: what is out here may still end here, but nothing new is sent.
     retired: bool,
 }
 
 /// Runs an engine's connections until the service ends.
-pub async fn run(uplink: Uplink, mut address: SocketAddr, mut orders: mpsc::Receiver<Order>) {
+pub async fn run(
+    context: EndpointContext,
+    mut address: SocketAddr,
+    mut commands: mpsc::Receiver<EndpointCommand>,
+) {
     let mut connections: Vec<Connection> = Vec::new();
-    while let Some(order) = orders.recv().await {
-        connections.retain(|connection| !connection.orders.is_closed());
-        match order {
-            Order::Address(new) if new != address => {
+    while let Some(command) = commands.recv().await {
+        connections.retain(|connection| !connection.commands.is_closed());
+        match command {
+            EndpointCommand::Address(new) if new != address => {
                 address = new;
                 connections.iter_mut().for_each(|connection| connection.retired = true);
             }
-            Order::Address(_) => {}
+            EndpointCommand::Address(_) => {}
             // Which connection carries it is known there alone; the others pass it over.
-            Order::Halt(..) | Order::Rank(..) => {
+            EndpointCommand::Cancel(..) | EndpointCommand::SetPriority(..) => {
                 for connection in &connections {
-                    let copy = match &order {
-                        Order::Halt(attempt, confirm) => Order::Halt(*attempt, *confirm),
-                        Order::Rank(attempt, priority) => Order::Rank(*attempt, *priority),
+                    let copy = match &command {
+                        EndpointCommand::Cancel(attempt, confirm) => {
+                            EndpointCommand::Cancel(*attempt, *confirm)
+                        }
+                        EndpointCommand::SetPriority(attempt, priority) => {
+                            EndpointCommand::SetPriority(*attempt, *priority)
+                        }
                         _ => continue,
                     };
-                    if connection.orders.try_send(copy).is_err() {
-                        log::warn!("engine at {address}: a connection takes no more orders");
+                    if connection.commands.try_send(copy).is_err() {
+                        log::warn!("engine at {address}: a connection takes no more commands");
                     }
                 }
             }
-            Order::Launch(..) | Order::Probe => {
+            EndpointCommand::Start(..) | EndpointCommand::HealthCheck => {
                 // What ends a connection takes all that it carries with it: few are put on one.
                 let load = |one: &Connection| one.carried.load(Ordering::Relaxed);
-                let room = |one: &&Connection| !one.retired && load(one) < uplink.limits.streams;
+                let room = |one: &&Connection| !one.retired && load(one) < context.limits.streams;
                 let light = |one: &Connection| room(&one) && load(one) < LIGHT;
-                if !connections.iter().any(light) && connections.len() < uplink.limits.connections {
+                if !connections.iter().any(light) && connections.len() < context.limits.connections {
                     let (sender, queue) = mpsc::channel(QUEUE);
                     let carried = Arc::new(AtomicUsize::new(0));
-                    tokio::spawn(connection::run(uplink.clone(), address, queue, carried.clone()));
-                    connections.push(Connection { orders: sender, carried, retired: false });
+                    tokio::spawn(connection::run(context.clone(), address, queue, carried.clone()));
+                    connections.push(Connection { commands: sender, carried, retired: false });
                 }
                 let target = connections.iter().filter(room).min_by_key(|one| load(one));
-                let launch = matches!(order, Order::Launch(..));
+                let launch = matches!(command, EndpointCommand::Start(..));
                 let unsent = match target {
-                    Some(connection) => connection.orders.try_send(order).err().map(|full| full.into_inner()),
-                    None => Some(order),
+                    Some(connection) => {
+                        connection.commands.try_send(command).err().map(|full| full.into_inner())
+                    }
+                    None => Some(command),
                 };
                 if let (Some(connection), None, true) = (target, &unsent, launch) {
                     connection.carried.fetch_add(1, Ordering::Relaxed);
                 }
-                if let Some(order) = unsent
-                    && uplink.unwritten(order, ConnectionEnd::NeverWritten).await.is_err()
+                if let Some(command) = unsent
+                    && context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
                 {
                     return;
                 }
--- a/src/upstream/line_protocol/parse.rs
+++ b/src/upstream/line_protocol/parse.rs
@@ -1,7 +1,7 @@
 //! An engine's lines, read by winnow: `ID WORD FIELDS [LENGTH]`, and a body of that length.
 
 use crate::core::Row;
-use crate::decision::{LoadReport, Note, Usage};
+use crate::decision::{AttemptNote, LoadReport, Usage};
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
 use thiserror::Error;
@@ -82,7 +82,7 @@
     /// The number of this one.
     pub sheet: Option<u32>,
     /// A note.
-    pub note: Option<Note>,
+    pub note: Option<AttemptNote>,
     /// What it needed.
     pub usage: Option<Usage>,
     /// The engine's load.
@@ -132,10 +132,10 @@
     let count = |name: &str| find(name).map(whole);
     let amount = find("val").and_then(number).unwrap_or(0.0);
     let note = match find("n") {
-        Some("share") => Some(Note::Progress(amount)),
-        Some("short") => Some(Note::Spills(amount)),
-        Some("held") if amount == 2.0 => Some(Note::WaitsForLoad),
-        Some("held") => Some(Note::WaitsForMemory),
+        Some("share") => Some(AttemptNote::Progress(amount)),
+        Some("short") => Some(AttemptNote::Spills(amount)),
+        Some("held") if amount == 2.0 => Some(AttemptNote::WaitsForLoad),
+        Some("held") => Some(AttemptNote::WaitsForMemory),
         _ => None,
     };
     let usage = find("toil")
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -4,9 +4,9 @@
 pub mod tds;
 
 use crate::clock::{Clock, Micros};
-use crate::core::{AttemptNews, Call, Command, ConnectionEnd, Input};
+use crate::core::{AttemptEvent, Call, Command, ConnectionEnd, Input};
 use crate::decision::{EngineState, LoadReport};
-use crate::service::{Ended, Handle};
+use crate::service::{ServiceEnded, ServiceHandle};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,31 +25,31 @@
 
 /// What an engine's task is told.
 #[derive(Debug)]
-pub enum Order {
+pub enum EndpointCommand {
     /// Start an attempt.
-    Launch(AttemptId, Call),
+    Start(AttemptId, Call),
     /// Give one up; where told so, bring word once the engine has read it.
-    Halt(AttemptId, bool),
+    Cancel(AttemptId, bool),
     /// Change its priority.
-    Rank(AttemptId, u8),
+    SetPriority(AttemptId, u8),
     /// Probe the engine.
-    Probe,
+    HealthCheck,
     /// The engine listens here from now on.
     Address(SocketAddr),
 }
 
 /// What engines speak.
 #[derive(Debug, Clone)]
-pub enum Wire {
+pub enum UpstreamProtocol {
     /// The platform's lines.
-    Lines,
+    LineProtocol,
     /// TDS, with these words for the login.
     Tds(tds::Login),
 }
 
 /// Figures for connections to engines.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct UpstreamLimits {
     /// A connection that is not up by then is none.
     pub connect_timeout: Duration,
     /// A probe that has no answer by then has none.
@@ -72,12 +72,12 @@
 
 /// Bytes of a result that is not whole yet. They count until it is passed on or given up.
 #[derive(Debug)]
-pub struct Collected {
+pub struct ResultBudget {
     bytes: usize,
     all: Arc<AtomicUsize>,
 }
 
-impl Collected {
+impl ResultBudget {
     /// Counts some more; false where they are too many, for one result or for all together.
     pub fn add(&mut self, more: usize, most: usize) -> bool {
         self.bytes += more;
@@ -86,7 +86,7 @@
     }
 }
 
-impl Drop for Collected {
+impl Drop for ResultBudget {
     fn drop(&mut self) {
         self.all.fetch_sub(self.bytes, Ordering::Relaxed);
     }
@@ -94,33 +94,33 @@
 
 /// What every connection of an engine's needs to tell the core.
 #[derive(Debug, Clone)]
-pub struct Uplink {
+pub struct EndpointContext {
     /// The engine.
     pub engine: u64,
     /// The way to the core.
-    pub handle: Handle,
+    pub handle: ServiceHandle,
     /// The clock.
     pub clock: Clock,
     /// Figures.
-    pub limits: Limits,
+    pub limits: UpstreamLimits,
     /// Bytes of results that all engines' connections now collect.
     pub collected: Arc<AtomicUsize>,
 }
 
-impl Uplink {
+impl EndpointContext {
     /// Begins to collect a result.
-    pub fn collect(&self) -> Collected {
-        Collected { bytes: 0, all: self.collected.clone() }
+    pub fn collect(&self) -> ResultBudget {
+        ResultBudget { bytes: 0, all: self.collected.clone() }
     }
 
     /// Word of an attempt.
-    pub async fn news(&self, attempt: AttemptId, news: AttemptNews) -> Result<(), Ended> {
-        self.handle.tell(Input::Attempt { request: attempt.0, attempt: attempt.1, news }).await
+    pub async fn news(&self, attempt: AttemptId, news: AttemptEvent) -> Result<(), ServiceEnded> {
+        self.handle.notify(Input::Attempt { request: attempt.0, attempt: attempt.1, news }).await
     }
 
     /// The end of an attempt without a result.
-    pub async fn ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), Ended> {
-        self.news(attempt, AttemptNews::Ended { end, report: None }).await
+    pub async fn ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
+        self.news(attempt, AttemptEvent::Ended { end, report: None }).await
     }
 
     /// What a probe found.
@@ -129,77 +129,84 @@
         end: ConnectionEnd,
         report: Option<LoadReport>,
         elapsed: Micros,
-    ) -> Result<(), Ended> {
-        self.handle.tell(Input::Probed { engine: self.engine, end, report, elapsed }).await
+    ) -> Result<(), ServiceEnded> {
+        self.handle.notify(Input::HealthChecked { engine: self.engine, end, report, elapsed }).await
     }
 
-    /// Tells of an order that was never written.
-    pub async fn unwritten(&self, order: Order, end: ConnectionEnd) -> Result<(), Ended> {
-        match order {
-            Order::Launch(attempt, _) => self.ended(attempt, end).await,
-            Order::Probe => self.probed(end, None, Micros(0)).await,
-            Order::Halt(..) | Order::Rank(..) | Order::Address(_) => Ok(()),
+    /// Tells of an command that was never written.
+    pub async fn unwritten(&self, command: EndpointCommand, end: ConnectionEnd) -> Result<(), ServiceEnded> {
+        match command {
+            EndpointCommand::Start(attempt, _) => self.ended(attempt, end).await,
+            EndpointCommand::HealthCheck => self.probed(end, None, Micros(0)).await,
+            EndpointCommand::Cancel(..) | EndpointCommand::SetPriority(..) | EndpointCommand::Address(_) => {
+                Ok(())
+            }
         }
     }
 }
 
 /// All engines that are listed, or still hold something.
 #[derive(Debug)]
-pub struct Backs {
-    wire: Wire,
-    handle: Handle,
+pub struct UpstreamPool {
+    wire: UpstreamProtocol,
+    handle: ServiceHandle,
     clock: Clock,
-    limits: Limits,
+    limits: UpstreamLimits,
     collected: Arc<AtomicUsize>,
-    links: HashMap<u64, mpsc::Sender<Order>>,
+    links: HashMap<u64, mpsc::Sender<EndpointCommand>>,
 }
 
-impl Backs {
+impl UpstreamPool {
     /// No engines yet.
-    pub fn new(wire: Wire, handle: Handle, clock: Clock, limits: Limits) -> Backs {
-        Backs { wire, handle, clock, limits, collected: Arc::default(), links: HashMap::new() }
+    pub fn new(
+        wire: UpstreamProtocol,
+        handle: ServiceHandle,
+        clock: Clock,
+        limits: UpstreamLimits,
+    ) -> UpstreamPool {
+        UpstreamPool { wire, handle, clock, limits, collected: Arc::default(), links: HashMap::new() }
     }
 
     /// Carries out what the core wants of an engine; what can't be handed on comes back as its end.
     pub fn carry_out(&mut self, command: Command) -> Option<Input> {
-        let (engine, order) = match command {
-            Command::Engine { engine, name, address, state } => {
-                log::info!("engine {name} at {address}: {}", format!("{state:?}").to_lowercase());
-                if state != EngineState::Gone {
+        let (engine, command) = match command {
+            Command::UpdateEngine { engine, name, address, state } => {
+                log::info!("engine {name} at {address}: {}", state.name());
+                if state != EngineState::Removed {
                     self.listed(engine, address);
                 }
                 return None;
             }
-            Command::Launch { request, attempt, engine, call } => {
-                (engine, Order::Launch((request, attempt), call))
+            Command::StartAttempt { request, attempt, engine, call } => {
+                (engine, EndpointCommand::Start((request, attempt), call))
             }
-            Command::Halt { request, attempt, engine, confirm } => {
-                (engine, Order::Halt((request, attempt), confirm))
+            Command::CancelAttempt { request, attempt, engine, confirm } => {
+                (engine, EndpointCommand::Cancel((request, attempt), confirm))
             }
-            Command::Rank { request, attempt, engine, priority } => {
-                (engine, Order::Rank((request, attempt), priority))
+            Command::SetPriority { request, attempt, engine, priority } => {
+                (engine, EndpointCommand::SetPriority((request, attempt), priority))
             }
-            Command::Probe { engine } => (engine, Order::Probe),
+            Command::HealthCheck { engine } => (engine, EndpointCommand::HealthCheck),
             // Its task ends with the way to it, and so do its connections.
-            Command::Forget { engine } => {
+            Command::RemoveEngine { engine } => {
                 self.links.remove(&engine);
                 return None;
             }
             Command::Answer { .. } | Command::Log(_) => return None,
         };
         let refused = match self.links.get(&engine) {
-            Some(link) => link.try_send(order).err().map(|full| full.into_inner()),
-            None => Some(order),
+            Some(link) => link.try_send(command).err().map(|full| full.into_inner()),
+            None => Some(command),
         };
         match refused? {
-            Order::Launch((request, attempt), _) => {
+            EndpointCommand::Start((request, attempt), _) => {
                 log::warn!("an engine's queue is full: attempt not sent");
-                let news = AttemptNews::Ended { end: ConnectionEnd::NeverWritten, report: None };
+                let news = AttemptEvent::Ended { end: ConnectionEnd::NeverWritten, report: None };
                 Some(Input::Attempt { request, attempt, news })
             }
-            Order::Probe => {
+            EndpointCommand::HealthCheck => {
                 let end = ConnectionEnd::NeverWritten;
-                Some(Input::Probed { engine, end, report: None, elapsed: Micros(0) })
+                Some(Input::HealthChecked { engine, end, report: None, elapsed: Micros(0) })
             }
             _ => None,
         }
@@ -207,17 +214,18 @@
 
     fn listed(&mut self, engine: u64, address: SocketAddr) {
         if let Some(link) = self.links.get(&engine) {
-            if link.try_send(Order::Address(address)).is_err() {
+            if link.try_send(EndpointCommand::Address(address)).is_err() {
                 log::warn!("an engine's queue is full: its new address is not known");
             }
             return;
         }
-        let (link, orders) = mpsc::channel(QUEUE);
+        let (link, commands) = mpsc::channel(QUEUE);
         let (handle, limits) = (self.handle.clone(), self.limits.clone());
-        let uplink = Uplink { engine, handle, clock: self.clock, limits, collected: self.collected.clone() };
+        let context =
+            EndpointContext { engine, handle, clock: self.clock, limits, collected: self.collected.clone() };
         match &self.wire {
-            Wire::Lines => tokio::spawn(line_protocol::run(uplink, address, orders)),
-            Wire::Tds(login) => tokio::spawn(tds::run(uplink, address, orders, login.clone())),
+            UpstreamProtocol::LineProtocol => tokio::spawn(line_protocol::run(context, address, commands)),
+            UpstreamProtocol::Tds(login) => tokio::spawn(tds::run(context, address, commands, login.clone())),
         };
         self.links.insert(engine, link);
     }
@@ -226,8 +234,8 @@
 /// How a connection that could not be had failed.
 pub fn failed_connect(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
-        std::io::ErrorKind::ConnectionRefused => ConnectionEnd::Refused,
-        _ => ConnectionEnd::NotUp,
+        std::io::ErrorKind::ConnectionRefused => ConnectionEnd::ConnectRefused,
+        _ => ConnectionEnd::ConnectTimeout,
     }
 }
 
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -2,14 +2,14 @@
 
 use super::{Free, Task};
 use crate::clock::Micros;
-use crate::core::{AttemptNews, Call, ConnectionEnd, Row, Table};
-use crate::decision::{LoadReport, Note, Usage};
+use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
+use crate::decision::{AttemptNote, LoadReport, Usage};
 use crate::tds::login::{self, Login};
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
 use crate::tds::value::Type;
 use crate::upstream::line_protocol::load_report;
-use crate::upstream::{AttemptId, Order, Uplink, failed_connect, failed_io};
+use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, failed_connect, failed_io};
 use bytes::{Buf, BytesMut};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
 /// What a connection knows.
 pub(super) struct Context {
-    pub uplink: Uplink,
+    pub context: EndpointContext,
     pub address: SocketAddr,
     pub login: Login,
     pub number: usize,
@@ -57,49 +57,51 @@
 
 /// Carries what it is told until it ends.
 pub(super) async fn run(context: Context, mut tasks: mpsc::Receiver<Task>) {
-    let limits = context.uplink.limits.clone();
+    let limits = context.context.limits.clone();
     let mut link: Option<Link> = None;
     loop {
         let idle = limits.idle_after.to_duration();
         let Ok(Some(task)) = tokio::time::timeout(idle, tasks.recv()).await else { break };
-        let Task::Run(order) = task else { continue };
-        let now = context.uplink.clock.now();
+        let Task::Run(command) = task else { continue };
+        let now = context.context.clock.now();
         let opened = match link.take() {
             Some(open) => Ok(open),
             None => match tokio::time::timeout(limits.connect_timeout, open(&context, now)).await {
                 Ok(opened) => opened,
-                Err(_) => Err(ConnectionEnd::NotUp),
+                Err(_) => Err(ConnectionEnd::ConnectTimeout),
             },
         };
         let mut opened = match opened {
             Ok(opened) => opened,
             Err(end) => {
                 tasks.close();
-                let _ended = context.uplink.unwritten(order, end).await;
+                let _ended = context.context.unwritten(command, end).await;
                 break;
             }
         };
-        let (alive, told) = match order {
-            Order::Launch(attempt, call) if call.cancel_token.is_cancelled(context.uplink.clock.now()) => {
-                (true, context.uplink.ended(attempt, ConnectionEnd::NeverWritten).await)
+        let (alive, told) = match command {
+            EndpointCommand::Start(attempt, call)
+                if call.cancel_token.is_cancelled(context.context.clock.now()) =>
+            {
+                (true, context.context.ended(attempt, ConnectionEnd::NeverWritten).await)
             }
-            Order::Launch(attempt, call) => {
+            EndpointCommand::Start(attempt, call) => {
                 let finish = carry(&context, &mut opened, attempt, &call, &mut tasks).await;
                 let news = match finish.news {
-                    Ok((table, usage)) => AttemptNews::Served { table, usage, report: None },
-                    Err(end) => AttemptNews::Ended { end, report: None },
+                    Ok((table, usage)) => AttemptEvent::Served { table, usage, report: None },
+                    Err(end) => AttemptEvent::Ended { end, report: None },
                 };
-                (finish.alive, context.uplink.news(attempt, news).await)
+                (finish.alive, context.context.news(attempt, news).await)
             }
-            Order::Probe => {
+            EndpointCommand::HealthCheck => {
                 let finish = tokio::time::timeout(limits.probe_timeout.to_duration(), probe(&mut opened));
                 let (end, report, alive) = match finish.await {
                     Ok(Ok(report)) => (ConnectionEnd::Answered, Some(report), true),
                     Ok(Err(end)) => (end, None, false),
                     Err(_) => (ConnectionEnd::TimedOut, None, false),
                 };
-                let elapsed = context.uplink.clock.now() - now;
-                (alive, context.uplink.probed(end, report, elapsed).await)
+                let elapsed = context.context.clock.now() - now;
+                (alive, context.context.probed(end, report, elapsed).await)
             }
             _ => (true, Ok(())),
         };
@@ -128,7 +130,7 @@
         heard: now,
     };
     // Nothing ran before the login: whatever ends it, the request was never sent.
-    let unsent = |_| ConnectionEnd::NotUp;
+    let unsent = |_| ConnectionEnd::ConnectTimeout;
     link.say(packet::PRELOGIN, &login::prelogin(login::ENCRYPT_NOT_SUPPORTED)).await.map_err(unsent)?;
     while !link.whole {
         link.read().await.map_err(unsent)?;
@@ -141,7 +143,7 @@
             Token::LoginAck => granted = true,
             Token::Error { number, text } => log::error!("an engine denies the login: {number} {text}"),
             Token::Done { more: false, .. } if granted => return Ok(link),
-            Token::Done { more: false, .. } => return Err(ConnectionEnd::NotUp),
+            Token::Done { more: false, .. } => return Err(ConnectionEnd::ConnectTimeout),
             _ => {}
         }
     }
@@ -163,14 +165,14 @@
                     self.tokens.extend_from_slice(&packet.data);
                     self.whole = packet.last;
                     return match self.tokens.len() > packet::LONGEST_MESSAGE {
-                        true => Err(ConnectionEnd::Garbled),
+                        true => Err(ConnectionEnd::Malformed),
                         false => Ok(()),
                     };
                 }
                 Ok(None) => {}
                 Err(error) => {
                     log::warn!("a TDS engine's packet can't be used: {error}");
-                    return Err(ConnectionEnd::Garbled);
+                    return Err(ConnectionEnd::Malformed);
                 }
             }
             let read = self.stream.read_buf(&mut self.received).await;
@@ -195,7 +197,7 @@
             }
             if self.whole {
                 log::warn!("a TDS engine's answer can't be used");
-                return Err(ConnectionEnd::Garbled);
+                return Err(ConnectionEnd::Malformed);
             }
             self.read().await?;
         }
@@ -215,7 +217,7 @@
 }
 
 enum Word {
-    Note(Note),
+    Note(AttemptNote),
     Usage(Usage),
 }
 
@@ -225,10 +227,10 @@
         let pair = text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         pair.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite())
     };
-    let note = find("share").map(Note::Progress).or(find("short").map(Note::Spills));
+    let note = find("share").map(AttemptNote::Progress).or(find("short").map(AttemptNote::Spills));
     let note = note.or(find("held").map(|what| match what == 2.0 {
-        true => Note::WaitsForLoad,
-        false => Note::WaitsForMemory,
+        true => AttemptNote::WaitsForLoad,
+        false => AttemptNote::WaitsForMemory,
     }));
     let usage = || Some(Usage { work_ms: find("toil")?, memory_mb: find("room").unwrap_or(0.0) });
     note.map(Word::Note).or(usage().map(Word::Usage))
@@ -245,44 +247,44 @@
         return lost(end);
     }
     let (mut table, mut usage, mut failed) = (Table::default(), None, None);
-    let mut bytes = context.uplink.collect();
-    link.heard = context.uplink.clock.now();
-    let limits = &context.uplink.limits;
+    let mut bytes = context.context.collect();
+    link.heard = context.context.clock.now();
+    let limits = &context.context.limits;
     loop {
-        let silent = context.uplink.clock.instant(link.heard + limits.silent_after);
+        let silent = context.context.clock.instant(link.heard + limits.silent_after);
         let token = tokio::select! {
             token = link.token() => match token {
                 Ok(token) => token,
                 Err(end) => return lost(end),
             },
             task = tasks.recv() => match task {
-                Some(Task::Halt(stopped)) if stopped == attempt => return stop(link).await,
+                Some(Task::Cancel(stopped)) if stopped == attempt => return stop(link).await,
                 Some(_) => continue,
-                None => return lost(ConnectionEnd::GivenUp),
+                None => return lost(ConnectionEnd::Cancelled),
             },
             // An engine that runs a request sends word all the time. Whether the engine itself stands still is
             // for the probes to say, which have connections of their own.
             () = tokio::time::sleep_until(silent.into()), if limits.reports_progress => {
                 log::warn!("a TDS engine says no more of request {}: given up there", call.name);
-                return lost(ConnectionEnd::Unheard);
+                return lost(ConnectionEnd::RequestSilent);
             }
         };
-        link.heard = context.uplink.clock.now();
+        link.heard = context.context.clock.now();
         match token {
             Token::Columns(columns) => table.columns = columns.into_iter().map(|(name, _)| name).collect(),
             Token::Row(row) => {
                 let more = row.iter().flatten().map(String::len).sum();
-                if !bytes.add(more, context.uplink.limits.collected) {
+                if !bytes.add(more, context.context.limits.collected) {
                     log::warn!("a TDS engine's result is too long: given up there");
-                    return lost(ConnectionEnd::Unheard);
+                    return lost(ConnectionEnd::RequestSilent);
                 }
                 table.rows.push(row);
             }
             Token::Info { number: WORD, text } => match word(&text) {
                 Some(Word::Note(note)) => {
-                    let told = context.uplink.news(attempt, AttemptNews::Note(note)).await;
+                    let told = context.context.news(attempt, AttemptEvent::Note(note)).await;
                     if told.is_err() {
-                        return lost(ConnectionEnd::GivenUp);
+                        return lost(ConnectionEnd::Cancelled);
                     }
                 }
                 Some(Word::Usage(told)) => usage = Some(told),
@@ -316,13 +318,13 @@
             match link.token().await {
                 Ok(Token::Done { attention: true, .. }) => return true,
                 Ok(_) => {}
-                Err(ConnectionEnd::Garbled) if link.tokens.is_empty() && link.whole => link.whole = false,
+                Err(ConnectionEnd::Malformed) if link.tokens.is_empty() && link.whole => link.whole = false,
                 Err(_) => return false,
             }
         }
     };
     let alive = sent.is_ok() && tokio::time::timeout(ATTENTION_WITHIN, acknowledged).await.unwrap_or(false);
-    Finish { news: Err(ConnectionEnd::GivenUp), alive }
+    Finish { news: Err(ConnectionEnd::Cancelled), alive }
 }
 
 async fn probe(link: &mut Link) -> Result<LoadReport, ConnectionEnd> {
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -3,7 +3,7 @@
 
 mod connection;
 
-use super::{AttemptId, Order, Uplink};
+use super::{AttemptId, EndpointCommand, EndpointContext};
 use crate::core::ConnectionEnd;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 /// What a connection is told.
 #[derive(Debug)]
 enum Task {
-    Run(Order),
-    Halt(AttemptId),
+    Run(EndpointCommand),
+    Cancel(AttemptId),
 }
 
 #[derive(Debug)]
@@ -30,15 +30,20 @@
 struct Free(usize);
 
 /// Runs an engine's connections until the service ends.
-pub async fn run(uplink: Uplink, mut address: SocketAddr, mut orders: mpsc::Receiver<Order>, login: Login) {
+pub async fn run(
+    context: EndpointContext,
+    mut address: SocketAddr,
+    mut commands: mpsc::Receiver<EndpointCommand>,
+    login: Login,
+) {
     let mut pool: HashMap<usize, Connection> = HashMap::new();
     let mut carried: HashMap<AttemptId, usize> = HashMap::new();
     let mut count = 0;
     let (freed, mut frees) = mpsc::channel::<Free>(1024);
     loop {
-        let order = tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => order,
+        let command = tokio::select! {
+            command = commands.recv() => match command {
+                Some(command) => command,
                 None => return,
             },
             free = frees.recv() => {
@@ -52,25 +57,25 @@
                 continue;
             }
         };
-        match order {
-            Order::Address(new) => address = new,
+        match command {
+            EndpointCommand::Address(new) => address = new,
             // TDS has no word for the priority of a batch that runs: it keeps what it was sent with.
-            Order::Rank(..) => {}
+            EndpointCommand::SetPriority(..) => {}
             // An attention has its own word, so the stop is always confirmed.
-            Order::Halt(attempt, _) => {
+            EndpointCommand::Cancel(attempt, _) => {
                 let connection = carried.get(&attempt).and_then(|number| pool.get(number));
                 if let Some(connection) = connection
-                    && connection.tasks.try_send(Task::Halt(attempt)).is_err()
+                    && connection.tasks.try_send(Task::Cancel(attempt)).is_err()
                 {
                     log::debug!("an attempt was over before its stop");
                 }
             }
-            Order::Launch(..) | Order::Probe => {
+            EndpointCommand::Start(..) | EndpointCommand::HealthCheck => {
                 pool.retain(|_, connection| !connection.tasks.is_closed());
                 let idle = |one: &&mut Connection| !one.busy && one.address == address;
                 if !pool.values().any(|one| !one.busy && one.address == address) {
-                    if pool.len() >= uplink.limits.connections {
-                        if uplink.unwritten(order, ConnectionEnd::NotUp).await.is_err() {
+                    if pool.len() >= context.limits.connections {
+                        if context.unwritten(command, ConnectionEnd::ConnectTimeout).await.is_err() {
                             return;
                         }
                         continue;
@@ -78,7 +83,7 @@
                     count += 1;
                     let (tasks, queue) = mpsc::channel(16);
                     let context = connection::Context {
-                        uplink: uplink.clone(),
+                        context: context.clone(),
                         address,
                         login: login.clone(),
                         number: count,
@@ -92,16 +97,16 @@
                 else {
                     continue;
                 };
-                let attempt = match &order {
-                    Order::Launch(attempt, _) => Some(*attempt),
+                let attempt = match &command {
+                    EndpointCommand::Start(attempt, _) => Some(*attempt),
                     _ => None,
                 };
                 connection.busy = true;
-                match connection.tasks.try_send(Task::Run(order)) {
+                match connection.tasks.try_send(Task::Run(command)) {
                     Ok(()) => carried.extend(attempt.map(|attempt| (attempt, number))),
                     Err(full) => {
-                        let Task::Run(order) = full.into_inner() else { continue };
-                        if uplink.unwritten(order, ConnectionEnd::NeverWritten).await.is_err() {
+                        let Task::Run(command) = full.into_inner() else { continue };
+                        if context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err() {
                             return;
                         }
                     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -3,10 +3,12 @@
 
 mod common;
 
-use common::{TOKEN, read_reply, start, until};
+use common::{TOKEN, start};
+#[cfg(feature = "cluster")]
+use common::{read_reply, until};
 use rstest::rstest;
-use sanddyke::core::Handover;
-use sanddyke_store::voter_file::Ballots;
+use sanddyke::core::HandoverState;
+use sanddyke_store::voter_file::VoterFile;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -55,15 +57,14 @@
 #[test]
 fn the_voter_file_of_an_earlier_build_is_read() {
     let (_folder, path) = copy("voter.redb");
-    let file = Ballots::open(&path, 1).unwrap();
+    let file = VoterFile::open(&path, 1).unwrap();
     assert_eq!(file.standing(), (0xfebc_de7e_9b4b_5d8b, true));
-    let promises = file.promises().unwrap();
-    assert!(!promises.hard_state.is_empty() && !promises.snapshot.is_empty());
+    let state = file.state().unwrap();
+    assert!(!state.hard_state.is_empty() && !state.snapshot.is_empty());
     #[cfg(feature = "cluster")]
     {
         use sanddyke_cluster::{Kept, Voter};
-        let kept =
-            Kept { hard_state: promises.hard_state, entries: promises.entries, snapshot: promises.snapshot };
+        let kept = Kept { hard_state: state.hard_state, entries: state.entries, snapshot: state.snapshot };
         let mut voter = Voter::start(0xfebc_de7e_9b4b_5d8b, &kept, true).unwrap();
         struct Memory;
         impl sanddyke_cluster::Disk for Memory {
@@ -89,12 +90,12 @@
 fn the_snapshot_of_an_earlier_build_is_read_and_written_with_the_same_bytes() {
     let bytes = std::fs::read(fixture("snapshot.learnt")).unwrap();
     let written_ms = u64::from_le_bytes(bytes[12..20].try_into().unwrap());
-    let (payload, age) = sanddyke_snapshot::open(&bytes, written_ms + 5, Duration::from_secs(30)).unwrap();
+    let (payload, age) = sanddyke_snapshot::decode(&bytes, written_ms + 5, Duration::from_secs(30)).unwrap();
     assert_eq!(age, Duration::from_millis(5));
-    let learned: Handover = serde_json::from_slice(payload).unwrap();
+    let learned: HandoverState = serde_json::from_slice(payload).unwrap();
     let again = serde_json::to_vec(&learned).unwrap();
     assert_eq!(String::from_utf8(again.clone()).unwrap(), String::from_utf8(payload.to_vec()).unwrap());
-    assert!(sanddyke_snapshot::seal(&again, written_ms).unwrap() == bytes, "the file differs");
+    assert!(sanddyke_snapshot::encode(&again, written_ms).unwrap() == bytes, "the file differs");
 }
 
 /// All series with their labels and values; only the time served is not compared.
@@ -134,3 +135,28 @@
     assert_eq!(view["duties"][0]["name"], "warden");
     assert_eq!(view["sent"], json!([0, 0, 0]));
 }
+
+/// The digest of a creation with an idempotency key is stored: a retry at a newer build must find the same one.
+#[test]
+fn the_digest_of_a_creation_is_the_same() {
+    use sanddyke_tenancy::{Change, Limits, TenantSpec};
+    let (_folder, path) = copy("store.redb");
+    let (_store, loaded) = sanddyke_store::Store::open(&path).unwrap();
+    let limits = Limits {
+        requests_per_s: Some(50.0),
+        burst: Some(10.0),
+        classes: Some(["lookup".to_owned()].into()),
+        ..Limits::default()
+    };
+    let spec = TenantSpec {
+        weight: 3.0,
+        group: Some("county".to_owned()),
+        limits,
+        labels: [("area".to_owned(), "north".to_owned())].into(),
+        ..TenantSpec::default()
+    };
+    let change = Change::CreateTenant { name: "glannau".to_owned(), spec };
+    let [creation] = &loaded.creations[..] else { panic!("one creation") };
+    assert_eq!(creation.name, "glannau");
+    assert_eq!(creation.asked, sanddyke_authorization::digest(&format!("{change:?}")));
+}
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -302,8 +302,8 @@
         "cut" => bytes.truncate(bytes.len() - 1),
         "spoilt" => *bytes.last_mut().unwrap() ^= 1,
         "newer" => bytes[8] = 9,
-        "old" => bytes = sanddyke_snapshot::seal(&bytes[28..], now - 86_400_000).unwrap(),
-        "unread" => bytes = sanddyke_snapshot::seal(b"{\"pace\": 7}", now).unwrap(),
+        "old" => bytes = sanddyke_snapshot::encode(&bytes[28..], now - 86_400_000).unwrap(),
+        "unread" => bytes = sanddyke_snapshot::encode(b"{\"pace\": 7}", now).unwrap(),
         _ => {}
     }
     std::fs::write(&path, bytes).unwrap();
@@ -389,7 +389,7 @@
         stream.write_all(query(name as u64, "SELECT slow").as_bytes()).unwrap();
     }
     until("they run", || engine.count("REQ") == 3);
-    let place = sanddyke_snapshot::Place::new(held.folder(), "sanddyke-leaving");
+    let place = sanddyke_snapshot::SnapshotFile::new(held.folder(), "sanddyke-leaving");
     let word = || {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         let read = place.read(now.as_millis() as u64, Duration::from_secs(1)).ok().flatten();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 
 fn gateway(settings: Settings, engines: &[EngineEntry]) -> Gateway {
     let mut gateway = Gateway::new(settings, 1, 0.0);
-    gateway.handle(0.0, Event::List(ListNews::Restored(engines.to_vec())), &mut Vec::new());
+    gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.to_vec())), &mut Vec::new());
     gateway
 }
 
@@ -37,7 +37,7 @@
         usage: None,
         report: None,
     };
-    gateway.handle(now, Event::Ended(end), &mut out);
+    gateway.handle(now, Event::AttemptEnded(end), &mut out);
     out
 }
 
@@ -75,7 +75,7 @@
 fn nothing_goes_to_an_engine_that_drains_and_the_request_is_refused_in_time() {
     let mut gateway = gateway(settings(ClassSettings::default()), &[engine(1)]);
     let drained = EngineEntry { state: EngineState::Draining, ..engine(1) };
-    gateway.handle(1.0, Event::List(ListNews::Update(vec![drained])), &mut Vec::new());
+    gateway.handle(1.0, Event::EngineList(EngineListEvent::Update(vec![drained])), &mut Vec::new());
     let out = take(&mut gateway, 2.0, request(1));
     assert!(sends(&out).is_empty());
     let timer = out.iter().find_map(|action| match action {
@@ -86,7 +86,7 @@
     assert!(after < 5000.0);
     let mut out = Vec::new();
     gateway.handle(2.0 + after, Event::Timer(2), &mut out);
-    assert!(out.iter().any(|action| matches!(action, Action::Refuse { request: RequestId(1), .. })));
+    assert!(out.iter().any(|action| matches!(action, Action::Reject { request: RequestId(1), .. })));
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert!(sends(&take(&mut gateway, 1.0, request(1))).is_empty());
     let right = EngineEntry { kind: KindId(1), ..engine(2) };
     let mut out = Vec::new();
-    gateway.handle(2.0, Event::List(ListNews::Update(vec![right])), &mut out);
+    gateway.handle(2.0, Event::EngineList(EngineListEvent::Update(vec![right])), &mut out);
     assert_eq!(sends(&out), vec![(1, 2)]);
 }
 
@@ -152,15 +152,15 @@
 fn unknown_ids_and_late_events_pass_without_effect() {
     let mut gateway = gateway(settings(ClassSettings::default()), &[engine(1)]);
     let mut out = end(&mut gateway, 1.0, 77, 3, Outcome::Served);
-    gateway.handle(2.0, Event::ClientGone(RequestId(5)), &mut out);
+    gateway.handle(2.0, Event::ClientDisconnected(RequestId(5)), &mut out);
     gateway.handle(3.0, Event::Timer(u64::MAX), &mut out);
     gateway.handle(
         4.0,
-        Event::Probed { engine: EngineId(4), outcome: Outcome::Served, elapsed_ms: 1.0, report: None },
+        Event::HealthChecked { engine: EngineId(4), outcome: Outcome::Served, elapsed_ms: 1.0, report: None },
         &mut out,
     );
-    let note = Note::Progress(0.5);
-    gateway.handle(5.0, Event::Note { request: RequestId(5), attempt: 0, note }, &mut out);
+    let note = AttemptNote::Progress(0.5);
+    gateway.handle(5.0, Event::AttemptNote { request: RequestId(5), attempt: 0, note }, &mut out);
     assert!(out.is_empty(), "{out:?}");
 }
 
@@ -172,13 +172,13 @@
         let mut gateway = gateway(settings(class.clone()), &[]);
         for id in 0..leavers {
             take(&mut gateway, 1.0, request(id));
-            gateway.handle(101.0, Event::ClientGone(RequestId(id)), &mut Vec::new());
+            gateway.handle(101.0, Event::ClientDisconnected(RequestId(id)), &mut Vec::new());
         }
         take(&mut gateway, 102.0, request(1000));
         (102..1000).map(f64::from).find(|now| {
             let mut out = Vec::new();
             gateway.handle(*now, Event::Timer(0), &mut out);
-            out.iter().any(|action| matches!(action, Action::Refuse { .. }))
+            out.iter().any(|action| matches!(action, Action::Reject { .. }))
         })
     };
     assert!(refused_at(100).expect("refused early") + 200.0 < refused_at(0).expect("refused at its aim"));
@@ -211,7 +211,7 @@
 
 fn probes(actions: &[Action]) -> Vec<u64> {
     let probe = |action: &Action| match action {
-        Action::Probe(engine) => Some(engine.0),
+        Action::HealthCheck(engine) => Some(engine.0),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
@@ -220,7 +220,7 @@
 fn probed(gateway: &mut Gateway, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let event =
-        Event::Probed { engine: EngineId(engine), outcome: Outcome::Served, elapsed_ms, report: None };
+        Event::HealthChecked { engine: EngineId(engine), outcome: Outcome::Served, elapsed_ms, report: None };
     gateway.handle(now, event, &mut out);
     out
 }
@@ -281,7 +281,7 @@
     (1..=20).for_each(|id| drop(take(&mut gateway, 1.0, Request { data_set: 7, ..request(id) })));
     let mut out = Vec::new();
     gateway.handle(25.0, Event::Timer(0), &mut out);
-    let refused = out.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
+    let refused = out.iter().filter(|action| matches!(action, Action::Reject { .. })).count();
     assert!((10..19).contains(&refused), "{refused}: {out:?}");
 }
 
@@ -307,7 +307,7 @@
         (1..=2).for_each(|id| drop(take(&mut gateway, 1.0, Request { data_set: 7, ..request(id) })));
         let mut out = Vec::new();
         gateway.handle(25.0, Event::Timer(0), &mut out);
-        out.iter().any(|action| matches!(action, Action::Refuse { request: RequestId(2), .. }))
+        out.iter().any(|action| matches!(action, Action::Reject { request: RequestId(2), .. }))
     };
     assert!(refused(Some(2)) && !refused(Some(100)) && !refused(None));
 }
@@ -347,7 +347,8 @@
 #[test]
 fn a_probe_that_was_never_answered_tells_no_time() {
     let mut gateway = one_of_300();
-    let event = |engine, outcome, elapsed_ms| Event::Probed { engine, outcome, elapsed_ms, report: None };
+    let event =
+        |engine, outcome, elapsed_ms| Event::HealthChecked { engine, outcome, elapsed_ms, report: None };
     for engine in 1..=4 {
         gateway.handle(1.0, event(EngineId(engine), Outcome::NoConnection, 0.0), &mut Vec::new());
     }
@@ -358,7 +359,7 @@
 
 fn probe_ended(gateway: &mut Gateway, now: f64, outcome: Outcome) -> Vec<Action> {
     let mut out = Vec::new();
-    let event = Event::Probed { engine: EngineId(1), outcome, elapsed_ms: 250.0, report: None };
+    let event = Event::HealthChecked { engine: EngineId(1), outcome, elapsed_ms: 250.0, report: None };
     gateway.handle(now, event, &mut out);
     out
 }
@@ -402,8 +403,8 @@
     let mut gateway = gateway(settings, &[engine(1)]);
     take(&mut gateway, 1.0, request(1));
     probed(&mut gateway, 3.0, 1, 2.0);
-    let (mut out, note) = (Vec::new(), Note::Progress(0.01));
-    gateway.handle(403.0, Event::Note { request: RequestId(1), attempt: 0, note }, &mut out);
+    let (mut out, note) = (Vec::new(), AttemptNote::Progress(0.01));
+    gateway.handle(403.0, Event::AttemptNote { request: RequestId(1), attempt: 0, note }, &mut out);
     let cancel = |action: &&Action| matches!(action, Action::Cancel { .. });
     assert_eq!(out.iter().filter(cancel).count(), cancelled, "{out:?}");
 }
@@ -416,7 +417,7 @@
 fn told_busy(gateway: &mut Gateway, now: f64, engine: u64, memory: f64, busy: f64) -> Vec<Action> {
     let report = Some(LoadReport { busy: Some(busy), memory: Some(memory), ..LoadReport::default() });
     let (engine, mut out) = (EngineId(engine), Vec::new());
-    let event = Event::Probed { engine, outcome: Outcome::Served, elapsed_ms: 2.0, report };
+    let event = Event::HealthChecked { engine, outcome: Outcome::Served, elapsed_ms: 2.0, report };
     gateway.handle(now, event, &mut out);
     out
 }
@@ -461,7 +462,7 @@
             let now = 20.0 * step as f64;
             let mut out = Vec::new();
             if step == 100 {
-                gateway.handle(now, Event::List(ListNews::Update(vec![cold])), &mut out);
+                gateway.handle(now, Event::EngineList(EngineListEvent::Update(vec![cold])), &mut out);
             }
             if step >= 100 {
                 out.extend(probed(&mut gateway, now, 1, 2.0));
@@ -497,7 +498,7 @@
     let engines: Vec<EngineEntry> = (1..=20).map(engine).collect();
     let sent = |seed: u64| {
         let (mut out, mut gateway) = (Vec::new(), Gateway::new(settings.clone(), seed, 0.0));
-        gateway.handle(0.0, Event::List(ListNews::Restored(engines.clone())), &mut out);
+        gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.clone())), &mut out);
         // It learns what a query needs: 800 MB, a twentieth of an engine.
         let usage = Some(Usage { work_ms: 500.0, memory_mb: 800.0 });
         for id in 0..10 * each {
@@ -512,7 +513,7 @@
             let settled = true;
             let end =
                 AttemptEnd { request, attempt: 0, outcome, elapsed_ms: 10.0, settled, usage, report: None };
-            gateway.handle(now + 10.0, Event::Ended(end), &mut Vec::new());
+            gateway.handle(now + 10.0, Event::AttemptEnded(end), &mut Vec::new());
         }
         (0..held).for_each(|id| drop(take(&mut gateway, 10_200.0, request(1000 + id))));
         (1..=2).map(|to| sends(&told_busy(&mut gateway, 10_201.0, to, 0.45, 0.5)).len()).sum::<usize>()
@@ -564,14 +565,14 @@
     let refused_beside = |beside: usize, cheap: u64, dear: u64| {
         let told = Settings { classes: classes.clone(), limits, ..Settings::default() };
         let mut gateway = Gateway::new(told, 1, 0.0);
-        gateway.set_places(Some(20 - beside));
+        gateway.set_max_open(Some(20 - beside));
         let one =
             |id: u64| Request { class: ClassId(usize::from(id >= 100)), remaining_ms: 1e14, ..request(id) };
         (0..cheap).chain(100..100 + dear).for_each(|id| drop(take(&mut gateway, 1.0, one(id))));
         let mut out = Vec::new();
         gateway.handle(30.0, Event::Timer(0), &mut out);
         let ended = |action: &Action| match action {
-            Action::Refuse { request, .. } => Some(request.0),
+            Action::Reject { request, .. } => Some(request.0),
             _ => None,
         };
         out.iter().filter_map(ended).collect::<Vec<_>>()
