--- a/Makefile
+++ b/Makefile
@@ -8,8 +8,9 @@
 
 lint:
 	cargo fmt --all --check
-	cargo clippy --locked --workspace --all-targets --features sanddyke/cluster -- -D warnings
-	cargo clippy --locked -- -D warnings
+	cargo clippy --locked --workspace --all-targets --all-features -- -D warnings
+	cargo clippy --locked --all-targets -- -D warnings
+	RUSTDOCFLAGS='-D warnings' cargo doc --locked --workspace --all-features --no-deps
 
 # Three managers on emulated engines, on loopback; Ctrl-C ends all.
 demo:
--- a/crates/tenancy/src/roster.rs
+++ b/crates/tenancy/src/roster.rs
@@ -180,7 +180,7 @@
         self.ids.is_empty() && self.free.len() == self.slots.len()
     }
 
-    /// Judges a request; one that is taken counts as open until [`Roster::closed`]. The order of the checks is
+    /// Judges a request; one that is taken counts as open until [`Roster::request_closed`]. The order of the checks is
     /// that of how long the client has to stay away, and a request that is refused takes no token.
     pub fn admit(&mut self, now_us: i64, name: &str, ask: &AdmissionRequest) -> Result<Slot, Rejection> {
         let Some(slot) = self.slot(name) else {
