--- /dev/null
+++ b/src/upstream/line_protocol/connection/mod.rs
@@ -0,0 +1,237 @@
+//! One connection to an engine on the line protocol: it carries many requests and reports the end of each.
+//!
+//! ```text
+//!   commands ──> commands.rs ──> output.rs ──> socket      requests and lines, written in order
+//!   core     <── responses.rs <─────────────── socket      notes, pages, answers
+//!   core     <── timeouts.rs                               silence of the engine, or about one request
+//! ```
+//!
+//! A request counts as possibly executed from its last byte written on; one that is not completely written never ran.
+
+mod commands;
+mod in_flight;
+mod output;
+mod responses;
+mod timeouts;
+
+use crate::clock::Micros;
+use crate::core::ConnectionEnd;
+use crate::service::ServiceEnded;
+use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, failed_connect, failed_io};
+use bytes::BytesMut;
+use in_flight::InFlight;
+use output::Output;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+/// Bytes that may wait to be written; an engine that reads none of them counts as silent.
+const MAX_OUTPUT_BYTES: usize = 1 << 20;
+/// Room for what is received at first; it grows to the longest response.
+const INPUT_BYTES: usize = 16 * 1024;
+
+/// Why the connection's loop ended.
+enum Stop {
+    /// The connection ended, or has to.
+    Connection(ConnectionEnd),
+    /// It has carried nothing for the idle time.
+    Idle,
+    /// The service has ended: nobody is left to report to.
+    Service,
+}
+
+impl From<ServiceEnded> for Stop {
+    fn from(_: ServiceEnded) -> Stop {
+        Stop::Service
+    }
+}
+
+/// The state of an open connection.
+struct Connection {
+    context: EndpointContext,
+    /// Attempts by their request's id, from their first byte written on.
+    in_flight: HashMap<String, InFlight>,
+    /// When each open health check was sent, by its tag.
+    health_checks: HashMap<String, Micros>,
+    /// Cancelled attempts whose `STOP` the engine has not shown to have read, by the tag of the line behind it.
+    cancellations: HashMap<String, AttemptId>,
+    tag_count: u64,
+    output: Output,
+    /// Attempts that never ran, of which the core has yet to be notified.
+    never_written: Vec<AttemptId>,
+    /// Attempts assigned to this connection, shared with the engine's task.
+    load: Arc<AtomicUsize>,
+    last_read: Micros,
+    last_command: Micros,
+    /// Since when the engine owes a response and has sent none. Health checks that time out leave it as it is.
+    response_due_since: Option<Micros>,
+    /// Since when a response has been incomplete.
+    incomplete_since: Option<Micros>,
+}
+
+/// Opens a connection and carries out commands on it until it ends; then reports the end of all that it carried.
+pub async fn run(
+    context: EndpointContext,
+    address: SocketAddr,
+    mut commands: mpsc::Receiver<EndpointCommand>,
+    load: Arc<AtomicUsize>,
+) {
+    let connected = connect(&context, address).await;
+    let mut connection = Connection::new(context, load);
+    // Commands that were never begun fail as the connecting did, or never ran.
+    let (stop, unsent) = match connected {
+        Ok(stream) => (connection.serve(stream, &mut commands).await, ConnectionEnd::NeverWritten),
+        Err(end) => (Stop::Connection(end), end),
+    };
+    let end = match stop {
+        Stop::Service => return,
+        Stop::Idle => ConnectionEnd::Closed,
+        Stop::Connection(end) => end,
+    };
+    if !connection.in_flight.is_empty() {
+        log::warn!("engine at {address}: connection ended ({end:?}) with {} out", connection.in_flight.len());
+    }
+    commands.close();
+    // An error says that the service has ended: nobody is left to report to.
+    let _ended = connection.report_end(end, unsent, commands).await;
+}
+
+async fn connect(context: &EndpointContext, address: SocketAddr) -> Result<TcpStream, ConnectionEnd> {
+    let connecting = tokio::time::timeout(context.limits.connect_timeout, TcpStream::connect(address));
+    match connecting.await {
+        Ok(Ok(stream)) => Ok(stream),
+        Ok(Err(error)) => Err(failed_connect(&error)),
+        Err(_) => Err(ConnectionEnd::ConnectTimeout),
+    }
+}
+
+impl Connection {
+    fn new(context: EndpointContext, load: Arc<AtomicUsize>) -> Connection {
+        let now = context.clock.now();
+        Connection {
+            context,
+            in_flight: HashMap::new(),
+            health_checks: HashMap::new(),
+            cancellations: HashMap::new(),
+            tag_count: 0,
+            output: Output::default(),
+            never_written: Vec::new(),
+            load,
+            last_read: now,
+            last_command: now,
+            response_due_since: None,
+            incomplete_since: None,
+        }
+    }
+
+    async fn serve(&mut self, stream: TcpStream, commands: &mut mpsc::Receiver<EndpointCommand>) -> Stop {
+        if let Err(error) = stream.set_nodelay(true) {
+            log::debug!("no delay: {error}");
+        }
+        match self.exchange(stream, commands).await {
+            Ok(never) => match never {},
+            Err(stop) => stop,
+        }
+    }
+
+    /// Reads, writes and carries out commands until something ends the connection.
+    async fn exchange(
+        &mut self,
+        stream: TcpStream,
+        commands: &mut mpsc::Receiver<EndpointCommand>,
+    ) -> Result<std::convert::Infallible, Stop> {
+        let (mut reader, mut writer) = stream.into_split();
+        let mut received = BytesMut::with_capacity(INPUT_BYTES);
+        loop {
+            self.begin_requests();
+            self.report_never_written().await?;
+            self.start_timers();
+            let wake = self.next_timeout();
+            tokio::select! {
+                // What the engine has sent goes first: nothing is written to one that has closed.
+                biased;
+                read = reader.read_buf(&mut received) => self.bytes_read(read, &mut received).await?,
+                command = commands.recv() => match command {
+                    Some(command) => self.commands(command, commands)?,
+                    None => return Err(Stop::Service),
+                },
+                written = writer.write_buf(&mut self.output.buffer), if !self.output.buffer.is_empty() => {
+                    match written {
+                        Ok(bytes) => self.output.written(bytes),
+                        Err(error) => return Err(Stop::Connection(failed_io(&error))),
+                    }
+                },
+                () = tokio::time::sleep_until(wake.into()) => self.time_passed().await?,
+            }
+            if self.output.buffer.len() > MAX_OUTPUT_BYTES {
+                return Err(Stop::Connection(ConnectionEnd::Silent));
+            }
+        }
+    }
+
+    async fn bytes_read(
+        &mut self,
+        read: std::io::Result<usize>,
+        received: &mut BytesMut,
+    ) -> Result<(), Stop> {
+        self.last_read = self.context.clock.now();
+        self.response_due_since = None;
+        // What came before the end still counts.
+        self.responses(received).await?;
+        match read {
+            Ok(0) => Err(Stop::Connection(ConnectionEnd::Closed)),
+            Ok(_) => Ok(()),
+            Err(error) => Err(Stop::Connection(failed_io(&error))),
+        }
+    }
+
+    async fn report_never_written(&mut self) -> Result<(), ServiceEnded> {
+        for attempt in std::mem::take(&mut self.never_written) {
+            self.context.ended(attempt, ConnectionEnd::NeverWritten).await?;
+        }
+        Ok(())
+    }
+
+    /// Reports the end of all that the connection carried: what was written is possibly executed, what was still
+    /// queued or partly written never ran.
+    async fn report_end(
+        mut self,
+        end: ConnectionEnd,
+        unsent: ConnectionEnd,
+        mut commands: mpsc::Receiver<EndpointCommand>,
+    ) -> Result<(), ServiceEnded> {
+        let now = self.context.clock.now();
+        if let Some(partial) = self.output.partial.take() {
+            self.in_flight.remove(&partial.request);
+            self.never_written.push(partial.attempt);
+        }
+        self.never_written.extend(self.output.queued.drain(..).map(|queued| queued.attempt));
+        self.report_never_written().await?;
+        let in_flight = self.in_flight.into_values().map(|in_flight| in_flight.attempt);
+        for attempt in in_flight.chain(self.cancellations.into_values()) {
+            self.context.ended(attempt, end).await?;
+        }
+        for sent_at in self.health_checks.into_values() {
+            self.context.probed(end, None, now - sent_at).await?;
+        }
+        while let Some(command) = commands.recv().await {
+            self.context.unwritten(command, unsent).await?;
+        }
+        Ok(())
+    }
+
+    /// A new tag for a line whose response has to be recognised.
+    fn next_tag(&mut self, prefix: char) -> String {
+        self.tag_count += 1;
+        format!("{prefix}{}", self.tag_count)
+    }
+
+    /// The attempt is no longer this connection's.
+    fn release(&self) {
+        self.load.fetch_sub(1, Ordering::Relaxed);
+    }
+}
--- /dev/null
+++ b/src/upstream/line_protocol/connection/timeouts.rs
@@ -0,0 +1,96 @@
+//! Timeouts of a connection: an engine that is silent, or that is silent about one request; responses that do not end;
+//! health checks without an answer; an idle connection.
+
+use super::{Connection, Stop};
+use crate::clock::Micros;
+use crate::core::ConnectionEnd;
+use std::time::Instant;
+
+impl Connection {
+    /// Starts the timers of what the engine owes from now on.
+    pub(super) fn start_timers(&mut self) {
+        let now = self.context.clock.now();
+        if self.is_response_due() {
+            self.response_due_since.get_or_insert(now);
+        }
+        self.output.update_stall_timer(now);
+    }
+
+    /// When [`Connection::time_passed`] is next to be called.
+    pub(super) fn next_timeout(&self) -> Instant {
+        let limits = &self.context.limits;
+        let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.probe_timeout);
+        let reported = self.in_flight.values().filter(|_| limits.reports_progress);
+        let unmentioned = reported.map(|in_flight| in_flight.last_mention + limits.silent_after);
+        let incomplete = self.incomplete_since.map(|since| since + limits.line_within);
+        let first = health_checks.chain(unmentioned).chain(self.silent_at()).chain(incomplete).min();
+        let at = first.unwrap_or(self.last_command + limits.idle_after);
+        self.context.clock.instant(at)
+    }
+
+    fn is_busy(&self) -> bool {
+        !self.in_flight.is_empty()
+            || !self.health_checks.is_empty()
+            || !self.cancellations.is_empty()
+            || !self.output.queued.is_empty()
+    }
+
+    /// Whether the engine owes a response.
+    fn is_response_due(&self) -> bool {
+        let reports = self.context.limits.reports_progress && !self.in_flight.is_empty();
+        reports || !self.health_checks.is_empty() || !self.cancellations.is_empty()
+    }
+
+    /// When the engine counts as cut off or hanging: it owes a response and sends none, or reads nothing.
+    fn silent_at(&self) -> Option<Micros> {
+        let since = self.response_due_since.into_iter().chain(self.output.stalled_since).min();
+        since.map(|since| since + self.context.limits.silent_after)
+    }
+
+    /// Acts on the timeouts that are over.
+    pub(super) async fn time_passed(&mut self) -> Result<(), Stop> {
+        let now = self.context.clock.now();
+        if self.silent_at().is_some_and(|at| now >= at) {
+            return Err(Stop::Connection(ConnectionEnd::Silent));
+        }
+        // Guards against a response that stops short, or trickles: nothing behind it can be read any more.
+        let line_within = self.context.limits.line_within;
+        if self.incomplete_since.is_some_and(|since| now >= since + line_within) {
+            log::warn!("an engine's line does not end, its connection ends");
+            return Err(Stop::Connection(ConnectionEnd::Malformed));
+        }
+        self.give_up_unmentioned(now).await?;
+        if !self.is_busy() && now >= self.last_command + self.context.limits.idle_after {
+            return Err(Stop::Idle);
+        }
+        self.time_out_health_checks(now).await
+    }
+
+    /// Guards against an answer, or a page, that never comes: the request may be retried before its deadline.
+    async fn give_up_unmentioned(&mut self, now: Micros) -> Result<(), Stop> {
+        let limits = &self.context.limits;
+        if !limits.reports_progress {
+            return Ok(());
+        }
+        let oldest = now - limits.silent_after;
+        let unmentioned = self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_mention <= oldest);
+        let requests: Vec<String> = unmentioned.map(|(request, _)| request.clone()).collect();
+        for request in requests {
+            log::warn!("an engine says no more of request {request}: given up there");
+            self.give_up(&request, ConnectionEnd::RequestSilent).await?;
+        }
+        Ok(())
+    }
+
+    async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), Stop> {
+        let oldest = now - self.context.limits.probe_timeout;
+        let late = self.health_checks.iter().filter(|(_, sent_at)| **sent_at <= oldest);
+        let tags: Vec<String> = late.map(|(tag, _)| tag.clone()).collect();
+        for tag in tags {
+            if let Some(sent_at) = self.health_checks.remove(&tag) {
+                self.context.probed(ConnectionEnd::TimedOut, None, now - sent_at).await?;
+            }
+        }
+        Ok(())
+    }
+}
