--- a/src/upstream/line_protocol/connection/commands.rs
+++ b/src/upstream/line_protocol/connection/commands.rs
@@ -28,11 +28,11 @@
     fn command(&mut self, command: EndpointCommand, now: Micros) -> Result<(), Stop> {
         self.last_command = now;
         match command {
-            EndpointCommand::Start(attempt, call) => {
+            EndpointCommand::Start { attempt, call } => {
                 self.output.queued.push_back(QueuedRequest { attempt, call });
             }
-            EndpointCommand::Cancel(attempt, confirm) => self.cancel(attempt, confirm)?,
-            EndpointCommand::SetPriority(attempt, priority) => self.set_priority(attempt, priority),
+            EndpointCommand::Cancel { attempt, confirm } => self.cancel(attempt, confirm)?,
+            EndpointCommand::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
             EndpointCommand::HealthCheck => self.send_health_check(now),
             // The engine's task opens connections to the new address.
             EndpointCommand::Address(_) => {}
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that speak the platform's lines: connections that carry many requests at once.
+//! Engines that speak the platform's line protocol: connections that each carry many requests at once.
 
 mod connection;
 mod parse;
@@ -12,79 +12,124 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::mpsc;
 
-/// A connection that carries so much is spared, as long as there may be another.
-const LIGHT: usize = 4;
-/// What may wait for one connection.
+/// Attempts from which on a connection is spared, as long as another may be opened: a connection that ends takes all
+/// that it carries with it.
+const PREFERRED_LOAD: usize = 4;
+/// Commands that may wait for one connection.
 const QUEUE: usize = 1024;
 
+/// A connection as the engine's task sees it.
 #[derive(Debug)]
 struct Connection {
     commands: mpsc::Sender<EndpointCommand>,
-    carried: Arc<AtomicUsize>,
-    /// The engine has moved: what is out here may still end here, but nothing new is sent.
+    /// Attempts that it carries.
+    load: Arc<AtomicUsize>,
+    /// The engine has moved to another address: what is in flight here may still end here, but nothing new is sent.
     retired: bool,
 }
 
+impl Connection {
+    fn open(context: &EndpointContext, address: SocketAddr) -> Connection {
+        let (commands, queue) = mpsc::channel(QUEUE);
+        let load = Arc::new(AtomicUsize::new(0));
+        tokio::spawn(connection::run(context.clone(), address, queue, load.clone()));
+        Connection { commands, load, retired: false }
+    }
+
+    fn load(&self) -> usize {
+        self.load.load(Ordering::Relaxed)
+    }
+
+    fn has_capacity(&self, max_streams: usize) -> bool {
+        !self.retired && self.load() < max_streams
+    }
+
+    /// Hands a command to the connection; gives it back where the connection does not accept it.
+    fn send(&self, command: EndpointCommand) -> Option<EndpointCommand> {
+        let is_attempt = matches!(command, EndpointCommand::Start { .. });
+        match self.commands.try_send(command) {
+            Ok(()) => {
+                self.load.fetch_add(usize::from(is_attempt), Ordering::Relaxed);
+                None
+            }
+            Err(rejected) => Some(rejected.into_inner()),
+        }
+    }
+}
+
+/// The connections to one engine.
+struct Pool {
+    context: EndpointContext,
+    address: SocketAddr,
+    connections: Vec<Connection>,
+}
+
 /// Runs an engine's connections until the service ends.
 pub async fn run(
     context: EndpointContext,
-    mut address: SocketAddr,
+    address: SocketAddr,
     mut commands: mpsc::Receiver<EndpointCommand>,
 ) {
-    let mut connections: Vec<Connection> = Vec::new();
+    let mut pool = Pool { context, address, connections: Vec::new() };
     while let Some(command) = commands.recv().await {
-        connections.retain(|connection| !connection.commands.is_closed());
-        match command {
-            EndpointCommand::Address(new) if new != address => {
-                address = new;
-                connections.iter_mut().for_each(|connection| connection.retired = true);
+        pool.connections.retain(|connection| !connection.commands.is_closed());
+        let unsent = match command {
+            EndpointCommand::Address(address) => {
+                pool.move_to(address);
+                continue;
             }
-            EndpointCommand::Address(_) => {}
-            // Which connection carries it is known there alone; the others pass it over.
-            EndpointCommand::Cancel(..) | EndpointCommand::SetPriority(..) => {
-                for connection in &connections {
-                    let copy = match &command {
-                        EndpointCommand::Cancel(attempt, confirm) => {
-                            EndpointCommand::Cancel(*attempt, *confirm)
-                        }
-                        EndpointCommand::SetPriority(attempt, priority) => {
-                            EndpointCommand::SetPriority(*attempt, *priority)
-                        }
-                        _ => continue,
-                    };
-                    if connection.commands.try_send(copy).is_err() {
-                        log::warn!("engine at {address}: a connection takes no more commands");
-                    }
-                }
+            EndpointCommand::Cancel { .. } | EndpointCommand::SetPriority { .. } => {
+                pool.send_to_all(&command);
+                continue;
             }
-            EndpointCommand::Start(..) | EndpointCommand::HealthCheck => {
-                // What ends a connection takes all that it carries with it: few are put on one.
-                let load = |one: &Connection| one.carried.load(Ordering::Relaxed);
-                let room = |one: &&Connection| !one.retired && load(one) < context.limits.streams;
-                let light = |one: &Connection| room(&one) && load(one) < LIGHT;
-                if !connections.iter().any(light) && connections.len() < context.limits.connections {
-                    let (sender, queue) = mpsc::channel(QUEUE);
-                    let carried = Arc::new(AtomicUsize::new(0));
-                    tokio::spawn(connection::run(context.clone(), address, queue, carried.clone()));
-                    connections.push(Connection { commands: sender, carried, retired: false });
-                }
-                let target = connections.iter().filter(room).min_by_key(|one| load(one));
-                let launch = matches!(command, EndpointCommand::Start(..));
-                let unsent = match target {
-                    Some(connection) => {
-                        connection.commands.try_send(command).err().map(|full| full.into_inner())
-                    }
-                    None => Some(command),
-                };
-                if let (Some(connection), None, true) = (target, &unsent, launch) {
-                    connection.carried.fetch_add(1, Ordering::Relaxed);
-                }
-                if let Some(command) = unsent
-                    && context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
-                {
-                    return;
+            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => pool.send_to_one(command),
+        };
+        if let Some(command) = unsent
+            && pool.context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
+        {
+            return;
+        }
+    }
+}
+
+impl Pool {
+    fn move_to(&mut self, address: SocketAddr) {
+        if address == self.address {
+            return;
+        }
+        self.address = address;
+        self.connections.iter_mut().for_each(|connection| connection.retired = true);
+    }
+
+    /// Sends a command on an attempt to all connections: only the one that carries it knows, the others ignore it.
+    fn send_to_all(&self, command: &EndpointCommand) {
+        for connection in &self.connections {
+            let copy = match *command {
+                EndpointCommand::Cancel { attempt, confirm } => EndpointCommand::Cancel { attempt, confirm },
+                EndpointCommand::SetPriority { attempt, priority } => {
+                    EndpointCommand::SetPriority { attempt, priority }
                 }
+                _ => continue,
+            };
+            if connection.commands.try_send(copy).is_err() {
+                log::warn!("engine at {}: a connection takes no more orders", self.address);
             }
         }
     }
+
+    /// Sends a command to the connection with the least load, which may be a new one; gives it back where none has
+    /// capacity.
+    fn send_to_one(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
+        let limits = &self.context.limits;
+        let max_streams = limits.streams;
+        let is_light = |one: &Connection| one.has_capacity(max_streams) && one.load() < PREFERRED_LOAD;
+        if !self.connections.iter().any(is_light) && self.connections.len() < limits.connections {
+            self.connections.push(Connection::open(&self.context, self.address));
+        }
+        let usable = self.connections.iter().filter(|one| one.has_capacity(max_streams));
+        match usable.min_by_key(|one| one.load()) {
+            Some(connection) => connection.send(command),
+            None => Some(command),
+        }
+    }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,68 +1,85 @@
-//! The way to the engines: one task for each engine, which keeps its connections.
+//! Connections to the engines: one task for each engine, which keeps its connections.
+//!
+//! [`UpstreamPool`] carries out the core's commands on the engine that they name. The engine's task ([`line_protocol`]
+//! or [`tds`]) opens connections, and reports notes, results and ends of attempts to the core by its
+//! [`EndpointContext`].
 
 pub mod line_protocol;
+mod pool;
 pub mod tds;
 
+pub use pool::UpstreamPool;
+
 use crate::clock::{Clock, Micros};
-use crate::core::{AttemptEvent, Call, Command, ConnectionEnd, Input};
-use crate::decision::{EngineState, LoadReport};
+use crate::core::{AttemptEvent, Call, ConnectionEnd, Input};
+use crate::decision::LoadReport;
 use crate::service::{ServiceEnded, ServiceHandle};
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use tokio::sync::mpsc;
-
-/// What may wait for one engine at once; what comes on top never ran.
-const QUEUE: usize = 2048;
 
-/// The longest result collected, in bytes.
-const MOST_RESULT: usize = 1 << 20;
+/// The longest result that is collected, in bytes.
+const MAX_RESULT_BYTES: usize = 1 << 20;
 
 /// Names an attempt: its request's number and its own.
 pub type AttemptId = (u64, u32);
 
-/// What an engine's task is told.
+/// A command for an engine's task.
 #[derive(Debug)]
 pub enum EndpointCommand {
     /// Start an attempt.
-    Start(AttemptId, Call),
-    /// Give one up; where told so, bring word once the engine has read it.
-    Cancel(AttemptId, bool),
-    /// Change its priority.
-    SetPriority(AttemptId, u8),
-    /// Probe the engine.
+    Start {
+        /// The attempt.
+        attempt: AttemptId,
+        /// What to send.
+        call: Call,
+    },
+    /// Cancel an attempt.
+    Cancel {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Whether to report its end only once the engine has read the cancellation.
+        confirm: bool,
+    },
+    /// Change the priority of an attempt.
+    SetPriority {
+        /// The attempt.
+        attempt: AttemptId,
+        /// The priority, 0 to 3.
+        priority: u8,
+    },
+    /// Check the engine's health, and get its load report.
     HealthCheck,
-    /// The engine listens here from now on.
+    /// The engine listens at this address from now on.
     Address(SocketAddr),
 }
 
-/// What engines speak.
+/// The protocol that engines speak.
 #[derive(Debug, Clone)]
 pub enum UpstreamProtocol {
-    /// The platform's lines.
+    /// The platform's line protocol.
     LineProtocol,
-    /// TDS, with these words for the login.
+    /// TDS, with the login for each connection.
     Tds(tds::Login),
 }
 
-/// Figures for connections to engines.
+/// Limits and timeouts of the connections to engines.
 #[derive(Debug, Clone)]
 pub struct UpstreamLimits {
-    /// A connection that is not up by then is none.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Duration,
-    /// A probe that has no answer by then has none.
+    /// A health check without an answer within this time counts as timed out.
     pub probe_timeout: Micros,
-    /// An engine that owes word and says nothing for this long is gone.
+    /// An engine that owes a response and sends nothing for this long counts as gone.
     pub silent_after: Micros,
-    /// Whether engines tell of each request while it runs. Where they do not, silence of one says nothing.
+    /// Whether engines report each request while it runs. Where they do not, silence about one means nothing.
     pub reports_progress: bool,
-    /// A line of an engine's is there whole by then, from its first byte.
+    /// A line of an engine's has to be complete within this time from its first byte.
     pub line_within: Micros,
     /// Idle connections are closed after this long.
     pub idle_after: Micros,
-    /// Bytes of results that may be collected at once, before they are whole.
+    /// Bytes of incomplete results that may be collected at once, over all engines.
     pub collected: usize,
     /// Attempts that one connection carries at once.
     pub streams: usize,
@@ -70,60 +87,69 @@
     pub connections: usize,
 }
 
-/// Bytes of a result that is not whole yet. They count until it is passed on or given up.
+/// Bytes of a result that is not complete yet. They count in the sum over all engines until this is dropped.
 #[derive(Debug)]
 pub struct ResultBudget {
     bytes: usize,
-    all: Arc<AtomicUsize>,
+    total: Arc<AtomicUsize>,
 }
 
 impl ResultBudget {
-    /// Counts some more; false where they are too many, for one result or for all together.
-    pub fn add(&mut self, more: usize, most: usize) -> bool {
-        self.bytes += more;
-        let all = self.all.fetch_add(more, Ordering::Relaxed) + more;
-        self.bytes <= MOST_RESULT && all <= most
+    /// Counts further bytes; false where they exceed the limit of one result, or the limit of all together.
+    pub fn add(&mut self, bytes: usize, max_total: usize) -> bool {
+        self.bytes += bytes;
+        let total = self.total.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        self.bytes <= MAX_RESULT_BYTES && total <= max_total
     }
 }
 
 impl Drop for ResultBudget {
     fn drop(&mut self) {
-        self.all.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.total.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-/// What every connection of an engine's needs to tell the core.
+/// What each connection to an engine needs to report to the core.
 #[derive(Debug, Clone)]
 pub struct EndpointContext {
-    /// The engine.
+    /// The engine's number.
     pub engine: u64,
-    /// The way to the core.
+    /// Reaches the core.
     pub handle: ServiceHandle,
-    /// The clock.
+    /// The program's clock.
     pub clock: Clock,
-    /// Figures.
+    /// Limits and timeouts.
     pub limits: UpstreamLimits,
-    /// Bytes of results that all engines' connections now collect.
+    /// Bytes of results that the connections of all engines are collecting now.
     pub collected: Arc<AtomicUsize>,
 }
 
 impl EndpointContext {
     /// Begins to collect a result.
     pub fn collect(&self) -> ResultBudget {
-        ResultBudget { bytes: 0, all: self.collected.clone() }
+        ResultBudget { bytes: 0, total: self.collected.clone() }
     }
 
-    /// Word of an attempt.
-    pub async fn news(&self, attempt: AttemptId, news: AttemptEvent) -> Result<(), ServiceEnded> {
-        self.handle.notify(Input::Attempt { request: attempt.0, attempt: attempt.1, news }).await
+    /// Reports an event of an attempt.
+    ///
+    /// # Errors
+    /// The service has ended.
+    pub async fn news(&self, attempt: AttemptId, event: AttemptEvent) -> Result<(), ServiceEnded> {
+        self.handle.notify(Input::Attempt { request: attempt.0, attempt: attempt.1, news: event }).await
     }
 
-    /// The end of an attempt without a result.
+    /// Reports the end of an attempt without a result.
+    ///
+    /// # Errors
+    /// The service has ended.
     pub async fn ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         self.news(attempt, AttemptEvent::Ended { end, report: None }).await
     }
 
-    /// What a probe found.
+    /// Reports the end of a health check.
+    ///
+    /// # Errors
+    /// The service has ended.
     pub async fn probed(
         &self,
         end: ConnectionEnd,
@@ -133,105 +159,22 @@
         self.handle.notify(Input::HealthChecked { engine: self.engine, end, report, elapsed }).await
     }
 
-    /// Tells of an command that was never written.
+    /// Reports a command that was never written to the engine.
+    ///
+    /// # Errors
+    /// The service has ended.
     pub async fn unwritten(&self, command: EndpointCommand, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         match command {
-            EndpointCommand::Start(attempt, _) => self.ended(attempt, end).await,
+            EndpointCommand::Start { attempt, .. } => self.ended(attempt, end).await,
             EndpointCommand::HealthCheck => self.probed(end, None, Micros(0)).await,
-            EndpointCommand::Cancel(..) | EndpointCommand::SetPriority(..) | EndpointCommand::Address(_) => {
-                Ok(())
-            }
-        }
-    }
-}
-
-/// All engines that are listed, or still hold something.
-#[derive(Debug)]
-pub struct UpstreamPool {
-    wire: UpstreamProtocol,
-    handle: ServiceHandle,
-    clock: Clock,
-    limits: UpstreamLimits,
-    collected: Arc<AtomicUsize>,
-    links: HashMap<u64, mpsc::Sender<EndpointCommand>>,
-}
-
-impl UpstreamPool {
-    /// No engines yet.
-    pub fn new(
-        wire: UpstreamProtocol,
-        handle: ServiceHandle,
-        clock: Clock,
-        limits: UpstreamLimits,
-    ) -> UpstreamPool {
-        UpstreamPool { wire, handle, clock, limits, collected: Arc::default(), links: HashMap::new() }
-    }
-
-    /// Carries out what the core wants of an engine; what can't be handed on comes back as its end.
-    pub fn carry_out(&mut self, command: Command) -> Option<Input> {
-        let (engine, command) = match command {
-            Command::UpdateEngine { engine, name, address, state } => {
-                log::info!("engine {name} at {address}: {}", state.name());
-                if state != EngineState::Removed {
-                    self.listed(engine, address);
-                }
-                return None;
-            }
-            Command::StartAttempt { request, attempt, engine, call } => {
-                (engine, EndpointCommand::Start((request, attempt), call))
-            }
-            Command::CancelAttempt { request, attempt, engine, confirm } => {
-                (engine, EndpointCommand::Cancel((request, attempt), confirm))
-            }
-            Command::SetPriority { request, attempt, engine, priority } => {
-                (engine, EndpointCommand::SetPriority((request, attempt), priority))
-            }
-            Command::HealthCheck { engine } => (engine, EndpointCommand::HealthCheck),
-            // Its task ends with the way to it, and so do its connections.
-            Command::RemoveEngine { engine } => {
-                self.links.remove(&engine);
-                return None;
-            }
-            Command::Answer { .. } | Command::Log(_) => return None,
-        };
-        let refused = match self.links.get(&engine) {
-            Some(link) => link.try_send(command).err().map(|full| full.into_inner()),
-            None => Some(command),
-        };
-        match refused? {
-            EndpointCommand::Start((request, attempt), _) => {
-                log::warn!("an engine's queue is full: attempt not sent");
-                let news = AttemptEvent::Ended { end: ConnectionEnd::NeverWritten, report: None };
-                Some(Input::Attempt { request, attempt, news })
-            }
-            EndpointCommand::HealthCheck => {
-                let end = ConnectionEnd::NeverWritten;
-                Some(Input::HealthChecked { engine, end, report: None, elapsed: Micros(0) })
-            }
-            _ => None,
-        }
-    }
-
-    fn listed(&mut self, engine: u64, address: SocketAddr) {
-        if let Some(link) = self.links.get(&engine) {
-            if link.try_send(EndpointCommand::Address(address)).is_err() {
-                log::warn!("an engine's queue is full: its new address is not known");
-            }
-            return;
+            EndpointCommand::Cancel { .. }
+            | EndpointCommand::SetPriority { .. }
+            | EndpointCommand::Address(_) => Ok(()),
         }
-        let (link, commands) = mpsc::channel(QUEUE);
-        let (handle, limits) = (self.handle.clone(), self.limits.clone());
-        let context =
-            EndpointContext { engine, handle, clock: self.clock, limits, collected: self.collected.clone() };
-        match &self.wire {
-            UpstreamProtocol::LineProtocol => tokio::spawn(line_protocol::run(context, address, commands)),
-            UpstreamProtocol::Tds(login) => tokio::spawn(tds::run(context, address, commands, login.clone())),
-        };
-        self.links.insert(engine, link);
     }
 }
 
-/// How a connection that could not be had failed.
+/// How an attempt to connect failed.
 pub fn failed_connect(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionRefused => ConnectionEnd::ConnectRefused,
@@ -239,7 +182,7 @@
     }
 }
 
-/// How a connection that was up ended.
+/// How an established connection ended.
 pub fn failed_io(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionReset | std::io::ErrorKind::BrokenPipe => ConnectionEnd::Reset,
--- /dev/null
+++ b/src/upstream/pool.rs
@@ -0,0 +1,125 @@
+//! The engines that are listed, or still have attempts in flight, each with its task.
+
+use super::{EndpointCommand, EndpointContext, UpstreamLimits, UpstreamProtocol, line_protocol, tds};
+use crate::clock::{Clock, Micros};
+use crate::core::{AttemptEvent, Command, ConnectionEnd, Input};
+use crate::decision::EngineState;
+use crate::service::ServiceHandle;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::AtomicUsize;
+use tokio::sync::mpsc;
+
+/// Commands that may wait for one engine; attempts beyond that never ran.
+const QUEUE: usize = 2048;
+
+/// The tasks of all engines.
+#[derive(Debug)]
+pub struct UpstreamPool {
+    protocol: UpstreamProtocol,
+    handle: ServiceHandle,
+    clock: Clock,
+    limits: UpstreamLimits,
+    collected: Arc<AtomicUsize>,
+    /// The way to each engine's task, by the engine's number. A task ends, with its connections, once its sender is
+    /// dropped.
+    engines: HashMap<u64, mpsc::Sender<EndpointCommand>>,
+}
+
+/// A command and the number of the engine that it is for.
+struct Addressed {
+    engine: u64,
+    command: EndpointCommand,
+}
+
+impl UpstreamPool {
+    /// A pool without engines.
+    pub fn new(
+        protocol: UpstreamProtocol,
+        handle: ServiceHandle,
+        clock: Clock,
+        limits: UpstreamLimits,
+    ) -> UpstreamPool {
+        UpstreamPool { protocol, handle, clock, limits, collected: Arc::default(), engines: HashMap::new() }
+    }
+
+    /// Carries out a command of the core; one that cannot be handed to its engine's task comes back as its end.
+    pub fn carry_out(&mut self, command: Command) -> Option<Input> {
+        let Addressed { engine, command } = self.addressed(command)?;
+        let rejected = match self.engines.get(&engine) {
+            Some(task) => task.try_send(command).err().map(mpsc::error::TrySendError::into_inner),
+            None => Some(command),
+        };
+        never_written(engine, rejected?)
+    }
+
+    /// The command for an engine's task; commands for the pool itself are carried out here.
+    fn addressed(&mut self, command: Command) -> Option<Addressed> {
+        let (engine, command) = match command {
+            Command::StartAttempt { request, attempt, engine, call } => {
+                (engine, EndpointCommand::Start { attempt: (request, attempt), call })
+            }
+            Command::CancelAttempt { request, attempt, engine, confirm } => {
+                (engine, EndpointCommand::Cancel { attempt: (request, attempt), confirm })
+            }
+            Command::SetPriority { request, attempt, engine, priority } => {
+                (engine, EndpointCommand::SetPriority { attempt: (request, attempt), priority })
+            }
+            Command::HealthCheck { engine } => (engine, EndpointCommand::HealthCheck),
+            Command::UpdateEngine { engine, name, address, state } => {
+                log::info!("engine {name} at {address}: {}", state.name());
+                if state != EngineState::Removed {
+                    self.update(engine, address);
+                }
+                return None;
+            }
+            Command::RemoveEngine { engine } => {
+                self.engines.remove(&engine);
+                return None;
+            }
+            Command::Answer { .. } | Command::Log(_) => return None,
+        };
+        Some(Addressed { engine, command })
+    }
+
+    /// Starts the task of a new engine, or notifies the task of a known one of its address.
+    fn update(&mut self, engine: u64, address: SocketAddr) {
+        if let Some(task) = self.engines.get(&engine) {
+            if task.try_send(EndpointCommand::Address(address)).is_err() {
+                log::warn!("an engine's queue is full: its new address is not known");
+            }
+            return;
+        }
+        let (task, commands) = mpsc::channel(QUEUE);
+        let context = EndpointContext {
+            engine,
+            handle: self.handle.clone(),
+            clock: self.clock,
+            limits: self.limits.clone(),
+            collected: self.collected.clone(),
+        };
+        match &self.protocol {
+            UpstreamProtocol::LineProtocol => tokio::spawn(line_protocol::run(context, address, commands)),
+            UpstreamProtocol::Tds(login) => tokio::spawn(tds::run(context, address, commands, login.clone())),
+        };
+        self.engines.insert(engine, task);
+    }
+}
+
+/// What the core is notified of where an engine's task does not accept a command.
+fn never_written(engine: u64, command: EndpointCommand) -> Option<Input> {
+    let end = ConnectionEnd::NeverWritten;
+    match command {
+        EndpointCommand::Start { attempt: (request, attempt), .. } => {
+            log::warn!("an engine's queue is full: attempt not sent");
+            Some(Input::Attempt { request, attempt, news: AttemptEvent::Ended { end, report: None } })
+        }
+        EndpointCommand::HealthCheck => {
+            Some(Input::HealthChecked { engine, end, report: None, elapsed: Micros(0) })
+        }
+        EndpointCommand::Cancel { .. }
+        | EndpointCommand::SetPriority { .. }
+        | EndpointCommand::Address(_) => None,
+    }
+}
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -80,12 +80,12 @@
             }
         };
         let (alive, told) = match command {
-            EndpointCommand::Start(attempt, call)
+            EndpointCommand::Start { attempt, call }
                 if call.cancel_token.is_cancelled(context.context.clock.now()) =>
             {
                 (true, context.context.ended(attempt, ConnectionEnd::NeverWritten).await)
             }
-            EndpointCommand::Start(attempt, call) => {
+            EndpointCommand::Start { attempt, call } => {
                 let finish = carry(&context, &mut opened, attempt, &call, &mut tasks).await;
                 let news = match finish.news {
                     Ok((table, usage)) => AttemptEvent::Served { table, usage, report: None },
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -60,9 +60,9 @@
         match command {
             EndpointCommand::Address(new) => address = new,
             // TDS has no word for the priority of a batch that runs: it keeps what it was sent with.
-            EndpointCommand::SetPriority(..) => {}
+            EndpointCommand::SetPriority { .. } => {}
             // An attention has its own word, so the stop is always confirmed.
-            EndpointCommand::Cancel(attempt, _) => {
+            EndpointCommand::Cancel { attempt, .. } => {
                 let connection = carried.get(&attempt).and_then(|number| pool.get(number));
                 if let Some(connection) = connection
                     && connection.tasks.try_send(Task::Cancel(attempt)).is_err()
@@ -70,7 +70,7 @@
                     log::debug!("an attempt was over before its stop");
                 }
             }
-            EndpointCommand::Start(..) | EndpointCommand::HealthCheck => {
+            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => {
                 pool.retain(|_, connection| !connection.tasks.is_closed());
                 let idle = |one: &&mut Connection| !one.busy && one.address == address;
                 if !pool.values().any(|one| !one.busy && one.address == address) {
@@ -98,7 +98,7 @@
                     continue;
                 };
                 let attempt = match &command {
-                    EndpointCommand::Start(attempt, _) => Some(*attempt),
+                    EndpointCommand::Start { attempt, .. } => Some(*attempt),
                     _ => None,
                 };
                 connection.busy = true;
