--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -1,209 +1,244 @@
-//! One connection to a TDS engine: a login, then one request at a time.
+//! One connection to a TDS engine: a session that is opened for the first task, then one request at a time.
 
-use super::{Free, Task};
-use crate::clock::Micros;
+use super::session::Session;
+use super::{ConnectionNumber, Idle, Login, Task};
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
 use crate::decision::{AttemptNote, LoadReport, Usage};
-use crate::tds::login::{self, Login};
+use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
-use crate::tds::value::Type;
 use crate::upstream::line_protocol::load_report;
-use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, failed_connect, failed_io};
-use bytes::{Buf, BytesMut};
+use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, ResultBudget};
 use std::net::SocketAddr;
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// An engine's errors that prove that nothing ran.
-const FULL: [u32; 2] = [10928, 40501];
-const OVER: u32 = 50504;
-/// Word of a running request.
-const WORD: u32 = 50100;
-const PROBE: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
-/// An engine that was sent an attention and has no word on it after this long is gone.
-const ATTENTION_WITHIN: Duration = Duration::from_secs(3);
+/// Error numbers that say that the engine is full: the request never ran.
+const ERRORS_FULL: [u32; 2] = [10928, 40501];
+/// Error number that says that the request's time was over when it was read: it never ran.
+const ERROR_EXPIRED: u32 = 50504;
+/// Number of the INFO tokens that report on a running request.
+const INFO_PROGRESS: u32 = 50100;
+/// The statement that asks an engine for its load report.
+const HEALTH_CHECK: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
 
-/// What a connection knows.
-pub(super) struct Context {
+/// What a connection needs.
+pub(super) struct Setup {
     pub context: EndpointContext,
     pub address: SocketAddr,
     pub login: Login,
-    pub number: usize,
-    pub freed: mpsc::Sender<Free>,
-}
-
-struct Link {
-    stream: TcpStream,
-    received: BytesMut,
-    tokens: BytesMut,
-    columns: Vec<(String, Type)>,
-    whole: bool,
-    heard: Micros,
+    pub number: ConnectionNumber,
+    /// Where the connection reports that it is idle.
+    pub idle: mpsc::Sender<Idle>,
 }
 
 /// How a request ended.
 struct Finish {
-    news: Result<(Table, Option<Usage>), ConnectionEnd>,
-    /// Whether the connection can carry another.
-    alive: bool,
+    result: Result<Served, ConnectionEnd>,
+    /// Whether the session can carry another request.
+    reusable: bool,
+}
+
+/// A complete result.
+struct Served {
+    table: Table,
+    usage: Option<Usage>,
 }
 
-fn lost(end: ConnectionEnd) -> Finish {
-    Finish { news: Err(end), alive: false }
+/// The session can't be used any more.
+fn broken(end: ConnectionEnd) -> Finish {
+    Finish { result: Err(end), reusable: false }
 }
 
-/// Carries what it is told until it ends.
-pub(super) async fn run(context: Context, mut tasks: mpsc::Receiver<Task>) {
-    let limits = context.context.limits.clone();
-    let mut link: Option<Link> = None;
+/// Carries out tasks until the session breaks or is idle for too long.
+pub(super) async fn run(setup: Setup, mut tasks: mpsc::Receiver<Task>) {
+    let idle_after = setup.context.limits.idle_after.to_duration();
+    let mut session: Option<Session> = None;
     loop {
-        let idle = limits.idle_after.to_duration();
-        let Ok(Some(task)) = tokio::time::timeout(idle, tasks.recv()).await else { break };
+        let Ok(Some(task)) = tokio::time::timeout(idle_after, tasks.recv()).await else { break };
         let Task::Run(command) = task else { continue };
-        let now = context.context.clock.now();
-        let opened = match link.take() {
-            Some(open) => Ok(open),
-            None => match tokio::time::timeout(limits.connect_timeout, open(&context, now)).await {
+        let (open, started_at) = (session.take(), setup.context.clock.now());
+        let mut current = match open {
+            Some(open) => open,
+            None => match setup.open_session().await {
                 Ok(opened) => opened,
-                Err(_) => Err(ConnectionEnd::ConnectTimeout),
+                Err(end) => {
+                    tasks.close();
+                    let _ended = setup.context.unwritten(command, end).await;
+                    break;
+                }
             },
         };
-        let mut opened = match opened {
-            Ok(opened) => opened,
-            Err(end) => {
-                tasks.close();
-                let _ended = context.context.unwritten(command, end).await;
-                break;
-            }
-        };
-        let (alive, told) = match command {
-            EndpointCommand::Start { attempt, call }
-                if call.cancel_token.is_cancelled(context.context.clock.now()) =>
-            {
-                (true, context.context.ended(attempt, ConnectionEnd::NeverWritten).await)
-            }
+        let reusable = match command {
             EndpointCommand::Start { attempt, call } => {
-                let finish = carry(&context, &mut opened, attempt, &call, &mut tasks).await;
-                let news = match finish.news {
-                    Ok((table, usage)) => AttemptEvent::Served { table, usage, report: None },
-                    Err(end) => AttemptEvent::Ended { end, report: None },
-                };
-                (finish.alive, context.context.news(attempt, news).await)
+                setup.run_attempt(&mut current, attempt, &call, &mut tasks).await
             }
-            EndpointCommand::HealthCheck => {
-                let finish = tokio::time::timeout(limits.probe_timeout.to_duration(), probe(&mut opened));
-                let (end, report, alive) = match finish.await {
-                    Ok(Ok(report)) => (ConnectionEnd::Answered, Some(report), true),
-                    Ok(Err(end)) => (end, None, false),
-                    Err(_) => (ConnectionEnd::TimedOut, None, false),
-                };
-                let elapsed = context.context.clock.now() - now;
-                (alive, context.context.probed(end, report, elapsed).await)
-            }
-            _ => (true, Ok(())),
+            EndpointCommand::HealthCheck => setup.check_health(&mut current, started_at).await,
+            _ => Ok(true),
         };
-        if !alive || told.is_err() {
+        if !matches!(reusable, Ok(true)) {
             tasks.close();
             break;
         }
-        link = Some(opened);
-        if context.freed.send(Free(context.number)).await.is_err() {
+        session = Some(current);
+        if setup.idle.send(Idle(setup.number)).await.is_err() {
             return;
         }
     }
     drop(tasks);
-    let _ended = context.freed.send(Free(context.number)).await;
+    let _ended = setup.idle.send(Idle(setup.number)).await;
 }
 
-async fn open(context: &Context, now: Micros) -> Result<Link, ConnectionEnd> {
-    let stream = TcpStream::connect(context.address).await.map_err(|error| failed_connect(&error))?;
-    let _no_delay = stream.set_nodelay(true);
-    let mut link = Link {
-        stream,
-        received: BytesMut::with_capacity(8192),
-        tokens: BytesMut::new(),
-        columns: Vec::new(),
-        whole: false,
-        heard: now,
-    };
-    // Nothing ran before the login: whatever ends it, the request was never sent.
-    let unsent = |_| ConnectionEnd::ConnectTimeout;
-    link.say(packet::PRELOGIN, &login::prelogin(login::ENCRYPT_NOT_SUPPORTED)).await.map_err(unsent)?;
-    while !link.whole {
-        link.read().await.map_err(unsent)?;
+impl Setup {
+    async fn open_session(&self) -> Result<Session, ConnectionEnd> {
+        let opening = Session::open(self.address, &self.login, self.context.clock.now());
+        let opened = tokio::time::timeout(self.context.limits.connect_timeout, opening).await;
+        opened.unwrap_or(Err(ConnectionEnd::ConnectTimeout))
     }
-    link.tokens.clear();
-    link.say(packet::LOGIN7, &login::login(&context.login)).await.map_err(unsent)?;
-    let mut granted = false;
-    loop {
-        match link.token().await.map_err(unsent)? {
-            Token::LoginAck => granted = true,
-            Token::Error { number, text } => log::error!("an engine denies the login: {number} {text}"),
-            Token::Done { more: false, .. } if granted => return Ok(link),
-            Token::Done { more: false, .. } => return Err(ConnectionEnd::ConnectTimeout),
-            _ => {}
+
+    /// Runs an attempt and reports its end; true where the session can carry another request.
+    async fn run_attempt(
+        &self,
+        session: &mut Session,
+        attempt: AttemptId,
+        call: &Call,
+        tasks: &mut mpsc::Receiver<Task>,
+    ) -> Result<bool, ServiceEnded> {
+        if call.cancel_token.is_cancelled(self.context.clock.now()) {
+            self.context.ended(attempt, ConnectionEnd::NeverWritten).await?;
+            return Ok(true);
         }
+        let finish = Attempt::new(&self.context, attempt, call).run(session, tasks).await;
+        let event = match finish.result {
+            Ok(Served { table, usage }) => AttemptEvent::Served { table, usage, report: None },
+            Err(end) => AttemptEvent::Ended { end, report: None },
+        };
+        self.context.news(attempt, event).await?;
+        Ok(finish.reusable)
+    }
+
+    /// Asks for the load report and reports it; true where the session can carry another request.
+    async fn check_health(
+        &self,
+        session: &mut Session,
+        started_at: crate::clock::Micros,
+    ) -> Result<bool, ServiceEnded> {
+        let timeout = self.context.limits.probe_timeout.to_duration();
+        let (end, report) = match tokio::time::timeout(timeout, query_load(session)).await {
+            Ok(Ok(report)) => (ConnectionEnd::Answered, Some(report)),
+            Ok(Err(end)) => (end, None),
+            Err(_) => (ConnectionEnd::TimedOut, None),
+        };
+        let elapsed = self.context.clock.now() - started_at;
+        let answered = report.is_some();
+        self.context.probed(end, report, elapsed).await?;
+        Ok(answered)
     }
 }
 
-impl Link {
-    async fn say(&mut self, kind: u8, data: &[u8]) -> Result<(), ConnectionEnd> {
-        self.whole = false;
-        self.tokens.clear();
-        let sent = self.stream.write_all(&packet::message(kind, data)).await;
-        sent.map_err(|error| failed_io(&error))
+/// A running attempt, and what has come of its result.
+struct Attempt<'a> {
+    context: &'a EndpointContext,
+    id: AttemptId,
+    call: &'a Call,
+    table: Table,
+    usage: Option<Usage>,
+    /// The first error that the engine sent.
+    error: Option<u32>,
+    budget: ResultBudget,
+}
+
+impl<'a> Attempt<'a> {
+    fn new(context: &'a EndpointContext, id: AttemptId, call: &'a Call) -> Attempt<'a> {
+        let budget = context.collect();
+        Attempt { context, id, call, table: Table::default(), usage: None, error: None, budget }
     }
 
-    /// Reads one more packet. It can be dropped at any point and nothing is lost.
-    async fn read(&mut self) -> Result<(), ConnectionEnd> {
+    async fn run(mut self, session: &mut Session, tasks: &mut mpsc::Receiver<Task>) -> Finish {
+        let batch = token::batch(&statement(self.call));
+        if let Err(end) = session.send(packet::SQL_BATCH, &batch).await {
+            return broken(end);
+        }
+        session.last_token = self.context.clock.now();
         loop {
-            match packet::next_packet(&mut self.received) {
-                Ok(Some(packet)) => {
-                    self.tokens.extend_from_slice(&packet.data);
-                    self.whole = packet.last;
-                    return match self.tokens.len() > packet::LONGEST_MESSAGE {
-                        true => Err(ConnectionEnd::Malformed),
-                        false => Ok(()),
-                    };
-                }
-                Ok(None) => {}
-                Err(error) => {
-                    log::warn!("a TDS engine's packet can't be used: {error}");
-                    return Err(ConnectionEnd::Malformed);
+            let limits = &self.context.limits;
+            let silent_at = self.context.clock.instant(session.last_token + limits.silent_after);
+            let token = tokio::select! {
+                token = session.next_token() => match token {
+                    Ok(token) => token,
+                    Err(end) => return broken(end),
+                },
+                task = tasks.recv() => match task {
+                    Some(Task::Cancel(cancelled)) if cancelled == self.id => {
+                        let reusable = session.cancel().await;
+                        return Finish { result: Err(ConnectionEnd::Cancelled), reusable };
+                    }
+                    Some(_) => continue,
+                    None => return broken(ConnectionEnd::Cancelled),
+                },
+                // An engine that runs a request reports on it all the time. Whether the engine itself hangs is for the
+                // health checks to find, which have connections of their own.
+                () = tokio::time::sleep_until(silent_at.into()), if limits.reports_progress => {
+                    log::warn!("a TDS engine says no more of request {}: given up there", self.call.name);
+                    return broken(ConnectionEnd::RequestSilent);
                 }
+            };
+            session.last_token = self.context.clock.now();
+            if let Token::Done { more: false, error, .. } = token {
+                return Finish { result: self.result(error), reusable: session.is_message_complete() };
             }
-            let read = self.stream.read_buf(&mut self.received).await;
-            if read.map_err(|error| failed_io(&error))? == 0 {
-                return Err(ConnectionEnd::Closed);
+            if let Err(end) = self.token(token).await {
+                return broken(end);
             }
         }
     }
 
-    /// The next token, read on until it is there whole. It can be dropped at any point and nothing is lost.
-    async fn token(&mut self) -> Result<Token, ConnectionEnd> {
-        loop {
-            let mut input = &self.tokens[..];
-            let left = input.len();
-            if let Ok(token) = token::read(&self.columns, &mut input) {
-                let used = left - input.len();
-                self.tokens.advance(used);
-                if let Token::Columns(columns) = &token {
-                    self.columns.clone_from(columns);
-                }
-                return Ok(token);
+    /// Takes one token of the answer in.
+    async fn token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
+        match token {
+            Token::Columns(columns) => {
+                self.table.columns = columns.into_iter().map(|(name, _)| name).collect();
             }
-            if self.whole {
-                log::warn!("a TDS engine's answer can't be used");
-                return Err(ConnectionEnd::Malformed);
+            Token::Row(row) => self.row(row)?,
+            Token::Info { number: INFO_PROGRESS, text } => match progress(&text) {
+                Some(Progress::Note(note)) => {
+                    let notified = self.context.news(self.id, AttemptEvent::Note(note)).await;
+                    notified.map_err(|ServiceEnded| ConnectionEnd::Cancelled)?;
+                }
+                Some(Progress::Usage(usage)) => self.usage = Some(usage),
+                None => {}
+            },
+            Token::Error { number, text } => {
+                log::debug!("an engine's error: {number} {text}");
+                self.error.get_or_insert(number);
             }
-            self.read().await?;
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
+        let bytes = row.iter().flatten().map(String::len).sum();
+        if !self.budget.add(bytes, self.context.limits.collected) {
+            log::warn!("a TDS engine's result is too long: given up there");
+            return Err(ConnectionEnd::RequestSilent);
+        }
+        self.table.rows.push(row);
+        Ok(())
+    }
+
+    /// The result at the end of the answer, whose last token says whether there was an error.
+    fn result(self, done_with_error: bool) -> Result<Served, ConnectionEnd> {
+        match self.error {
+            Some(number) if ERRORS_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
+            Some(ERROR_EXPIRED) => Err(ConnectionEnd::AnsweredOver),
+            Some(_) => Err(ConnectionEnd::AnsweredError),
+            None if done_with_error => Err(ConnectionEnd::AnsweredError),
+            None => Ok(Served { table: self.table, usage: self.usage }),
         }
     }
 }
 
+/// The statement with the request's fields in its first comment.
 fn statement(call: &Call) -> String {
     let key = call.key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
@@ -216,124 +251,45 @@
     )
 }
 
-enum Word {
+/// What an engine reports of a running request.
+enum Progress {
     Note(AttemptNote),
     Usage(Usage),
 }
 
-/// What an engine tells of a running request: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
-fn word(text: &str) -> Option<Word> {
+/// Parses a report on a running request: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
+fn progress(text: &str) -> Option<Progress> {
+    /// The amount of `held` that stands for a load.
+    const WAITS_FOR_LOAD: f64 = 2.0;
     let find = |name: &str| {
-        let pair = text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        pair.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite())
+        let value = text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+        value.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite())
     };
-    let note = find("share").map(AttemptNote::Progress).or(find("short").map(AttemptNote::Spills));
-    let note = note.or(find("held").map(|what| match what == 2.0 {
-        true => AttemptNote::WaitsForLoad,
-        false => AttemptNote::WaitsForMemory,
-    }));
-    let usage = || Some(Usage { work_ms: find("toil")?, memory_mb: find("room").unwrap_or(0.0) });
-    note.map(Word::Note).or(usage().map(Word::Usage))
-}
-
-async fn carry(
-    context: &Context,
-    link: &mut Link,
-    attempt: AttemptId,
-    call: &Call,
-    tasks: &mut mpsc::Receiver<Task>,
-) -> Finish {
-    if let Err(end) = link.say(packet::SQL_BATCH, &token::batch(&statement(call))).await {
-        return lost(end);
-    }
-    let (mut table, mut usage, mut failed) = (Table::default(), None, None);
-    let mut bytes = context.context.collect();
-    link.heard = context.context.clock.now();
-    let limits = &context.context.limits;
-    loop {
-        let silent = context.context.clock.instant(link.heard + limits.silent_after);
-        let token = tokio::select! {
-            token = link.token() => match token {
-                Ok(token) => token,
-                Err(end) => return lost(end),
-            },
-            task = tasks.recv() => match task {
-                Some(Task::Cancel(stopped)) if stopped == attempt => return stop(link).await,
-                Some(_) => continue,
-                None => return lost(ConnectionEnd::Cancelled),
-            },
-            // An engine that runs a request sends word all the time. Whether the engine itself stands still is
-            // for the probes to say, which have connections of their own.
-            () = tokio::time::sleep_until(silent.into()), if limits.reports_progress => {
-                log::warn!("a TDS engine says no more of request {}: given up there", call.name);
-                return lost(ConnectionEnd::RequestSilent);
-            }
-        };
-        link.heard = context.context.clock.now();
-        match token {
-            Token::Columns(columns) => table.columns = columns.into_iter().map(|(name, _)| name).collect(),
-            Token::Row(row) => {
-                let more = row.iter().flatten().map(String::len).sum();
-                if !bytes.add(more, context.context.limits.collected) {
-                    log::warn!("a TDS engine's result is too long: given up there");
-                    return lost(ConnectionEnd::RequestSilent);
-                }
-                table.rows.push(row);
-            }
-            Token::Info { number: WORD, text } => match word(&text) {
-                Some(Word::Note(note)) => {
-                    let told = context.context.news(attempt, AttemptEvent::Note(note)).await;
-                    if told.is_err() {
-                        return lost(ConnectionEnd::Cancelled);
-                    }
-                }
-                Some(Word::Usage(told)) => usage = Some(told),
-                None => {}
-            },
-            Token::Error { number, text } => {
-                log::debug!("an engine's error: {number} {text}");
-                failed.get_or_insert(number);
-            }
-            Token::Done { more: false, error, .. } => {
-                let news = match failed {
-                    Some(number) if FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
-                    Some(OVER) => Err(ConnectionEnd::AnsweredOver),
-                    Some(_) => Err(ConnectionEnd::AnsweredError),
-                    None if error => Err(ConnectionEnd::AnsweredError),
-                    None => Ok((table, usage)),
-                };
-                return Finish { news, alive: link.whole };
-            }
-            _ => {}
-        }
-    }
-}
-
-/// Sends an attention and reads on to the word on it: only then can the connection carry another request.
-async fn stop(link: &mut Link) -> Finish {
-    let sent = link.stream.write_all(&packet::message(packet::ATTENTION, &[])).await;
-    let acknowledged = async {
-        loop {
-            // The rest of the answer may come before, as a message of its own.
-            match link.token().await {
-                Ok(Token::Done { attention: true, .. }) => return true,
-                Ok(_) => {}
-                Err(ConnectionEnd::Malformed) if link.tokens.is_empty() && link.whole => link.whole = false,
-                Err(_) => return false,
-            }
+    let note = if let Some(fraction) = find("share") {
+        AttemptNote::Progress(fraction)
+    } else if let Some(megabytes) = find("short") {
+        AttemptNote::Spills(megabytes)
+    } else if let Some(amount) = find("held") {
+        match amount == WAITS_FOR_LOAD {
+            true => AttemptNote::WaitsForLoad,
+            false => AttemptNote::WaitsForMemory,
         }
+    } else {
+        let work_ms = find("toil")?;
+        return Some(Progress::Usage(Usage { work_ms, memory_mb: find("room").unwrap_or(0.0) }));
     };
-    let alive = sent.is_ok() && tokio::time::timeout(ATTENTION_WITHIN, acknowledged).await.unwrap_or(false);
-    Finish { news: Err(ConnectionEnd::Cancelled), alive }
+    Some(Progress::Note(note))
 }
 
-async fn probe(link: &mut Link) -> Result<LoadReport, ConnectionEnd> {
-    link.say(packet::SQL_BATCH, &token::batch(PROBE)).await?;
-    let (mut columns, mut row) = (Vec::new(), Row::new());
+/// Asks an engine for its load report.
+async fn query_load(session: &mut Session) -> Result<LoadReport, ConnectionEnd> {
+    session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK)).await?;
+    let mut columns = Vec::new();
+    let mut row = Row::new();
     loop {
-        match link.token().await? {
-            Token::Columns(told) => columns = told,
-            Token::Row(told) => row = told,
+        match session.next_token().await? {
+            Token::Columns(reported) => columns = reported,
+            Token::Row(reported) => row = reported,
             Token::Error { .. } => return Err(ConnectionEnd::AnsweredError),
             Token::Done { more: false, .. } => break,
             _ => {}
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -1,7 +1,8 @@
-//! Engines that speak TDS: a pool of connections, each with one request at a time. What the lines say in
-//! fields travels in the statement's first comment, and what engines tell in INFO tokens: `docs/tds.md`.
+//! Engines that speak TDS: a pool of connections, each with one request at a time. What the line protocol has as fields
+//! travels in the statement's first comment, and engines report progress and usage in INFO tokens (`docs/tds.md`).
 
 mod connection;
+mod session;
 
 use super::{AttemptId, EndpointCommand, EndpointContext};
 use crate::core::ConnectionEnd;
@@ -11,13 +12,27 @@
 
 pub use crate::tds::login::Login;
 
-/// What a connection is told.
+/// Tasks that may wait for one connection: the request that it runs, and its cancellation.
+const TASK_QUEUE: usize = 16;
+/// Reports of idle connections that may wait for the pool.
+const IDLE_QUEUE: usize = 1024;
+
+/// What a connection is to do.
 #[derive(Debug)]
 enum Task {
+    /// Start an attempt or a health check.
     Run(EndpointCommand),
+    /// Cancel this attempt, where it is the one that runs.
     Cancel(AttemptId),
 }
 
+/// The number of a connection in its pool.
+type ConnectionNumber = usize;
+
+/// A connection has finished its task, or has ended.
+#[derive(Debug)]
+struct Idle(ConnectionNumber);
+
 #[derive(Debug)]
 struct Connection {
     tasks: mpsc::Sender<Task>,
@@ -25,93 +40,137 @@
     busy: bool,
 }
 
-/// A connection is free again.
-#[derive(Debug)]
-struct Free(usize);
+/// The connections to one engine.
+struct Pool {
+    context: EndpointContext,
+    address: SocketAddr,
+    login: Login,
+    connections: HashMap<ConnectionNumber, Connection>,
+    /// Which connection carries an attempt.
+    in_flight: HashMap<AttemptId, ConnectionNumber>,
+    last_number: ConnectionNumber,
+    idle: mpsc::Sender<Idle>,
+}
 
 /// Runs an engine's connections until the service ends.
 pub async fn run(
     context: EndpointContext,
-    mut address: SocketAddr,
+    address: SocketAddr,
     mut commands: mpsc::Receiver<EndpointCommand>,
     login: Login,
 ) {
-    let mut pool: HashMap<usize, Connection> = HashMap::new();
-    let mut carried: HashMap<AttemptId, usize> = HashMap::new();
-    let mut count = 0;
-    let (freed, mut frees) = mpsc::channel::<Free>(1024);
+    let (idle, mut idle_reports) = mpsc::channel::<Idle>(IDLE_QUEUE);
+    let mut pool = Pool {
+        context,
+        address,
+        login,
+        connections: HashMap::new(),
+        in_flight: HashMap::new(),
+        last_number: 0,
+        idle,
+    };
     loop {
-        let command = tokio::select! {
-            command = commands.recv() => match command {
-                Some(command) => command,
-                None => return,
-            },
-            free = frees.recv() => {
-                if let Some(Free(number)) = free {
-                    pool.retain(|_, connection| !connection.tasks.is_closed());
-                    carried.retain(|_, at| *at != number && pool.contains_key(at));
-                    if let Some(connection) = pool.get_mut(&number) {
-                        connection.busy = false;
-                    }
+        tokio::select! {
+            command = commands.recv() => {
+                let Some(command) = command else { return };
+                if let Some(Rejected { command, end }) = pool.carry_out(command)
+                    && pool.context.unwritten(command, end).await.is_err()
+                {
+                    return;
                 }
-                continue;
             }
-        };
+            report = idle_reports.recv() => {
+                if let Some(Idle(number)) = report {
+                    pool.mark_idle(number);
+                }
+            }
+        }
+    }
+}
+
+/// A command that no connection accepts, and the end to report for it.
+struct Rejected {
+    command: EndpointCommand,
+    end: ConnectionEnd,
+}
+
+impl Pool {
+    fn carry_out(&mut self, command: EndpointCommand) -> Option<Rejected> {
         match command {
-            EndpointCommand::Address(new) => address = new,
-            // TDS has no word for the priority of a batch that runs: it keeps what it was sent with.
+            EndpointCommand::Address(address) => self.address = address,
+            // TDS cannot change the priority of a batch that runs: it keeps the one that it was sent with.
             EndpointCommand::SetPriority { .. } => {}
-            // An attention has its own word, so the stop is always confirmed.
-            EndpointCommand::Cancel { attempt, .. } => {
-                let connection = carried.get(&attempt).and_then(|number| pool.get(number));
-                if let Some(connection) = connection
-                    && connection.tasks.try_send(Task::Cancel(attempt)).is_err()
-                {
-                    log::debug!("an attempt was over before its stop");
-                }
+            // An attention is acknowledged by its own token, so each cancellation is confirmed.
+            EndpointCommand::Cancel { attempt, .. } => self.cancel(attempt),
+            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => return self.start(command),
+        }
+        None
+    }
+
+    fn cancel(&self, attempt: AttemptId) {
+        let number = self.in_flight.get(&attempt);
+        let Some(connection) = number.and_then(|number| self.connections.get(number)) else { return };
+        if connection.tasks.try_send(Task::Cancel(attempt)).is_err() {
+            log::debug!("an attempt was over before its stop");
+        }
+    }
+
+    /// Hands a command to an idle connection, which may be a new one.
+    fn start(&mut self, command: EndpointCommand) -> Option<Rejected> {
+        self.connections.retain(|_, connection| !connection.tasks.is_closed());
+        let number = match self.idle_connection() {
+            Some(number) => number,
+            None if self.connections.len() >= self.context.limits.connections => {
+                return Some(Rejected { command, end: ConnectionEnd::ConnectTimeout });
             }
-            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => {
-                pool.retain(|_, connection| !connection.tasks.is_closed());
-                let idle = |one: &&mut Connection| !one.busy && one.address == address;
-                if !pool.values().any(|one| !one.busy && one.address == address) {
-                    if pool.len() >= context.limits.connections {
-                        if context.unwritten(command, ConnectionEnd::ConnectTimeout).await.is_err() {
-                            return;
-                        }
-                        continue;
-                    }
-                    count += 1;
-                    let (tasks, queue) = mpsc::channel(16);
-                    let context = connection::Context {
-                        context: context.clone(),
-                        address,
-                        login: login.clone(),
-                        number: count,
-                        freed: freed.clone(),
-                    };
-                    tokio::spawn(connection::run(context, queue));
-                    pool.insert(count, Connection { tasks, address, busy: false });
-                }
-                let Some((number, connection)) =
-                    pool.iter_mut().map(|(number, one)| (*number, one)).find(|(_, one)| idle(one))
-                else {
-                    continue;
-                };
-                let attempt = match &command {
-                    EndpointCommand::Start { attempt, .. } => Some(*attempt),
-                    _ => None,
-                };
-                connection.busy = true;
-                match connection.tasks.try_send(Task::Run(command)) {
-                    Ok(()) => carried.extend(attempt.map(|attempt| (attempt, number))),
-                    Err(full) => {
-                        let Task::Run(command) = full.into_inner() else { continue };
-                        if context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err() {
-                            return;
-                        }
-                    }
-                }
+            None => self.open_connection(),
+        };
+        let connection = self.connections.get_mut(&number)?;
+        connection.busy = true;
+        let attempt = match &command {
+            EndpointCommand::Start { attempt, .. } => Some(*attempt),
+            _ => None,
+        };
+        match connection.tasks.try_send(Task::Run(command)) {
+            Ok(()) => {
+                self.in_flight.extend(attempt.map(|attempt| (attempt, number)));
+                None
             }
+            Err(rejected) => match rejected.into_inner() {
+                Task::Run(command) => Some(Rejected { command, end: ConnectionEnd::NeverWritten }),
+                Task::Cancel(_) => None,
+            },
+        }
+    }
+
+    fn idle_connection(&self) -> Option<ConnectionNumber> {
+        let mut connections = self.connections.iter();
+        let is_idle = |connection: &Connection| !connection.busy && connection.address == self.address;
+        connections.find(|(_, connection)| is_idle(connection)).map(|(number, _)| *number)
+    }
+
+    fn open_connection(&mut self) -> ConnectionNumber {
+        self.last_number += 1;
+        let number = self.last_number;
+        let (tasks, queue) = mpsc::channel(TASK_QUEUE);
+        let setup = connection::Setup {
+            context: self.context.clone(),
+            address: self.address,
+            login: self.login.clone(),
+            number,
+            idle: self.idle.clone(),
+        };
+        tokio::spawn(connection::run(setup, queue));
+        self.connections.insert(number, Connection { tasks, address: self.address, busy: false });
+        number
+    }
+
+    fn mark_idle(&mut self, number: ConnectionNumber) {
+        let connections = &mut self.connections;
+        connections.retain(|_, connection| !connection.tasks.is_closed());
+        self.in_flight.retain(|_, carrier| *carrier != number && connections.contains_key(carrier));
+        if let Some(connection) = connections.get_mut(&number) {
+            connection.busy = false;
         }
     }
 }
