--- a/src/discovery/dns.rs
+++ b/src/discovery/dns.rs
@@ -1,5 +1,5 @@
-//! DNS messages (RFC 1035) as far as the name service uses them: one question, and answers of SRV, A, TXT
-//! and SOA records, with names that may be compressed.
+//! DNS messages (RFC 1035) as far as the name service uses them: a query with one question, and responses with SRV
+//! (RFC 2782), A, TXT and SOA records, whose names may be compressed.
 
 use super::DiscoveryError;
 use std::collections::HashMap;
@@ -9,50 +9,60 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
+/// Types of records.
 const SRV: u16 = 33;
 const A: u16 = 1;
 const TXT: u16 = 16;
 const SOA: u16 = 6;
+/// The Internet class.
 const INTERNET: u16 = 1;
-/// The most pointers followed in one name, and its longest form: names can be made to point in circles.
-const MOST_JUMPS: usize = 32;
-const LONGEST_NAME: usize = 255;
-
-type Out<T> = Result<T, ContextError>;
+/// Flags of a header: a response, cut short, and the bits of its code.
+const FLAG_RESPONSE: u16 = 0x8000;
+const FLAG_TRUNCATED: u16 = 0x0200;
+const CODE_MASK: u16 = 0x000f;
+/// A query that wants recursion, with one question and no records.
+const QUERY_FLAGS_AND_COUNTS: [u8; 10] = [0x01, 0x00, 0, 1, 0, 0, 0, 0, 0, 0];
+/// The longest label of a name.
+const MAX_LABEL_BYTES: usize = 63;
+/// The longest name, and the most compression pointers followed in one: names can be made to point in circles.
+const MAX_NAME_BYTES: usize = 255;
+const MAX_POINTERS: usize = 32;
+
+type Parsed<T> = Result<T, ContextError>;
 
 /// An SRV record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its priority.
+    /// Its priority; 0 for an engine that accepts requests.
     pub priority: u16,
     /// Its weight.
     pub weight: u16,
     /// Its port.
     pub port: u16,
-    /// Its target's name.
+    /// The name of the target, under which it has an A and TXT records.
     pub target: String,
 }
 
-/// What an answer holds.
+/// The records of a response.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Answer {
-    /// The serial of its SOA record.
+pub struct Response {
+    /// The serial of the SOA record.
     pub serial: Option<u32>,
-    /// Its SRV records.
+    /// The SRV records.
     pub services: Vec<Service>,
-    /// Its A records.
+    /// The addresses of A records, by their owner's name.
     pub addresses: HashMap<String, [u8; 4]>,
-    /// Its TXT records.
+    /// The strings of TXT records, by their owner's name.
     pub texts: HashMap<String, Vec<String>>,
 }
 
-/// A question for the SRV records of a name.
-pub fn question(id: u16, name: &str) -> Vec<u8> {
+/// A query for the SRV records of a name.
+pub fn query(id: u16, name: &str) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
     bytes.extend(id.to_be_bytes());
-    bytes.extend([0x01, 0x00, 0, 1, 0, 0, 0, 0, 0, 0]);
+    bytes.extend(QUERY_FLAGS_AND_COUNTS);
     for label in name.split('.').filter(|label| !label.is_empty()) {
-        let label = &label.as_bytes()[..label.len().min(63)];
+        let label = &label.as_bytes()[..label.len().min(MAX_LABEL_BYTES)];
         bytes.push(label.len() as u8);
         bytes.extend(label);
     }
@@ -62,13 +72,14 @@
     bytes
 }
 
+/// A part of a name.
 enum Label<'a> {
     End,
     Text(&'a [u8]),
     Pointer(usize),
 }
 
-fn label<'a>(input: &mut &'a [u8]) -> Out<Label<'a>> {
+fn label<'a>(input: &mut &'a [u8]) -> Parsed<Label<'a>> {
     let length = be_u8(input)?;
     match length >> 6 {
         0 if length == 0 => Ok(Label::End),
@@ -78,30 +89,30 @@
     }
 }
 
-/// Reads a name, which may go on elsewhere in the message; lower case, without the last dot.
-fn name(message: &[u8], input: &mut &[u8]) -> Out<String> {
+/// Parses a name, which may continue elsewhere in the message; lower case, without the last dot.
+fn name(message: &[u8], input: &mut &[u8]) -> Parsed<String> {
     let mut text = String::new();
     let mut elsewhere: Option<&[u8]> = None;
-    let mut jumps = 0;
+    let mut pointers = 0;
     loop {
         let read = match &mut elsewhere {
-            Some(place) => label(place)?,
+            Some(rest) => label(rest)?,
             None => label(input)?,
         };
         match read {
             Label::End => return Ok(text),
-            Label::Text(part) => {
+            Label::Text(text_part) => {
                 if !text.is_empty() {
                     text.push('.');
                 }
-                text.push_str(&String::from_utf8_lossy(part).to_ascii_lowercase());
+                text.push_str(&String::from_utf8_lossy(text_part).to_ascii_lowercase());
             }
-            Label::Pointer(at) => {
-                elsewhere = Some(message.get(at..).ok_or_else(ContextError::new)?);
-                jumps += 1;
+            Label::Pointer(offset) => {
+                elsewhere = Some(message.get(offset..).ok_or_else(ContextError::new)?);
+                pointers += 1;
             }
         }
-        if text.len() > LONGEST_NAME || jumps > MOST_JUMPS {
+        if text.len() > MAX_NAME_BYTES || pointers > MAX_POINTERS {
             return Err(ContextError::new());
         }
     }
@@ -109,15 +120,20 @@
 
 struct Header {
     flags: u16,
-    counts: [u16; 4],
+    questions: u16,
+    /// Records of all sections.
+    records: u32,
 }
 
-fn header(input: &mut &[u8]) -> Out<Header> {
-    let (_, flags, a, b, c, d) = (be_u16, be_u16, be_u16, be_u16, be_u16, be_u16).parse_next(input)?;
-    Ok(Header { flags, counts: [a, b, c, d] })
+fn header(input: &mut &[u8]) -> Parsed<Header> {
+    let (_id, flags, questions) = (be_u16, be_u16, be_u16).parse_next(input)?;
+    let (answers, authorities, additional) = (be_u16, be_u16, be_u16).parse_next(input)?;
+    let records = [answers, authorities, additional].map(u32::from).into_iter().sum();
+    Ok(Header { flags, questions, records })
 }
 
-fn record(message: &[u8], input: &mut &[u8], answer: &mut Answer) -> Out<()> {
+/// Parses one record into the response; records of other types are skipped.
+fn record(message: &[u8], input: &mut &[u8], response: &mut Response) -> Parsed<()> {
     let owner = name(message, input)?;
     let (kind, class, _ttl) = (be_u16, be_u16, be_u32).parse_next(input)?;
     let mut data: &[u8] = length_take(be_u16).parse_next(input)?;
@@ -128,99 +144,57 @@
     match kind {
         SRV => {
             let (priority, weight, port) = (be_u16, be_u16, be_u16).parse_next(data)?;
-            answer.services.push(Service { priority, weight, port, target: name(message, data)? });
+            response.services.push(Service { priority, weight, port, target: name(message, data)? });
         }
         A => {
             let bytes: [u8; 4] =
                 (be_u8, be_u8, be_u8, be_u8).map(|(a, b, c, d)| [a, b, c, d]).parse_next(data)?;
-            answer.addresses.insert(owner, bytes);
+            response.addresses.insert(owner, bytes);
         }
         TXT => {
             let part = length_take(be_u8).map(|part: &[u8]| String::from_utf8_lossy(part).into_owned());
             let parts: Vec<String> = repeat(0.., part).parse_next(data)?;
-            answer.texts.entry(owner).or_default().extend(parts);
+            response.texts.entry(owner).or_default().extend(parts);
         }
         SOA => {
             let (_host, _mail) = (name(message, data)?, name(message, data)?);
-            answer.serial = Some(be_u32(data)?);
+            response.serial = Some(be_u32(data)?);
         }
         _ => {}
     }
     Ok(())
 }
 
-/// Reads an answer.
-pub fn read(message: &[u8]) -> Result<Answer, DiscoveryError> {
+/// Parses a response.
+///
+/// # Errors
+/// It is no complete DNS response, is cut short, or has an error code.
+pub fn parse(message: &[u8]) -> Result<Response, DiscoveryError> {
     let mut input = message;
-    let head = header(&mut input).map_err(|_| DiscoveryError::Unreadable)?;
-    if head.flags & 0x8000 == 0 {
+    let header = header(&mut input).map_err(|_| DiscoveryError::Unreadable)?;
+    if header.flags & FLAG_RESPONSE == 0 {
         return Err(DiscoveryError::Unreadable);
     }
-    if head.flags & 0x0200 != 0 {
+    if header.flags & FLAG_TRUNCATED != 0 {
         return Err(DiscoveryError::Truncated);
     }
-    if head.flags & 0x000f != 0 {
-        return Err(DiscoveryError::Code((head.flags & 0x000f) as u8));
-    }
-    let mut answer = Answer::default();
-    for _ in 0..head.counts[0] {
-        name(message, &mut input).map_err(|_| DiscoveryError::Unreadable)?;
-        let asked: Out<(u16, u16)> = (be_u16, be_u16).parse_next(&mut input);
-        asked.map_err(|_| DiscoveryError::Unreadable)?;
-    }
-    for _ in 0..head.counts[1..].iter().map(|count| u32::from(*count)).sum() {
-        record(message, &mut input, &mut answer).map_err(|_| DiscoveryError::Unreadable)?;
+    if header.flags & CODE_MASK != 0 {
+        return Err(DiscoveryError::Code((header.flags & CODE_MASK) as u8));
     }
-    Ok(answer)
+    sections(message, &mut input, &header).map_err(|_| DiscoveryError::Unreadable)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// An answer with one engine, its names compressed.
-    fn sample() -> Vec<u8> {
-        let mut bytes = question(7, "_api._tcp.svc.local");
-        bytes[2] = 0x84;
-        bytes[7] = 1; // one SRV
-        bytes[9] = 1; // one SOA
-        bytes[11] = 2; // A and TXT
-        bytes.extend(b"\xc0\x0c\0\x21\0\x01\0\0\0\0\0\x17\0\0\0\x28\x1f\x90\x04s-0a\x04east\x05hosts\0");
-        let target = bytes.len() - 17;
-        bytes.extend(
-            b"\xc0\x0c\0\x06\0\x01\0\0\0\0\0\x18\xc0\x0c\xc0\x0c\0\0\0\x2a\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0",
-        );
-        bytes.extend([0xc0, target as u8]);
-        bytes.extend(b"\0\x01\0\x01\0\0\0\0\0\x04\x7f\0\0\x09");
-        bytes.extend([0xc0, target as u8]);
-        bytes.extend(b"\0\x10\0\x01\0\0\0\0\0\x13\x08kind=std\x09started=0");
-        bytes
+fn sections(message: &[u8], input: &mut &[u8], header: &Header) -> Parsed<Response> {
+    for _ in 0..header.questions {
+        name(message, input)?;
+        let _type_and_class: (u16, u16) = (be_u16, be_u16).parse_next(input)?;
     }
-
-    #[test]
-    fn an_answer_is_read() {
-        let answer = read(&sample()).unwrap();
-        assert_eq!(answer.serial, Some(42));
-        let target = "s-0a.east.hosts".to_owned();
-        assert_eq!(
-            answer.services,
-            vec![Service { priority: 0, weight: 40, port: 8080, target: target.clone() }]
-        );
-        assert_eq!(answer.addresses[&target], [127, 0, 0, 9]);
-        assert_eq!(answer.texts[&target], vec!["kind=std", "started=0"]);
-    }
-
-    #[test]
-    fn what_is_cut_short_or_points_in_circles_is_no_answer() {
-        let whole = sample();
-        for cut in 0..whole.len() {
-            assert!(read(&whole[..cut]).is_err(), "cut at {cut}");
-        }
-        let mut truncated = whole.clone();
-        truncated[2] |= 0x02;
-        assert!(matches!(read(&truncated), Err(DiscoveryError::Truncated)));
-        let mut circle = whole;
-        circle[12..14].copy_from_slice(&[0xc0, 0x0c]);
-        assert!(read(&circle).is_err());
+    let mut response = Response::default();
+    for _ in 0..header.records {
+        record(message, input, &mut response)?;
     }
+    Ok(response)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,264 +1,231 @@
-//! The list of engines: the events of the start, then the name service, asked again and again over DNS.
+//! Discovery of the engines: the list in the configuration at the start, then the name service, polled over DNS.
+//!
+//! Each query is for the SRV records of the configured service. A response lists all engines: the target's labels are
+//! the engine's name and zone, its A record the address, its TXT records kind, cell and start time, and the SOA serial
+//! numbers the list. Only changes go to the core.
 
 pub mod dns;
+mod endpoint_list;
+mod queries;
+
+pub use endpoint_list::EngineList;
 
 use crate::clock::Clock;
 use crate::core::{Engine, EngineListUpdate, Input};
 use crate::decision::EngineState;
-use crate::service::ServiceHandle;
-use std::collections::{BTreeMap, VecDeque};
+use crate::service::{ServiceEnded, ServiceHandle};
+use queries::Queries;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use thiserror::Error;
-use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Time between two questions. An event counts as told 1.5 s after it happened at the latest, and a drained
-/// engine may be sent work for 0.5 s more: even two lost answers must not take that long.
-const ASK_EVERY: Duration = Duration::from_millis(200);
-/// So many of the last questions may still be answered.
-const MOST_QUESTIONS: usize = 8;
-/// The longest answer, with some to spare.
-const LONGEST_ANSWER: usize = 16 * 1024;
-/// After so many lost answers in a row the questions go out from another socket: on the way of one answers may be
-/// lost for good, and what is told must be known 1.5 s after it happened.
-const ANOTHER_SOCKET_AFTER: u32 = 3;
-/// Log again that the name service says nothing after so many lost answers.
-const LOG_EVERY: u32 = 25;
-
-/// Why an answer of the name service could not be used.
+/// Time between two queries. An event counts as announced 1.5 s after it happened at the latest, and a draining engine
+/// may be sent work for 0.5 s more: even two lost responses must not take that long.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The longest response, with some bytes to spare.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+/// After this many failures in a row the queries go out from another socket: on the way of one socket responses may be
+/// lost for good, and an event must be known 1.5 s after it happened.
+const FAILURES_BEFORE_NEW_SOCKET: u32 = 3;
+/// A failure is logged again after this many in a row.
+const FAILURES_PER_WARNING: u32 = 25;
+/// SRV weights are ten times the engine's relative size.
+const SRV_WEIGHT_UNIT: f64 = 10.0;
+
+/// Why a response of the name service could not be used.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// Not an answer to this question, or not DNS.
+    /// Not a response, or not DNS.
     #[error("an answer that can't be read")]
     Unreadable,
-    /// Cut short: what it lists is not the whole list.
+    /// Cut short: it does not list all engines.
     #[error("an answer that is cut short")]
     Truncated,
-    /// The name service refused.
+    /// The name service answered with an error code (RFC 1035, section 4.1.1).
     #[error("the name service answered with code {0}")]
     Code(u8),
-    /// A target without its address, or without a zone.
+    /// A record that an engine needs is missing.
     #[error("an engine without its {0}")]
     Missing(&'static str),
 }
 
-/// The list as the name service last told it.
-#[derive(Debug, Clone, Default)]
-pub struct EngineList {
-    serial: u32,
-    engines: BTreeMap<String, Engine>,
-}
-
-impl EngineList {
-    /// Takes over an event of the start.
-    pub fn start(&mut self, serial: u32, whole: bool, engines: Vec<Engine>) {
-        self.serial = serial;
-        if whole {
-            self.engines.clear();
-        }
-        for engine in engines {
-            match engine.state {
-                EngineState::Removed => self.engines.remove(&engine.name),
-                _ => self.engines.insert(engine.name.clone(), engine),
-            };
-        }
-    }
-
-    /// All engines that are not gone.
-    pub fn engines(&self) -> Vec<Engine> {
-        self.engines.values().cloned().collect()
-    }
-
-    /// Takes over an answer, and tells what has changed. An older answer that came late changes nothing.
-    pub fn update(&mut self, serial: u32, engines: Vec<Engine>) -> Vec<Engine> {
-        if serial <= self.serial {
-            return Vec::new();
-        }
-        self.serial = serial;
-        let new: BTreeMap<String, Engine> = engines.into_iter().map(|one| (one.name.clone(), one)).collect();
-        let gone = self.engines.values().filter(|old| !new.contains_key(&old.name));
-        let mut changed: Vec<Engine> =
-            gone.map(|old| Engine { state: EngineState::Removed, ..old.clone() }).collect();
-        changed.extend(new.values().filter(|one| self.engines.get(&one.name) != Some(*one)).cloned());
-        self.engines = new;
-        changed
-    }
+/// Why a query has brought no list.
+#[derive(Debug, Error)]
+enum QueryError {
+    #[error("{0}")]
+    Socket(#[from] std::io::Error),
+    #[error("no answer")]
+    NoResponse,
+    #[error("{0}")]
+    Discovery(#[from] DiscoveryError),
 }
 
-/// What the configuration tells of the name service and of the list.
+/// What to discover, by the configuration.
 #[derive(Debug)]
 pub struct DiscoveryTarget {
-    /// The name service.
+    /// The name service; without one, the configured list stays.
     pub resolver: Option<SocketAddr>,
-    /// The name that is asked for.
+    /// The name to query.
     pub service: String,
-    /// The list, as far as the configuration knows it.
+    /// The list as the configuration has it.
     pub listed: EngineList,
 }
 
-/// Questions whose answers are still taken: one that comes late is good as well.
-#[derive(Debug)]
-struct Questions {
-    socket: UdpSocket,
-    open: VecDeque<u16>,
-}
-
-impl Questions {
-    async fn new(resolver: SocketAddr) -> Result<Questions, Lost> {
-        let here = if resolver.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-        let socket = UdpSocket::bind(here).await?;
-        socket.connect(resolver).await?;
-        Ok(Questions { socket, open: VecDeque::new() })
-    }
-
-    async fn ask(&mut self, service: &str, id: u16) -> Result<(), Lost> {
-        self.open.push_back(id);
-        if self.open.len() > MOST_QUESTIONS {
-            self.open.pop_front();
-        }
-        self.socket.send(&dns::question(id, service)).await?;
-        Ok(())
-    }
-
-    /// The answer to the last question, by a time, or else the newest that came to one before it. What answers
-    /// no open question is passed over.
-    async fn answer(&mut self, buffer: &mut [u8], by: Instant) -> Result<dns::Answer, Lost> {
-        let mut late = Err(Lost::Silent);
-        loop {
-            let Ok(received) = tokio::time::timeout_at(by, self.socket.recv(buffer)).await else {
-                return late;
-            };
-            let message = &buffer[..received?];
-            let asked = self.open.iter().position(|id| message.starts_with(&id.to_be_bytes()));
-            let Some(at) = asked else { continue };
-            // Those asked before it are of no more use.
-            self.open.drain(..=at);
-            let answer = dns::read(message).map_err(Lost::from);
-            if self.open.is_empty() {
-                return answer.or(late);
-            }
-            late = answer.or(late);
-        }
-    }
+/// A complete list as the name service reported it.
+struct ListedEngines {
+    serial: u32,
+    engines: Vec<Engine>,
 }
 
-/// Asks the name service until the service ends. A configuration that was read again counts at once; the list
-/// and its numbers go on.
-pub async fn run(mut told: watch::Receiver<DiscoveryTarget>, handle: ServiceHandle, clock: Clock, seed: u64) {
-    let mut listed = told.borrow_and_update().listed.clone();
+/// Polls the name service until the service ends. A changed target takes effect at once; the list and its serial go on.
+pub async fn run(
+    mut target: watch::Receiver<DiscoveryTarget>,
+    handle: ServiceHandle,
+    clock: Clock,
+    seed: u64,
+) {
+    let mut list = target.borrow_and_update().listed.clone();
     let mut rng = oorandom::Rand32::new(seed);
     loop {
         let (resolver, service) = {
-            let told = told.borrow_and_update();
-            (told.resolver, told.service.clone())
+            let target = target.borrow_and_update();
+            (target.resolver, target.service.clone())
         };
-        let changed = tokio::select! {
-            changed = told.changed() => changed.is_ok(),
-            () = ask_on(resolver, &service, &mut listed, &handle, &clock, &mut rng) => false,
+        let mut poller =
+            Poller { service: &service, list: &mut list, handle: &handle, clock: &clock, rng: &mut rng };
+        let target_changed = tokio::select! {
+            changed = target.changed() => changed.is_ok(),
+            ServiceEnded = poller.poll(resolver) => false,
         };
-        if !changed {
+        if !target_changed {
             return;
         }
-        let newer = told.borrow_and_update().listed.clone();
-        let news = listed.update(newer.serial, newer.engines());
-        if !news.is_empty() && handle.notify(Input::Engines(EngineListUpdate::Changed(news))).await.is_err() {
+        let changed = list.update_from(&target.borrow_and_update().listed);
+        if notify(&handle, changed).await.is_err() {
             return;
         }
     }
 }
 
-/// Asks one name service again and again; ends only with the service itself.
-async fn ask_on(
-    resolver: Option<SocketAddr>,
-    service: &str,
-    listed: &mut EngineList,
-    handle: &ServiceHandle,
-    clock: &Clock,
-    rng: &mut oorandom::Rand32,
-) {
-    let Some(resolver) = resolver else { return std::future::pending().await };
-    let mut buffer = vec![0; LONGEST_ANSWER];
-    let mut lost = 0u32;
-    let mut questions = None;
-    loop {
-        let by = Instant::now() + ASK_EVERY;
-        let id = (rng.rand_u32() & 0xffff) as u16;
-        let round = async {
-            if questions.is_none() {
-                questions = Some(Questions::new(resolver).await?);
-            }
-            let Some(questions) = &mut questions else { return Err(Lost::Silent) };
-            questions.ask(service, id).await?;
-            let answer = questions.answer(&mut buffer, by).await?;
-            engines(&answer, clock)
-        };
-        match round.await {
-            Ok((serial, engines)) => {
-                if lost >= LOG_EVERY {
-                    log::info!("name service: answers again");
-                }
-                lost = 0;
-                let changed = listed.update(serial, engines);
-                if !changed.is_empty()
-                    && handle.notify(Input::Engines(EngineListUpdate::Changed(changed))).await.is_err()
-                {
-                    return;
-                }
-            }
-            Err(error) => {
-                lost += 1;
-                if lost.is_multiple_of(ANOTHER_SOCKET_AFTER) {
-                    questions = None;
+/// Notifies the core of the engines that have changed.
+async fn notify(handle: &ServiceHandle, changed: Vec<Engine>) -> Result<(), ServiceEnded> {
+    if changed.is_empty() {
+        return Ok(());
+    }
+    handle.notify(Input::Engines(EngineListUpdate::Changed(changed))).await
+}
+
+/// Polls one name service.
+struct Poller<'a> {
+    service: &'a str,
+    list: &'a mut EngineList,
+    handle: &'a ServiceHandle,
+    clock: &'a Clock,
+    rng: &'a mut oorandom::Rand32,
+}
+
+impl Poller<'_> {
+    /// Polls again and again; returns only once the service has ended.
+    async fn poll(&mut self, resolver: Option<SocketAddr>) -> ServiceEnded {
+        let Some(resolver) = resolver else { return std::future::pending().await };
+        let mut buffer = vec![0; MAX_RESPONSE_BYTES];
+        let mut failures = Failures::default();
+        let mut queries = None;
+        loop {
+            let deadline = Instant::now() + POLL_INTERVAL;
+            match self.query(resolver, &mut queries, &mut buffer, deadline).await {
+                Ok(listed) => {
+                    failures.reset();
+                    let changed = self.list.update(listed.serial, listed.engines);
+                    if let Err(ended) = notify(self.handle, changed).await {
+                        return ended;
+                    }
                 }
-                match lost % LOG_EVERY {
-                    1 => log::warn!("name service: {error}"),
-                    _ => log::debug!("name service: {error}"),
+                Err(error) => {
+                    if failures.count(&error) {
+                        queries = None;
+                    }
                 }
             }
+            tokio::time::sleep_until(deadline).await;
         }
-        tokio::time::sleep_until(by).await;
+    }
+
+    async fn query(
+        &mut self,
+        resolver: SocketAddr,
+        queries: &mut Option<Queries>,
+        buffer: &mut [u8],
+        deadline: Instant,
+    ) -> Result<ListedEngines, QueryError> {
+        let id = (self.rng.rand_u32() & 0xffff) as u16;
+        let queries = match queries {
+            Some(queries) => queries,
+            None => queries.insert(Queries::connect(resolver).await?),
+        };
+        queries.send(self.service, id).await?;
+        let response = queries.response(buffer, deadline).await?;
+        Ok(listed_engines(&response, self.clock)?)
     }
 }
 
-/// What kept an answer away.
-#[derive(Debug, Error)]
-enum Lost {
-    #[error("{0}")]
-    Socket(#[from] std::io::Error),
-    #[error("no answer")]
-    Silent,
-    #[error("{0}")]
-    DiscoveryError(#[from] DiscoveryError),
+/// Queries in a row that have failed.
+#[derive(Default)]
+struct Failures(u32);
+
+impl Failures {
+    fn reset(&mut self) {
+        if self.0 >= FAILURES_PER_WARNING {
+            log::info!("name service: answers again");
+        }
+        self.0 = 0;
+    }
+
+    /// Counts and logs a failure; true where the next query needs another socket.
+    fn count(&mut self, error: &QueryError) -> bool {
+        self.0 += 1;
+        match self.0 % FAILURES_PER_WARNING {
+            1 => log::warn!("name service: {error}"),
+            _ => log::debug!("name service: {error}"),
+        }
+        self.0.is_multiple_of(FAILURES_BEFORE_NEW_SOCKET)
+    }
 }
 
-fn engines(answer: &dns::Answer, clock: &Clock) -> Result<(u32, Vec<Engine>), Lost> {
-    let mut engines = Vec::with_capacity(answer.services.len());
-    for service in &answer.services {
-        let mut labels = service.target.split('.');
-        let name = labels.next().filter(|name| !name.is_empty()).ok_or(DiscoveryError::Missing("name"))?;
-        let zone = labels.next().ok_or(DiscoveryError::Missing("zone"))?;
-        let address = answer.addresses.get(&service.target).ok_or(DiscoveryError::Missing("address"))?;
-        let no_text = Vec::new();
-        let texts = answer.texts.get(&service.target).unwrap_or(&no_text);
-        let text = |name: &str| {
-            texts.iter().find_map(|text| text.strip_prefix(name).and_then(|rest| rest.strip_prefix('=')))
-        };
-        let since: i64 = text("started").and_then(|told| told.parse().ok()).unwrap_or(0);
-        engines.push(Engine {
-            name: name.to_owned(),
-            address: SocketAddr::from((Ipv4Addr::from(*address), service.port)),
-            zone: zone.to_owned(),
-            kind: text("kind").unwrap_or("").to_owned(),
-            cell: text("cell").and_then(|told| told.parse().ok()),
-            state: if service.priority == 0 { EngineState::Ready } else { EngineState::Draining },
-            weight: f64::from(service.weight) / 10.0,
-            started: (since != 0).then(|| clock.from_unix_ms(since)),
-        });
+/// The engines of a response.
+fn listed_engines(response: &dns::Response, clock: &Clock) -> Result<ListedEngines, DiscoveryError> {
+    let mut engines = Vec::with_capacity(response.services.len());
+    for service in &response.services {
+        engines.push(listed_engine(service, response, clock)?);
     }
-    let serial = answer.serial.ok_or(DiscoveryError::Missing("serial"))?;
-    Ok((serial, engines))
+    let serial = response.serial.ok_or(DiscoveryError::Missing("serial"))?;
+    Ok(ListedEngines { serial, engines })
+}
+
+fn listed_engine(
+    service: &dns::Service,
+    response: &dns::Response,
+    clock: &Clock,
+) -> Result<Engine, DiscoveryError> {
+    let mut labels = service.target.split('.');
+    let name = labels.next().filter(|name| !name.is_empty()).ok_or(DiscoveryError::Missing("name"))?;
+    let zone = labels.next().ok_or(DiscoveryError::Missing("zone"))?;
+    let address = response.addresses.get(&service.target).ok_or(DiscoveryError::Missing("address"))?;
+    let texts = response.texts.get(&service.target).map_or(&[][..], Vec::as_slice);
+    let text = |key: &str| texts.iter().find_map(|text| text.strip_prefix(key)?.strip_prefix('='));
+    let started_unix_ms: i64 = text("started").and_then(|value| value.parse().ok()).unwrap_or(0);
+    Ok(Engine {
+        name: name.to_owned(),
+        address: SocketAddr::from((Ipv4Addr::from(*address), service.port)),
+        zone: zone.to_owned(),
+        kind: text("kind").unwrap_or("").to_owned(),
+        cell: text("cell").and_then(|value| value.parse().ok()),
+        state: if service.priority == 0 { EngineState::Ready } else { EngineState::Draining },
+        weight: f64::from(service.weight) / SRV_WEIGHT_UNIT,
+        started: (started_unix_ms != 0).then(|| clock.from_unix_ms(started_unix_ms)),
+    })
 }
 
 #[cfg(test)]
