--- /dev/null
+++ b/src/config/cluster.rs
@@ -0,0 +1,117 @@
+//! The `[cluster]` section.
+
+use super::error::{ConfigError, invalid};
+use super::file::ClusterKeys;
+use super::listeners::loopback;
+use crate::cluster::{ROLLING_RESTART_LEASE, backup};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::path::PathBuf;
+
+/// A lease has to outlive two lost renewals and an election of the voters (1 to 2 s).
+const DEFAULT_LEASE_MS: u64 = 3000;
+const LEASE_MS: RangeInclusive<u64> = 500..=600_000;
+const MIN_BACKUP_INTERVAL_MS: u64 = 1000;
+/// The longest name of a manager or cluster, as messages between managers have it.
+const MAX_NAME_BYTES: usize = 64;
+/// Sizes of a voter group: with one voter more than an odd number no more may fail.
+const VOTER_COUNTS: [usize; 4] = [1, 3, 5, 7];
+
+/// A cluster of managers that communicate.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Fleet {
+    /// The cluster's name: messages of others are rejected.
+    pub name: String,
+    /// Where other managers connect.
+    pub listen: SocketAddr,
+    /// The address that other managers are given.
+    pub advertise: SocketAddr,
+    /// Where some other managers may be found at the start.
+    pub seeds: Vec<SocketAddr>,
+    /// The names of the voters: 1, 3, 5 or 7.
+    pub voters: Vec<String>,
+    /// The voter's own file.
+    pub path: Option<PathBuf>,
+    /// This manager's zone.
+    pub zone: String,
+    /// The leases that this manager tries to acquire.
+    pub duties: Vec<String>,
+    /// The length of a lease, in microseconds.
+    pub lease_us: u64,
+    /// Time between two scheduled backups, in ms.
+    pub backup_every_ms: Option<u64>,
+}
+
+/// Checks the section. `manager` is this manager's name, `has_backup_folder` whether `store.backups` is set.
+pub(super) fn cluster(
+    keys: ClusterKeys,
+    manager: &str,
+    has_backup_folder: bool,
+) -> Result<Fleet, ConfigError> {
+    if cfg!(not(feature = "cluster")) {
+        return Err(invalid("cluster", "this build has no fleet: build it with --features cluster"));
+    }
+    let listen = loopback("cluster.listen", keys.listen)?;
+    let advertise = loopback("cluster.advertise", keys.advertise.unwrap_or(listen))?;
+    for seed in &keys.seeds {
+        loopback("cluster.seeds", *seed)?;
+    }
+    check_names(&keys, manager)?;
+    check_voters(&keys, manager)?;
+    check_backups(&keys, has_backup_folder)?;
+    let lease_ms = keys.lease_ms.unwrap_or(DEFAULT_LEASE_MS);
+    if !LEASE_MS.contains(&lease_ms) {
+        return Err(invalid("cluster.lease_ms", format!("must be 500 to 600000, is {lease_ms}")));
+    }
+    let mut duties = Vec::new();
+    if keys.backup_every_ms.is_some() {
+        duties.push(backup::DUTY.to_owned());
+    }
+    duties.push(ROLLING_RESTART_LEASE.to_owned());
+    Ok(Fleet {
+        name: keys.name,
+        listen,
+        advertise,
+        seeds: keys.seeds,
+        voters: keys.voters,
+        path: keys.path,
+        zone: keys.zone,
+        duties,
+        lease_us: lease_ms * 1000,
+        backup_every_ms: keys.backup_every_ms,
+    })
+}
+
+fn check_names(keys: &ClusterKeys, manager: &str) -> Result<(), ConfigError> {
+    let fits = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    if !fits(manager) {
+        return Err(invalid("name", format!("must have 1 to {MAX_NAME_BYTES} bytes in a fleet")));
+    }
+    if !fits(&keys.name) {
+        return Err(invalid("cluster.name", format!("must have 1 to {MAX_NAME_BYTES} bytes")));
+    }
+    Ok(())
+}
+
+fn check_voters(keys: &ClusterKeys, manager: &str) -> Result<(), ConfigError> {
+    let distinct: BTreeSet<&str> = keys.voters.iter().map(String::as_str).collect();
+    if !VOTER_COUNTS.contains(&keys.voters.len()) || distinct.len() != keys.voters.len() {
+        return Err(invalid("cluster.voters", "must be 1, 3, 5 or 7 names, each once"));
+    }
+    if keys.path.is_none() && distinct.contains(manager) {
+        return Err(invalid("cluster.path", format!("is missing, and {manager} is a voter")));
+    }
+    Ok(())
+}
+
+fn check_backups(keys: &ClusterKeys, has_backup_folder: bool) -> Result<(), ConfigError> {
+    let Some(interval_ms) = keys.backup_every_ms else { return Ok(()) };
+    if interval_ms < MIN_BACKUP_INTERVAL_MS {
+        return Err(invalid("cluster.backup_every_ms", "must be at least 1000"));
+    }
+    if !has_backup_folder {
+        return Err(invalid("cluster.backup_every_ms", "is set, and no folder is (store.backups)"));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/config/source.rs
@@ -0,0 +1,101 @@
+//! Where the configuration comes from, and its values as they were read.
+
+use super::error::{ConfigError, read_file};
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+
+/// Names the platform's file (JSON).
+const PLATFORM_FILE: &str = "LB_CONFIG";
+/// Names an operator's file (TOML).
+const OPERATOR_FILE: &str = "SANDDYKE_CONFIG";
+/// The command line's option for a file.
+const FILE_OPTION: &str = "--config";
+/// Keys that variables of the environment set.
+const VARIABLES: [(&str, &str); 3] = [("name", "LB_NAME"), ("listen", "LB_LISTEN"), ("ops", "LB_OPS")];
+/// The keys that are read of the platform's file. It has more, under names that may be this program's too (an `admin`
+/// that is an address was seen), and what they would configure is off on the platform.
+const PLATFORM_KEYS: [&str; 9] =
+    ["name", "listen", "ops", "seed", "limits", "resolver", "service", "known", "settings"];
+
+/// Where the configuration comes from.
+#[derive(Debug, Clone)]
+pub enum Source {
+    /// The files that `LB_CONFIG` or `SANDDYKE_CONFIG` name.
+    Environment,
+    /// A file: JSON where its name ends so, else TOML.
+    File(PathBuf),
+}
+
+/// A file, and how it is written.
+struct Location {
+    key: &'static str,
+    path: PathBuf,
+    is_json: bool,
+}
+
+impl Source {
+    /// Whether the platform provides the configuration, and decides who reaches which address.
+    pub fn is_platform(&self) -> bool {
+        matches!(self, Source::Environment) && std::env::var_os(PLATFORM_FILE).is_some()
+    }
+
+    /// Reads the file, and applies the variables of the environment.
+    pub(super) fn read(&self) -> Result<Value, ConfigError> {
+        let location = self.location()?;
+        let text = read_file(location.key, &location.path)?;
+        let syntax = |reason: String| ConfigError::Syntax { key: location.key, reason };
+        let mut value: Value = match location.is_json {
+            true => serde_json::from_str(&text).map_err(|error| syntax(error.to_string()))?,
+            false => toml::from_str(&text).map_err(|error| syntax(error.to_string()))?,
+        };
+        if let Some(keys) = value.as_object_mut() {
+            if location.key == PLATFORM_FILE {
+                keys.retain(|key, _| PLATFORM_KEYS.contains(&key.as_str()));
+            }
+            for (key, variable) in VARIABLES {
+                if let Ok(set) = std::env::var(variable) {
+                    keys.insert(key.to_owned(), Value::String(set));
+                }
+            }
+        }
+        Ok(value)
+    }
+
+    fn location(&self) -> Result<Location, ConfigError> {
+        let variable = |key: &str| std::env::var_os(key).map(PathBuf::from);
+        match self {
+            Source::File(path) => {
+                let is_json = path.extension().is_some_and(|extension| extension == "json");
+                Ok(Location { key: FILE_OPTION, path: path.clone(), is_json })
+            }
+            Source::Environment => {
+                let platform = variable(PLATFORM_FILE);
+                let operator = variable(OPERATOR_FILE);
+                if let Some(path) = platform {
+                    Ok(Location { key: PLATFORM_FILE, path, is_json: true })
+                } else if let Some(path) = operator {
+                    Ok(Location { key: OPERATOR_FILE, path, is_json: false })
+                } else {
+                    Err(ConfigError::Unset)
+                }
+            }
+        }
+    }
+}
+
+/// The configuration's values as they were read, to find the keys that have changed since.
+#[derive(Debug, Clone)]
+pub struct RawConfig(pub(super) Value);
+
+impl RawConfig {
+    /// The keys whose values differ from those of an earlier configuration.
+    pub fn changed(&self, before: &RawConfig) -> Vec<String> {
+        let keys: BTreeSet<String> = self.keys().chain(before.keys()).cloned().collect();
+        keys.into_iter().filter(|key| self.0.get(key) != before.0.get(key)).collect()
+    }
+
+    fn keys(&self) -> impl Iterator<Item = &String> {
+        self.0.as_object().into_iter().flat_map(|object| object.keys())
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use sanddyke::admin::{self, Admin};
 use sanddyke::clock::{Clock, Micros};
 use sanddyke::cluster::Cluster;
-use sanddyke::config::{Config, Read, Source};
+use sanddyke::config::{Config, RawConfig, Source};
 use sanddyke::core::{Core, EngineListUpdate, Input};
 use sanddyke::discovery::{self, DiscoveryTarget};
 use sanddyke::frontend::http::{self, Http};
@@ -166,7 +166,7 @@
 
 /// Reads the configuration again, whole. One that can't be used changes nothing.
 fn reload(
-    read: &mut Read,
+    read: &mut RawConfig,
     source: &Source,
     clock: &Clock,
     names: &watch::Sender<DiscoveryTarget>,
