--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,9 @@
 //! The administration API: JSON over HTTP on a listener of its own, encrypted where a certificate is set up,
 //! with a bearer token. `docs/admin.md` lists it; `routes` has the calls of version 1 as a table.
 
+mod bodies;
 mod metrics;
+pub mod openapi;
 mod problem;
 pub mod routes;
 mod v1;
@@ -128,7 +130,7 @@
             clock,
             token,
             cluster,
-            watchers: v1::watchers(),
+            watchers: v1::watcher_permits(),
             rates,
         })
     }
@@ -144,7 +146,7 @@
                 let status = if self.lifecycle.is_ready() { 200 } else { 503 };
                 return Ok(Response::json(status, json!({ "ready": self.lifecycle.is_ready() }).to_string()));
             }
-            ("GET", "/v1/openapi.json") => return Ok(Response::json(200, routes::openapi().to_string())),
+            ("GET", "/v1/openapi.json") => return Ok(Response::json(200, openapi::openapi().to_string())),
             _ => {}
         }
         let caller = self.caller(request).await?;
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -1,98 +1,94 @@
-//! The calls of version 1, as one table: by it requests are told apart, and the OpenAPI document is made.
+//! The calls of version 1 as one table: requests are routed by it, and the OpenAPI document is made from it.
 
-use schemars::generate::SchemaSettings;
-use schemars::{JsonSchema, SchemaGenerator};
-use serde_json::{Value, json};
-
-/// What a request asks for.
+/// The calls. Their names are the operation ids of the OpenAPI document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// Who the caller is.
+    /// The caller's own token.
     Myself,
-    /// Tenants, by pages.
+    /// Lists tenants, by pages.
     ListTenants,
-    /// A new tenant.
+    /// Creates a tenant.
     CreateTenant,
-    /// One tenant.
+    /// Gets one tenant.
     GetTenant,
-    /// Changes of a tenant, as a merge patch.
+    /// Changes a tenant by a merge patch.
     PatchTenant,
-    /// A tenant's end.
+    /// Removes a tenant.
     RemoveTenant,
-    /// A tenant takes no requests for now.
+    /// Rejects a tenant's requests for now.
     SuspendTenant,
-    /// It takes them again.
+    /// Admits a tenant's requests again.
     ResumeTenant,
-    /// It takes none for good.
+    /// Rejects a tenant's requests for good.
     DrainTenant,
-    /// Groups.
+    /// Lists groups.
     ListGroups,
-    /// A new group.
+    /// Creates a group.
     CreateGroup,
-    /// One group.
+    /// Gets one group.
     GetGroup,
-    /// Changes of a group, as a merge patch.
+    /// Changes a group by a merge patch.
     PatchGroup,
-    /// A group's end.
+    /// Removes a group.
     RemoveGroup,
-    /// Effective shares.
+    /// The effective share of each tenant.
     Shares,
-    /// Tokens.
+    /// Lists tokens.
     ListTokens,
-    /// A new token.
+    /// Creates a token.
     CreateToken,
-    /// Another secret for a token.
+    /// Replaces a token's secret.
     RotateToken,
-    /// A token's end.
+    /// Removes a token.
     RemoveToken,
-    /// The audit trail, by pages.
+    /// Lists the audit trail, by pages.
     Audit,
-    /// Changes as they come.
+    /// Waits for changes.
     Watch,
-    /// Engines.
+    /// Lists engines.
     Engines,
-    /// Open requests.
+    /// Lists open requests.
     Requests,
-    /// A request's end.
+    /// Cancels an open request.
     CancelRequest,
-    /// A backup of the store.
+    /// Writes a backup of the store.
     Backup,
-    /// All tenants and groups, as TOML.
+    /// Exports all tenants and groups as TOML.
     Export,
-    /// Tenants and groups from TOML.
+    /// Imports tenants and groups from TOML.
     Import,
-    /// The fleet.
+    /// Shows the fleet.
     Fleet,
-    /// A duty goes to the next in order.
+    /// Hands a lease over to the next manager.
     HandOver,
-    /// A voter whose file was lost is let in.
+    /// Admits a voter whose file was lost.
     Admit,
-    /// Managers take turns at being drained or restarted.
+    /// Starts a rolling restart.
     Roll,
-    /// A roll is paused, taken up again, or taken back.
+    /// Pauses, resumes or takes back a rolling restart.
     TurnRoll,
 }
 
-/// A row of the table.
+/// A route.
 #[derive(Debug)]
 pub struct Route {
-    /// Its method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// Its path; one part may be a parameter, in braces.
+    /// The path; one part may be a parameter, in braces.
     pub path: &'static str,
-    /// What it asks for.
+    /// The call.
     pub call: Call,
-    /// In words.
+    /// The summary in the OpenAPI document.
     pub summary: &'static str,
-    /// The roles that may call it.
+    /// The roles that may make the call, for the OpenAPI document.
     pub roles: &'static str,
-    /// The schema of its body, by name.
+    /// The name of the body's schema.
     pub takes: Option<&'static str>,
-    /// Its query keys, separated by spaces.
+    /// The keys of its query string, separated by spaces.
     pub query: &'static str,
-    /// Header fields of the request that it heeds, separated by spaces.
+    /// Header fields that it uses, separated by spaces.
     pub fields: &'static str,
-    /// The status of its answer where it is granted.
+    /// The status of a successful answer.
     pub status: u16,
 }
 
@@ -117,7 +113,7 @@
     };
 }
 
-/// The table.
+/// All routes.
 #[rustfmt::skip]
 pub const ROUTES: &[Route] = &[
     route!("GET" "/v1/self" Myself 200, "any", None, "", "", "Who the caller is, and what its token is for."),
@@ -154,18 +150,19 @@
     route!("POST" "/v1/fleet/roll/{word}" TurnRoll 202, OPERATOR, None, "", "", "A roll's `pause`, `resume` or `take-back`. Asked of the holder of the duty `warden`."),
 ];
 
-/// Why no row fits.
+/// Why no route matches.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NoRoute {
-    /// No row has the path.
+    /// No route has the path.
     Path,
-    /// Rows have it with these methods.
+    /// Routes with the path have these methods.
     Method(String),
 }
 
-/// The parameter of a path, where it fits a row's.
-fn fit<'a>(template: &str, path: &'a str) -> Option<&'a str> {
-    let (mut parameter, mut parts) = ("", path.split('/'));
+/// Matches a path with a template, and returns the parameter.
+fn match_path<'a>(template: &str, path: &'a str) -> Option<&'a str> {
+    let mut parameter = "";
+    let mut parts = path.split('/');
     for wanted in template.split('/') {
         let part = parts.next()?;
         match wanted.starts_with('{') {
@@ -178,9 +175,9 @@
     parts.next().is_none().then_some(parameter)
 }
 
-/// The row that a request asks for, and its parameter.
+/// The route of a request, and the parameter in its path.
 pub fn find<'a>(method: &str, path: &'a str) -> Result<(&'static Route, &'a str), NoRoute> {
-    let rows = || ROUTES.iter().filter_map(|row| Some((row, fit(row.path, path)?)));
+    let rows = || ROUTES.iter().filter_map(|row| Some((row, match_path(row.path, path)?)));
     if let Some(found) = rows().find(|(row, _)| row.method == method) {
         return Ok(found);
     }
@@ -188,101 +185,5 @@
     Err(if methods.is_empty() { NoRoute::Path } else { NoRoute::Method(methods.join(", ")) })
 }
 
-fn schema<T: JsonSchema>(generator: &mut SchemaGenerator) {
-    generator.subschema_for::<T>();
-}
-
-/// The OpenAPI document.
-pub fn openapi() -> Value {
-    let mut settings = SchemaSettings::draft2020_12();
-    settings.definitions_path = "/components/schemas".into();
-    let mut generator = SchemaGenerator::new(settings);
-    schema::<super::v1::NewTenant>(&mut generator);
-    schema::<super::v1::NewGroup>(&mut generator);
-    schema::<super::v1::NewToken>(&mut generator);
-    schema::<super::v1::Rotation>(&mut generator);
-    schema::<super::v1::NewRoll>(&mut generator);
-    schema::<sanddyke_tenancy::TenantSpec>(&mut generator);
-    schema::<sanddyke_tenancy::GroupSpec>(&mut generator);
-    schema::<sanddyke_tenancy::Tenant>(&mut generator);
-    schema::<sanddyke_tenancy::Group>(&mut generator);
-    schema::<sanddyke_store::AuditEntry>(&mut generator);
-    let schemas = generator.take_definitions(true);
-    let mut paths = serde_json::Map::new();
-    for route in ROUTES {
-        let parameter = |name: &str, place: &str| {
-            let required = place == "path";
-            json!({ "name": name, "in": place, "required": required, "schema": { "type": "string" } })
-        };
-        let in_path = route.path.split(['{', '}']).nth(1).map(|name| parameter(name, "path"));
-        let query = route.query.split_whitespace().map(|name| parameter(name, "query"));
-        let fields = route.fields.split_whitespace().map(|name| parameter(name, "header"));
-        let parameters: Vec<Value> = in_path.into_iter().chain(query).chain(fields).collect();
-        let mut operation = json!({
-            "operationId": format!("{:?}", route.call),
-            "summary": route.summary,
-            "description": format!("Roles: {}.", route.roles),
-            "parameters": parameters,
-            "responses": {
-                route.status.to_string(): { "description": "granted" },
-                "default": { "description": "a problem", "content": { "application/problem+json": {
-                    "schema": { "$ref": "#/components/schemas/Problem" } } } },
-            },
-        });
-        if let Some(name) = route.takes {
-            let body = json!({ "schema": { "$ref": format!("#/components/schemas/{name}") } });
-            operation["requestBody"] = json!({ "required": true, "content": { "application/json": body } });
-        }
-        let path = paths.entry(route.path).or_insert_with(|| json!({}));
-        path[route.method.to_lowercase()] = operation;
-    }
-    let mut schemas = Value::Object(schemas);
-    schemas["Problem"] = json!({
-        "type": "object", "required": ["type", "title", "status", "detail"],
-        "properties": { "type": { "type": "string" }, "title": { "type": "string" },
-            "status": { "type": "integer" }, "detail": { "type": "string" } },
-    });
-    json!({
-        "openapi": "3.1.0",
-        "info": { "title": "sanddyke administration API", "version": "1",
-            "description": "Tenants, groups, tokens and the audit trail of a sanddyke workload manager." },
-        "security": [{ "bearer": [] }],
-        "paths": paths,
-        "components": {
-            "securitySchemes": { "bearer": { "type": "http", "scheme": "bearer" } },
-            "schemas": schemas,
-        },
-    })
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn paths_are_told_apart() {
-        let found = |method, path| find(method, path).map(|(row, name)| (row.call, name));
-        assert_eq!(found("GET", "/v1/tenants"), Ok((Call::ListTenants, "")));
-        assert_eq!(found("GET", "/v1/tenants/a"), Ok((Call::GetTenant, "a")));
-        assert_eq!(found("POST", "/v1/tenants/a/drain"), Ok((Call::DrainTenant, "a")));
-        assert_eq!(found("PUT", "/v1/tenants/a"), Err(NoRoute::Method("GET, PATCH, DELETE".to_owned())));
-        for path in ["/v1/tenants/", "/v1/tenants//drain", "/v1", "/v1/tenants/a/b", "/v1/tenants/a/drain/"] {
-            assert_eq!(found("GET", path), Err(NoRoute::Path), "{path}");
-        }
-    }
-
-    #[test]
-    fn the_document_names_schemas_that_it_holds() {
-        let document = openapi();
-        let text = document.to_string();
-        for name in text.split("#/components/schemas/").skip(1).map(|rest| rest.split('"').next().unwrap()) {
-            assert!(document["components"]["schemas"].get(name).is_some(), "{name}");
-        }
-        assert_eq!(document["paths"].as_object().unwrap().len(), {
-            let mut paths: Vec<&str> = ROUTES.iter().map(|row| row.path).collect();
-            paths.sort_unstable();
-            paths.dedup();
-            paths.len()
-        });
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/admin/v1/changes.rs
@@ -0,0 +1,123 @@
+//! What changes of tenants and groups have in common: preconditions, idempotency keys and dry runs.
+
+use super::query::IfMatch;
+use super::{Answer, Context};
+use crate::admin::problem::Problem;
+use crate::admin::{Admin, Caller};
+use crate::frontend::http::message::{Request, Response};
+use crate::tenants::{ChangeOutcome, ChangeRequest};
+use sanddyke_authorization::digest;
+use sanddyke_tenancy::{Change, Generation, Plan, Subject, TenantId};
+use serde_json::{Value, json};
+
+/// Changed shares that the answer to a dry run lists at most.
+const MAX_LISTED_SHARES: usize = 1000;
+/// The longest idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+
+impl Admin {
+    /// Creates a tenant or group.
+    pub(super) async fn create(&self, context: &Context<'_>, change: Change) -> Answer {
+        // The digest is stored with the key: its form must stay.
+        let key = idempotency_key(context.request)?.map(|key| (key, digest(&format!("{change:?}"))));
+        let subject = change.subject();
+        let request =
+            ChangeRequest { who: context.caller.id.clone(), changes: vec![change], expected: None, key };
+        if context.query.dry_run {
+            return self.dry_run(&request).await;
+        }
+        match self.tenant_service.change(request).await? {
+            ChangeOutcome::Applied(_) => self.subject(context.caller, 201, &subject).await,
+            ChangeOutcome::AlreadyApplied(_) => {
+                let response = self.subject(context.caller, 201, &subject).await?;
+                Ok(response.with("Idempotent-Replayed", "true".to_owned()))
+            }
+        }
+    }
+
+    /// Changes or removes a tenant or group. `based_on` is the generation that the change was worked out from: where
+    /// the caller names none, no other change may come in between.
+    pub(super) async fn change(
+        &self,
+        context: &Context<'_>,
+        change: Change,
+        based_on: Option<Generation>,
+    ) -> Answer {
+        let if_match = IfMatch::of(context.request)?;
+        if needs_precondition(&change) && if_match == IfMatch::Absent && !context.query.dry_run {
+            let detail = "If-Match is needed: the ETag that you have seen, or * to change whatever is there";
+            return Err(Problem::new(428, "if_match", detail));
+        }
+        let subject = change.subject();
+        let removes = matches!(change, Change::RemoveTenant { .. } | Change::RemoveGroup { .. });
+        let expected = if_match.generation().or(based_on);
+        let request = ChangeRequest {
+            who: context.caller.id.clone(),
+            changes: vec![change],
+            expected: expected.map(|generation| (subject.clone(), generation)),
+            key: None,
+        };
+        if context.query.dry_run {
+            return self.dry_run(&request).await;
+        }
+        self.tenant_service.change(request).await?;
+        if removes {
+            return Ok(Response::json(200, json!({ "removed": subject.name() }).to_string()));
+        }
+        self.subject(context.caller, 200, &subject).await
+    }
+
+    async fn subject(&self, caller: &Caller, status: u16, subject: &Subject) -> Answer {
+        match subject {
+            Subject::Tenant(name) => self.tenant(caller, status, name).await,
+            Subject::Group(name) => self.group(caller, status, name).await,
+        }
+    }
+
+    /// Answers with the effective shares that a change would move.
+    pub(super) async fn dry_run(&self, request: &ChangeRequest) -> Answer {
+        let plan = self.tenant_service.plan(request).await?;
+        let shares = self.moved_shares(&plan).await;
+        let body = json!({
+            "dry_run": true, "changes": plan.records.len(), "generation": plan.after.generation(),
+            "shares_changed": plan.moved.len(), "shares": shares,
+        });
+        Ok(Response::json(200, body.to_string()))
+    }
+
+    async fn moved_shares(&self, plan: &Plan) -> Vec<Value> {
+        let listed = self.tenant_service.read(|tenants| {
+            let name = |id: TenantId| {
+                let tenant = plan.after.by_id(id).or_else(|| tenants.registry.by_id(id));
+                tenant.map_or(String::new(), |tenant| tenant.name.clone())
+            };
+            let moved = plan.moved.iter().take(MAX_LISTED_SHARES);
+            let listed = moved.map(
+                |(id, (before, after))| json!({ "tenant": name(*id), "before": before, "after": after }),
+            );
+            listed.collect()
+        });
+        listed.await
+    }
+}
+
+/// Whether a change must name the generation that its caller has seen.
+fn needs_precondition(change: &Change) -> bool {
+    matches!(
+        change,
+        Change::SetTenant { .. }
+            | Change::SetGroup { .. }
+            | Change::RemoveTenant { .. }
+            | Change::RemoveGroup { .. }
+    )
+}
+
+fn idempotency_key(request: &Request) -> Result<Option<String>, Problem> {
+    let Some(key) = request.field("Idempotency-Key") else { return Ok(None) };
+    let is_plain = key.chars().all(|c| c.is_ascii_graphic());
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_plain {
+        let detail = "Idempotency-Key: 1 to 128 plain characters";
+        return Err(Problem::new(400, "idempotency_key", detail));
+    }
+    Ok(Some(key.to_owned()))
+}
--- /dev/null
+++ b/src/admin/v1/service.rs
@@ -0,0 +1,95 @@
+//! Calls on the running service: engines, open requests, backup, export and import.
+
+use super::json::not_found;
+use super::{Answer, Context};
+use crate::admin::problem::Problem;
+use crate::admin::{Admin, Caller};
+use crate::core::Input;
+use crate::frontend::http::message::Response;
+use crate::tenants::ChangeRequest;
+use sanddyke_authorization::Permission;
+use sanddyke_tenancy::{Document, FORMAT, TenantId};
+use serde_json::json;
+
+impl Admin {
+    pub(super) async fn engines(&self, caller: &Caller) -> Answer {
+        caller.require(Permission::See)?;
+        let report = self.handle.inspect().await?;
+        Ok(Response::json(200, json!({ "engines": report.engines }).to_string()))
+    }
+
+    /// The open requests of the tenants that the caller sees.
+    pub(super) async fn requests(&self, caller: &Caller) -> Answer {
+        let visible = self.visible_tenants(caller).await;
+        let mut report = self.handle.inspect().await?;
+        if let Some(names) = visible {
+            let is_visible =
+                |tenant: &Option<String>| tenant.as_ref().is_some_and(|name| names.contains(name));
+            report.requests.retain(|open| is_visible(&open.tenant));
+        }
+        Ok(Response::json(200, json!({ "requests": report.requests }).to_string()))
+    }
+
+    /// Ends an open request: its client is answered at once.
+    pub(super) async fn cancel_request(&self, caller: &Caller, name: &str) -> Answer {
+        let report = self.handle.inspect().await?;
+        let missing = || not_found("open request");
+        let open = report.requests.iter().find(|open| open.name == name).ok_or_else(missing)?;
+        match self.tenant_id(open.tenant.as_deref().unwrap_or_default()).await {
+            Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
+            Some(id) => caller.require(Permission::RunTenant(id))?,
+            None => caller.require(Permission::Change)?,
+        }
+        self.handle.notify(Input::CancelRequested(open.id)).await?;
+        log::info!(who = caller.id.as_str(); "admin: request {name} cancelled");
+        Ok(Response::json(200, json!({ "cancelled": name }).to_string()))
+    }
+
+    pub(super) async fn tenant_id(&self, name: &str) -> Option<TenantId> {
+        self.tenant_service.read(|tenants| tenants.registry.tenant(name).map(|tenant| tenant.id)).await
+    }
+
+    /// Writes a backup of the store.
+    pub(super) async fn backup(&self, caller: &Caller) -> Answer {
+        caller.require(Permission::Govern)?;
+        let path = self.tenant_service.backup().await?;
+        Ok(Response::json(201, json!({ "path": path }).to_string()))
+    }
+
+    /// All tenants and groups, as TOML.
+    pub(super) async fn export(&self, caller: &Caller) -> Answer {
+        caller.require(Permission::Govern)?;
+        let document = self.tenant_service.read(|tenants| Document::of(&tenants.registry)).await;
+        let text =
+            toml::to_string(&document).map_err(|error| Problem::new(500, "export", error.to_string()))?;
+        Ok(Response::of(200, "application/toml", text))
+    }
+
+    /// Makes tenants and groups agree with a TOML document, all at once.
+    pub(super) async fn import(&self, context: &Context<'_>) -> Answer {
+        context.caller.require(Permission::Govern)?;
+        let document = document(&context.request.body)?;
+        let prune = context.query.prune;
+        // Worked out from what is there now: where another change comes in between, some would not fit.
+        let changes = self.tenant_service.read(|tenants| document.changes(&tenants.registry, prune)).await;
+        let count = changes.len();
+        let request = ChangeRequest { who: context.caller.id.clone(), changes, expected: None, key: None };
+        if context.query.dry_run {
+            return self.dry_run(&request).await;
+        }
+        if count > 0 {
+            self.tenant_service.change(request).await?;
+        }
+        Ok(Response::json(200, json!({ "changes": count }).to_string()))
+    }
+}
+
+fn document(body: &[u8]) -> Result<Document, Problem> {
+    let invalid = |detail: String| Problem::new(422, "invalid", detail);
+    let text = std::str::from_utf8(body).map_err(|error| invalid(error.to_string()))?;
+    let document: Document = toml::from_str(text).map_err(|error| invalid(error.to_string()))?;
+    match document.format == FORMAT {
+        true => Ok(document),
+        false => Err(invalid(format!("format: must be {FORMAT}"))),
+    }
+}
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: `serve` is what the program is for, the others help to run it.
 
 use clap::{Parser, Subcommand};
-use sanddyke::admin::routes;
+use sanddyke::admin::openapi;
 use sanddyke::clock::Clock;
 use sanddyke::config::{self, Config, ConfigError, Source};
 use sanddyke_store::{Commit, Store, StoreError};
@@ -145,7 +145,7 @@
             print(&format!("{}: good: {tenants} tenants, classes {classes}\n", read.name))
         }
         Command::Schema => print(&format!("{:#}\n", config::schema())),
-        Command::Openapi => print(&format!("{:#}\n", routes::openapi())),
+        Command::Openapi => print(&format!("{:#}\n", openapi::openapi())),
         Command::Export { store } => {
             let (_, loaded) = Store::open_existing(&store)?;
             let text = toml::to_string(&Document::of(&loaded.registry));
