--- a/crates/store/src/crash.rs
+++ b/crates/store/src/store/crash_tests.rs
@@ -1,10 +1,12 @@
-//! The machine stops at every write. A disk that remembers each write and each sync is cut at any of them: what
-//! was synced is there, of what was not each write is there or is lost, or only its beginning is there. Whatever
-//! the cut, all that was acknowledged is there afterwards, and nothing half.
+//! A crash at every write. A disk in memory records each write and each sync, and is cut at any of them: what was synced
+//! is there, and each write that was not is there, lost, or there in part. Whatever the cut, all that was acknowledged is
+//! there afterwards, and nothing incomplete.
 
-use super::*;
+use crate::{Commit, Store};
 use oorandom::Rand32;
-use sanddyke_authorization::{Grant, Role};
+use redb::Database;
+use sanddyke_authorization::{Grant, Role, Tokens};
+use sanddyke_tenancy::Registry;
 use sanddyke_tenancy::{Change, GroupSpec, State, TenantSpec};
 use std::collections::BTreeSet;
 use std::io;
@@ -110,7 +112,7 @@
         let disk = Disk::default();
         let database = Database::builder().create_with_backend(disk.clone()).unwrap();
         let store = Store { database, path: path.clone() };
-        store.found().unwrap();
+        store.write_form().unwrap();
         let made = disk.log.lock().unwrap().len();
         let mut registry = Registry::default();
         // After how many operations what had been acknowledged.
--- a/crates/store/src/voter_file.rs
+++ b/crates/store/src/voter_file.rs
@@ -1,8 +1,10 @@
-//! What a voter has promised, in a file of its own (redb): its number, and the log that it votes on. Each row carries a
-//! CRC-32. A file that is damaged is not voted on: [`VoterFile::open`] says so and leaves it as it was.
+//! The persistent state of a voter, in a redb file of its own: the voter's id, and the replicated log. Each row has a
+//! CRC-32. [`VoterFile::open`] rejects a damaged file and leaves it as it was: nobody votes by it.
 
-use super::{StoreError, guard, missing, text, write_error};
 use crate::encoding::{pack, unpack};
+use crate::error::{StoreError, message, write_error};
+use crate::panic_guard;
+use crate::tables::optional;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::path::{Path, PathBuf};
 
@@ -10,29 +12,29 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("voter_log");
 const CACHE_BYTES: usize = 1 << 20;
 
-/// What was promised: all that a voter goes on from.
+/// The state that a voter restores at its start. The bytes are the consensus library's.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VoterState {
     /// Term, vote and commit.
     pub hard_state: Vec<u8>,
-    /// The log, from the snapshot on.
+    /// The log's entries after the snapshot.
     pub entries: Vec<Vec<u8>>,
-    /// What the log goes on from.
+    /// The snapshot that the log follows.
     pub snapshot: Vec<u8>,
 }
 
-/// What is to be kept, all of it or none.
+/// A change of a voter's state, stored completely or not at all.
 #[derive(Debug, Clone, Default)]
 pub struct VoterUpdate<'a> {
     /// Term, vote and commit, where they changed.
     pub hard_state: Option<&'a [u8]>,
-    /// Entries by their place; what was kept from the first of them on goes.
+    /// Entries by their index in the log; entries stored from the first of them on are replaced.
     pub entries: &'a [(u64, Vec<u8>)],
-    /// A new beginning of the log: what was kept up to there goes.
+    /// A snapshot with its index; entries stored up to it are removed.
     pub snapshot: Option<(u64, &'a [u8])>,
 }
 
-/// The open file.
+/// An open voter file.
 #[derive(Debug)]
 pub struct VoterFile {
     database: Database,
@@ -42,11 +44,14 @@
 }
 
 impl VoterFile {
-    /// Opens the file, or makes one under a new number. The number is drawn with the file: where the file is lost, so is
-    /// the vote, and nobody takes the new one for the old.
+    /// Opens the file, or creates one with a new id. The id belongs to the file: where the file is lost, so is the vote, and
+    /// nobody takes the new voter for the old one.
+    ///
+    /// # Errors
+    /// The file is damaged or in use.
     pub fn open(path: &Path, new_id: u64) -> Result<VoterFile, StoreError> {
         let damaged = |why: String| StoreError::Damaged { path: path.to_owned(), why };
-        let opened = guard::guarded(|| {
+        let opened = panic_guard::guarded(|| {
             let database = Database::builder().set_cache_size(CACHE_BYTES).create(path);
             let database = database.map_err(|error| match error {
                 redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(path.to_owned()),
@@ -58,7 +63,7 @@
                 None => {
                     file.id = new_id;
                     file.write(|meta, _| {
-                        meta.insert("id", pack(&new_id)?.as_slice()).map_err(text)?;
+                        meta.insert("id", pack(&new_id)?.as_slice()).map_err(message)?;
                         Ok(())
                     })?;
                 }
@@ -72,15 +77,15 @@
         opened.unwrap_or_else(|why| Err(damaged(why)))
     }
 
-    /// The voter's number, and whether it has begun to vote.
+    /// The voter's id, and whether its group is founded: only then it votes.
     pub fn standing(&self) -> (u64, bool) {
         (self.id, self.founded)
     }
 
     fn meta(&self, key: &str) -> Result<Option<Vec<u8>>, String> {
-        let read = self.database.begin_read().map_err(text)?;
-        let Some(table) = missing(read.open_table(META))? else { return Ok(None) };
-        Ok(table.get(key).map_err(text)?.map(|row| row.value().to_vec()))
+        let read = self.database.begin_read().map_err(message)?;
+        let Some(table) = optional(read.open_table(META))? else { return Ok(None) };
+        Ok(table.get(key).map_err(message)?.map(|row| row.value().to_vec()))
     }
 
     fn write(
@@ -100,39 +105,48 @@
         transaction.commit().map_err(write_error)
     }
 
-    /// Begins to vote from here. All of it is on the disk when this returns.
+    /// Stores the first state of a founded group. It is on the disk when this returns.
+    ///
+    /// # Errors
+    /// Nothing is stored.
     pub fn begin(&mut self, state: &VoterState) -> Result<(), StoreError> {
         self.write(|meta, log| {
-            log.retain(|_, _| false).map_err(text)?;
-            meta.insert("hard_state", pack(&state.hard_state)?.as_slice()).map_err(text)?;
-            meta.insert("snapshot", pack(&state.snapshot)?.as_slice()).map_err(text)?;
+            log.retain(|_, _| false).map_err(message)?;
+            meta.insert("hard_state", pack(&state.hard_state)?.as_slice()).map_err(message)?;
+            meta.insert("snapshot", pack(&state.snapshot)?.as_slice()).map_err(message)?;
             Ok(())
         })?;
         self.founded = true;
         Ok(())
     }
 
-    /// Keeps more. All of it is on the disk when this returns.
+    /// Stores a change. It is on the disk when this returns.
+    ///
+    /// # Errors
+    /// Nothing of it is stored.
     pub fn keep(&self, more: &VoterUpdate<'_>) -> Result<(), StoreError> {
         self.write(|meta, log| {
             if let Some(state) = more.hard_state {
-                meta.insert("hard_state", pack(&state)?.as_slice()).map_err(text)?;
+                meta.insert("hard_state", pack(&state)?.as_slice()).map_err(message)?;
             }
             if let Some((index, snapshot)) = more.snapshot {
-                meta.insert("snapshot", pack(&snapshot)?.as_slice()).map_err(text)?;
-                log.retain_in(..=index, |_, _| false).map_err(text)?;
+                meta.insert("snapshot", pack(&snapshot)?.as_slice()).map_err(message)?;
+                log.retain_in(..=index, |_, _| false).map_err(message)?;
             }
             if let Some((first, _)) = more.entries.first() {
-                log.retain_in(*first.., |_, _| false).map_err(text)?;
+                log.retain_in(*first.., |_, _| false).map_err(message)?;
             }
             for (index, entry) in more.entries {
-                log.insert(index, pack(entry)?.as_slice()).map_err(text)?;
+                log.insert(index, pack(entry)?.as_slice()).map_err(message)?;
             }
             Ok(())
         })
     }
 
-    /// All that was promised.
+    /// The stored state.
+    ///
+    /// # Errors
+    /// A row that is missing or damaged.
     pub fn state(&self) -> Result<VoterState, StoreError> {
         let damaged = |why: String| StoreError::Damaged { path: self.path.clone(), why };
         let row = |key: &str| -> Result<Vec<u8>, String> {
@@ -144,7 +158,7 @@
             entries: Vec::new(),
         };
         let read = self.database.begin_read().map_err(|error| damaged(error.to_string()))?;
-        if let Some(log) = missing(read.open_table(LOG)).map_err(damaged)? {
+        if let Some(log) = optional(read.open_table(LOG)).map_err(damaged)? {
             state.entries.reserve(log.len().map_or(0, |rows| rows as usize));
             for row in log.iter().map_err(|error| damaged(error.to_string()))? {
                 let (_, row) = row.map_err(|error| damaged(error.to_string()))?;
@@ -156,42 +170,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a voter that comes back with less than it promised, or with what it took back.
-    #[test]
-    fn what_was_promised_is_there_after_a_new_start() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("voter.redb");
-        {
-            let mut file = VoterFile::open(&path, 7).unwrap();
-            assert_eq!(file.standing(), (7, false));
-            file.begin(&VoterState { hard_state: vec![1], snapshot: vec![2], entries: Vec::new() }).unwrap();
-            let entries = [(2, vec![20]), (3, vec![30]), (4, vec![40])];
-            file.keep(&VoterUpdate { hard_state: Some(&[3]), entries: &entries, ..VoterUpdate::default() })
-                .unwrap();
-            file.keep(&VoterUpdate { entries: &[(3, vec![31])], ..VoterUpdate::default() }).unwrap();
-        }
-        let file = VoterFile::open(&path, 8).unwrap();
-        assert_eq!(file.standing(), (7, true), "the number stays the file's");
-        let state = file.state().unwrap();
-        assert_eq!(
-            state,
-            VoterState { hard_state: vec![3], snapshot: vec![2], entries: vec![vec![20], vec![31]] }
-        );
-        file.keep(&VoterUpdate { snapshot: Some((2, &[9])), ..VoterUpdate::default() }).unwrap();
-        let state = file.state().unwrap();
-        assert_eq!((state.snapshot, state.entries), (vec![9], vec![vec![31]]));
-    }
-
-    /// Guards against a damaged file that is voted on as if it were whole.
-    #[test]
-    fn a_file_that_is_no_voters_is_refused_and_left() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("voter.redb");
-        std::fs::write(&path, b"not a file of this kind").unwrap();
-        assert!(matches!(VoterFile::open(&path, 7), Err(StoreError::Damaged { .. })));
-        assert_eq!(std::fs::read(&path).unwrap(), b"not a file of this kind");
-    }
-}
+mod tests;
--- a/crates/store/tests/files.rs
+++ b/crates/store/tests/files.rs
@@ -119,7 +119,7 @@
 fn a_key_of_a_creation_is_there_after_a_start() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state.redb");
-    let key = Creation { key: "op k1".into(), asked: "d".into(), name: "t".into(), until_ms: 99 };
+    let key = Creation { key: "op k1".into(), request_digest: "d".into(), name: "t".into(), until_ms: 99 };
     {
         let (store, _) = Store::open(&path).unwrap();
         let mut registry = Registry::default();
--- a/src/admin/problem.rs
+++ b/src/admin/problem.rs
@@ -45,20 +45,20 @@
 impl From<TenantServiceError> for Problem {
     fn from(failure: TenantServiceError) -> Problem {
         let (status, code) = match &failure {
-            TenantServiceError::Refused(ChangeError::Invalid(_)) => (422, "invalid"),
-            TenantServiceError::Refused(ChangeError::NotFound(_)) | TenantServiceError::NoToken => {
+            TenantServiceError::Rejected(ChangeError::Invalid(_)) => (422, "invalid"),
+            TenantServiceError::Rejected(ChangeError::NotFound(_)) | TenantServiceError::UnknownToken => {
                 (404, "not_found")
             }
-            TenantServiceError::Refused(ChangeError::Exists(_)) => (409, "exists"),
-            TenantServiceError::Refused(ChangeError::Stale { .. }) => (412, "stale"),
-            TenantServiceError::Refused(ChangeError::HasMembers(_)) => (409, "has_members"),
-            TenantServiceError::Refused(ChangeError::Transition(..)) => (409, "transition"),
-            TenantServiceError::Refused(ChangeError::Full(_)) => (409, "full"),
+            TenantServiceError::Rejected(ChangeError::Exists(_)) => (409, "exists"),
+            TenantServiceError::Rejected(ChangeError::Stale { .. }) => (412, "stale"),
+            TenantServiceError::Rejected(ChangeError::HasMembers(_)) => (409, "has_members"),
+            TenantServiceError::Rejected(ChangeError::Transition(..)) => (409, "transition"),
+            TenantServiceError::Rejected(ChangeError::Full(_)) => (409, "full"),
             TenantServiceError::Store(StoreError::Exists(_)) => (409, "exists"),
             TenantServiceError::Store(_) => (503, "store"),
             TenantServiceError::NoStore => (409, "no_store"),
             TenantServiceError::NoBackups => (409, "no_backups"),
-            TenantServiceError::KeyTaken => (422, "key_taken"),
+            TenantServiceError::KeyReused => (422, "key_taken"),
             TenantServiceError::Grant(_) => (422, "invalid"),
             TenantServiceError::Ended => (503, "ending"),
         };
--- a/src/admin/v1/changes.rs
+++ b/src/admin/v1/changes.rs
@@ -5,7 +5,7 @@
 use crate::admin::problem::Problem;
 use crate::admin::{Admin, Caller};
 use crate::frontend::http::message::{Request, Response};
-use crate::tenants::{ChangeOutcome, ChangeRequest};
+use crate::tenants::{ChangeOutcome, ChangeRequest, IdempotencyKey, Precondition};
 use sanddyke_authorization::digest;
 use sanddyke_tenancy::{Change, Generation, Plan, Subject, TenantId};
 use serde_json::{Value, json};
@@ -19,10 +19,15 @@
     /// Creates a tenant or group.
     pub(super) async fn create(&self, context: &Context<'_>, change: Change) -> Answer {
         // The digest is stored with the key: its form must stay.
-        let key = idempotency_key(context.request)?.map(|key| (key, digest(&format!("{change:?}"))));
+        let key = idempotency_key(context.request)?
+            .map(|key| IdempotencyKey { key, request_digest: digest(&format!("{change:?}")) });
         let subject = change.subject();
-        let request =
-            ChangeRequest { who: context.caller.id.clone(), changes: vec![change], expected: None, key };
+        let request = ChangeRequest {
+            actor: context.caller.id.clone(),
+            changes: vec![change],
+            precondition: None,
+            key,
+        };
         if context.query.dry_run {
             return self.dry_run(&request).await;
         }
@@ -52,9 +57,9 @@
         let removes = matches!(change, Change::RemoveTenant { .. } | Change::RemoveGroup { .. });
         let expected = if_match.generation().or(based_on);
         let request = ChangeRequest {
-            who: context.caller.id.clone(),
+            actor: context.caller.id.clone(),
             changes: vec![change],
-            expected: expected.map(|generation| (subject.clone(), generation)),
+            precondition: expected.map(|generation| Precondition { subject: subject.clone(), generation }),
             key: None,
         };
         if context.query.dry_run {
--- a/src/admin/v1/json.rs
+++ b/src/admin/v1/json.rs
@@ -3,7 +3,7 @@
 use crate::admin::problem::Problem;
 use crate::core::TenantReport;
 use crate::frontend::http::message::Response;
-use crate::tenants::ChangeEvent;
+use crate::tenants::{ChangeEvent, IssuedToken};
 use sanddyke_authorization::Token;
 use sanddyke_tenancy::{Generation, Tenant};
 use serde::Serialize;
@@ -64,14 +64,14 @@
 }
 
 /// The answer that shows a new secret, the only time that it is shown.
-pub(super) fn secret(status: u16, of: &Token, secret: &str) -> Response {
-    let mut body = token(of);
-    body["secret"] = json!(secret);
+pub(super) fn issued_token(status: u16, issued: &IssuedToken) -> Response {
+    let mut body = token(&issued.token);
+    body["secret"] = json!(issued.secret);
     Response::json(status, body.to_string()).with("Cache-Control", "no-store".to_owned())
 }
 
 pub(super) fn change(event: &ChangeEvent) -> Value {
-    json!({ "at_ms": event.at_ms, "who": event.who, "record": event.record })
+    json!({ "at_ms": event.at_ms, "who": event.actor, "record": event.record })
 }
 
 pub(super) fn tenant(tenant: &Tenant, share: f64, usage: Option<&TenantReport>) -> Value {
--- a/src/admin/v1/service.rs
+++ b/src/admin/v1/service.rs
@@ -73,7 +73,8 @@
         // Worked out from what is there now: where another change comes in between, some would not fit.
         let changes = self.tenant_service.read(|tenants| document.changes(&tenants.registry, prune)).await;
         let count = changes.len();
-        let request = ChangeRequest { who: context.caller.id.clone(), changes, expected: None, key: None };
+        let request =
+            ChangeRequest { actor: context.caller.id.clone(), changes, precondition: None, key: None };
         if context.query.dry_run {
             return self.dry_run(&request).await;
         }
--- a/src/admin/v1/tenants.rs
+++ b/src/admin/v1/tenants.rs
@@ -4,13 +4,13 @@
 use super::{Answer, Context};
 use crate::admin::problem::Problem;
 use crate::admin::{Admin, Caller};
-use crate::tenants::State as Tenants;
+use crate::tenants::TenantState;
 use sanddyke_authorization::{Permission, Role};
 use sanddyke_tenancy::{Change, State, Tenant, TenantId, TenantSpec};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn share(tenants: &Tenants, id: TenantId) -> f64 {
+fn share(tenants: &TenantState, id: TenantId) -> f64 {
     tenants.shares.get(&id).copied().unwrap_or(0.0)
 }
 
@@ -21,7 +21,7 @@
             return None;
         }
         let ids = &caller.grant.tenants;
-        let names = |tenants: &Tenants| {
+        let names = |tenants: &TenantState| {
             let visible = ids.iter().filter_map(|id| tenants.registry.by_id(*id));
             visible.map(|tenant| tenant.name.clone()).collect()
         };
--- a/src/admin/v1/tokens.rs
+++ b/src/admin/v1/tokens.rs
@@ -26,15 +26,15 @@
             tenants.insert(id.ok_or_else(|| not_found("tenant"))?);
         }
         let grant = Grant { role: body.role, tenants, note: body.note, expires_ms: body.expires_ms };
-        let (token, secret) = self.tenant_service.issue(&context.caller.id, grant).await?;
-        Ok(json::secret(201, &token, &secret))
+        let issued = self.tenant_service.issue(&context.caller.id, grant).await?;
+        Ok(json::issued_token(201, &issued))
     }
 
     pub(super) async fn rotate_token(&self, context: &Context<'_>, id: &str) -> Answer {
         context.caller.require(Permission::Govern)?;
         let body: Rotation = parse(&context.request.body)?;
-        let (token, secret) = self.tenant_service.rotate(&context.caller.id, id, body.overlap_ms).await?;
-        Ok(json::secret(200, &token, &secret))
+        let issued = self.tenant_service.rotate(&context.caller.id, id, body.overlap_ms).await?;
+        Ok(json::issued_token(200, &issued))
     }
 
     pub(super) async fn remove_token(&self, caller: &Caller, id: &str) -> Answer {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -158,5 +158,5 @@
     let change = Change::CreateTenant { name: "glannau".to_owned(), spec };
     let [creation] = &loaded.creations[..] else { panic!("one creation") };
     assert_eq!(creation.name, "glannau");
-    assert_eq!(creation.asked, sanddyke_authorization::digest(&format!("{change:?}")));
+    assert_eq!(creation.request_digest, sanddyke_authorization::digest(&format!("{change:?}")));
 }
