--- a/crates/sampling/src/lib.rs
+++ b/crates/sampling/src/lib.rs
@@ -20,8 +20,8 @@
 
 use std::collections::BTreeMap;
 
-/// Kinds at most: a bit for each.
-pub const MOST_KINDS: usize = 64;
+/// Maximum of kinds: a bitmap of 64 bits names those that an item has left.
+pub const MAX_KINDS: usize = 64;
 
 /// How an item fits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,9 +52,9 @@
     /// Empty lists of so many kinds.
     ///
     /// # Panics
-    /// Where there are more than [`MOST_KINDS`].
+    /// Where there are more than [`MAX_KINDS`].
     pub fn new(kinds: usize) -> Draws<T> {
-        assert!(kinds <= MOST_KINDS, "at most {MOST_KINDS} kinds");
+        assert!(kinds <= MAX_KINDS, "at most {MAX_KINDS} kinds");
         Draws { lists: vec![Vec::new(); kinds], left: BTreeMap::new() }
     }
 
--- a/src/bin/sanddyke-simulator-adapter/wire.rs
+++ b/src/bin/sanddyke-simulator-adapter/wire.rs
@@ -184,7 +184,8 @@
     }
 
     fn launch(&mut self, values: &Fields, now: f64) -> Result<(), String> {
-        let front = settings::parse(values.need_text(2)?).map_err(|message| values.bad(2, &message))?;
+        let front =
+            settings::parse(values.need_text(2)?).map_err(|error| values.bad(2, &error.to_string()))?;
         let gateway = Gateway::new(front.settings.clone(), values.need(1)?, now);
         let instance = Instance {
             gateway,
@@ -398,6 +399,6 @@
         Action::HealthCheck(engine) => writeln!(reply, "HEALTH_CHECK {who} {}", engine.0),
         Action::Timer { token, after_ms } => writeln!(reply, "REMIND {who} {token} {after_ms:.3}"),
         Action::Subscribe => writeln!(reply, "WATCH {who} 1"),
-        Action::Log(text) => writeln!(reply, "REMARK {who} {text}"),
+        Action::Log(message) => writeln!(reply, "REMARK {who} {message}"),
     };
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -355,7 +355,7 @@
         let file: Result<File, _> = serde_path_to_error::deserialize(value);
         let file = file.map_err(|error| bad(error.path().to_string(), error.inner()))?;
         let allowed = file.settings.allowed.clone();
-        let front = settings::build(file.settings).map_err(|why| bad("settings", why))?;
+        let front = settings::build(file.settings).map_err(|error| bad("settings", error.to_string()))?;
         let seed = match &file.seed {
             Some(told) => u64::from_str_radix(told, 16).map_err(|error| bad("seed", error))?,
             None => clock.seed(),
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -26,7 +26,7 @@
                 self.set_timer(now + after, Timer::Module(token));
             }
             Action::Subscribe => {} // the name service is asked all the time
-            Action::Log(text) => out.push(Command::Log(text)),
+            Action::Log(message) => out.push(Command::Log(message.to_string())),
         }
     }
 
--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -62,7 +62,7 @@
         use crate::decision::EngineState::Ready;
         let ready = || self.engines.values().filter(|engine| engine.state == Ready);
         let heard = ready().filter(|engine| engine.heard).count();
-        !self.front.settings.limits.probes || heard * HEARD_PART.1 >= ready().count() * HEARD_PART.0
+        !self.front.settings.limits.health_checks || heard * HEARD_PART.1 >= ready().count() * HEARD_PART.0
     }
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -210,7 +210,7 @@
             }
             Input::RestoreState(handover, age) => self.restore(&handover, age),
             Input::PeerProcessConnections(connections) => {
-                let most = self.front.settings.limits.max_open;
+                let most = self.front.settings.limits.max_open_requests;
                 self.gateway.set_max_open(most.map(|most| most.saturating_sub(connections).max(1)));
             }
             Input::Tick => self.due(now, out),
@@ -338,7 +338,7 @@
         // Work that a suspended tenant has waiting keeps the turns that it had.
         (of.now, of.told) = (share, if share > 0.0 { share } else { of.told });
         let told = TenantSettings { share: of.told, quota_per_s: tenant.spec.quota_rps, group: of.group };
-        self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), told: Some(told) }, out);
+        self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), settings: Some(told) }, out);
     }
 
     /// Drops a removed tenant to which nothing refers any more.
@@ -346,7 +346,7 @@
         if let Some(slot) = slot {
             self.accounting.forget(slot);
             self.shares[slot] = Share::default();
-            self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), told: None }, out);
+            self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), settings: None }, out);
         }
     }
 
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -123,7 +123,7 @@
 
     /// Requests that clients can have open here from now on: fewer while another process has some of their places.
     pub fn set_max_open(&mut self, most: Option<usize>) {
-        self.settings.limits.max_open = most;
+        self.settings.limits.max_open_requests = most;
     }
 
     /// Goes on from what another has learnt, so many ms ago. Engines that are not listed are passed over.
@@ -156,7 +156,7 @@
             let left = within(told.cold_ms - age_ms.max(0.0), 0.0, most).unwrap_or(0.0);
             let until = self.now + left;
             engine.chill(until, self.now, 0.0, &mut self.rng);
-            engine.warm(self.now, 0.0, &self.settings.rules, self.settings.gateways);
+            engine.warm(self.now, 0.0, &self.settings.rules, self.settings.gateway_count);
         }
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,15 +1,15 @@
-//! Every decision of the gateway: when, and where, each request runs and how it ends. Types: `interface.rs`.
+//! Every decision of the gateway: when, and where, each request runs and how it ends. Types: `types`.
 //! Ordinary path: a sub-second ("sensitive") request is due at arrival + latency budget - service time; all
 //! others are best effort, in turns. Alpha splits slots, a cap binds under pressure, the lighter of two wins.
 
-mod interface;
+mod types;
 
-pub use interface::*;
 use oorandom::Rand64;
 use sanddyke_sampling::{Draws, Fit};
 use sanddyke_statistics::{GeneralizedExponential, Load, Memo, Timeline, Window};
 use sanddyke_tenancy::{FairQueue, Rank};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+pub use types::*;
 
 // --- The mechanism (tunable by the design page: range, alpha steps, target, staircase, window) ---
 const SENSITIVE_BELOW_MS: f64 = 1000.0; // a class aimed below this is sensitive: "sub-second" (ms)
@@ -242,11 +242,12 @@
 
 impl ClassSettings {
     fn is_sensitive(&self) -> bool {
-        self.target_ms < SENSITIVE_BELOW_MS
+        self.latency_objective_ms < SENSITIVE_BELOW_MS
     }
 
     fn aim(&self, work: Millis) -> Millis {
-        (self.target_ms + self.aim_stretch * work / self.threads).min(self.deadline_ms)
+        (self.latency_objective_ms + self.latency_objective_stretch * work / self.threads)
+            .min(self.deadline_ms)
     }
 }
 
@@ -271,7 +272,7 @@
     /// Rule 4: what it can do now, and this gateway's part of what it is sent, which is paid for after.
     fn warm(&mut self, now: Millis, passed: Millis, rules: &Rules, gateways: usize) {
         let cold = ((self.cold_until - now) / rules.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
-        self.able = self.cores * (1.0 - cold * (1.0 - rules.cold_fraction));
+        self.able = self.cores * (1.0 - cold * (1.0 - rules.initial_capacity_fraction));
         let rate = COLD_SAFETY * rules.overload_factor * self.able / gateways.max(1) as f64;
         self.credit = (self.credit + passed * rate).min(rate * rules.overload_window_ms / 2.0);
     }
@@ -292,14 +293,15 @@
     /// A gateway that knows its settings and nothing else yet.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let stats = |class: &ClassSettings| {
-            let (service, patience) = (class.target_ms / 2.0, class.deadline_ms);
-            let slack = (latency_budget(1.0, class.target_ms, class.deadline_ms) - service).max(0.0);
+            let (service, patience) = (class.latency_objective_ms / 2.0, class.deadline_ms);
+            let slack =
+                (latency_budget(1.0, class.latency_objective_ms, class.deadline_ms) - service).max(0.0);
             let first = Stream { done: Window::new(WINDOW_COUNT), service, slack };
             ClassStats { work: service * class.threads, bias: 1.0, patience, first, ..ClassStats::default() }
         };
-        let part = 1.0 / settings.gateways.max(1) as f64;
+        let part = 1.0 / settings.gateway_count.max(1) as f64;
         let cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
-        let tiny = settings.limits.probes && cores * FULL_FIRST.0 * part < CAP_LEAST && cores > 0.0;
+        let tiny = settings.limits.health_checks && cores * FULL_FIRST.0 * part < CAP_LEAST && cores > 0.0;
         let full = if tiny { FULL_FIRST.1 } else { FULL_FIRST.0 };
         let mut gateway = Gateway {
             classes: settings.classes.iter().map(stats).collect(),
@@ -331,7 +333,7 @@
         self.now = now;
         match event {
             Event::EngineList(news) => self.on_list(news),
-            Event::Tenant { tenant, told } => self.on_tenant(tenant.0, told),
+            Event::Tenant { tenant, settings } => self.on_tenant(tenant.0, settings),
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnded(end) => self.on_end(&end),
             Event::StreamStarted { request } => drop(self.jobs.get_mut(&request).map(|of| of.bound = true)),
@@ -346,7 +348,7 @@
                     to.probe = None;
                     to.unheard += u32::from(outcome == Outcome::TimedOut);
                     if outcome == Outcome::TimedOut && to.unheard == OUT_AFTER {
-                        self.out.push(Action::Log(format!("engine {} leaves probes unanswered", engine.0)));
+                        self.out.push(Action::Log(LogMessage::HealthChecksUnanswered(engine)));
                     }
                 }
                 self.mark(engine, outcome);
@@ -390,7 +392,7 @@
             let warm = started.map_or(0.0, |at| at + self.settings.rules.warm_up_ms);
             engine.entry = entry;
             engine.chill(warm, self.now, mean, &mut self.rng);
-            engine.warm(self.now, 0.0, &self.settings.rules, self.settings.gateways);
+            engine.warm(self.now, 0.0, &self.settings.rules, self.settings.gateway_count);
         }
         // New engines come under new names all day long: one that has been gone for long is forgotten.
         let now = self.now;
@@ -437,8 +439,9 @@
         let slack = share.streams[request.class.0].slack;
         let (class, stats) = (&self.settings.classes[request.class.0], &self.classes[request.class.0]);
         let work = request.work_ms.map_or(stats.work, |hint| hint * stats.bias).max(1.0);
-        let top_worth = self.settings.classes.iter().fold(0.0, |top: f64, class| top.max(class.worth));
-        let dear = RANK_STRETCH * work * top_worth / class.worth.max(0.001);
+        let top_worth =
+            self.settings.classes.iter().fold(0.0, |top: f64, class| top.max(class.priority_weight));
+        let dear = RANK_STRETCH * work * top_worth / class.priority_weight.max(0.001);
         let due = if class.is_sensitive() { slack } else { dear };
         let job = Job {
             class: request.class.0,
@@ -449,7 +452,7 @@
             aim_at: self.now + class.aim(work).min(stats.patience),
             work,
             memory: request.memory_mb.unwrap_or(stats.memory),
-            data_set: class.is_load.then_some(request.data_set),
+            data_set: class.locks_data_set.then_some(request.data_set),
             rank: (if beyond_share { BEYOND_BAND } else { 0 }, ((self.now + due) * 1000.0) as i64),
             ..Job::default()
         };
@@ -523,7 +526,8 @@
         let left = (self.now - attempt.at) * (1.0 - share) / share.max(0.001);
         let usual = self.tenants.get(&job.tenant).map_or(0.0, |of| of.streams[job.class].service);
         let fresh = usual.max(job.work / class.threads * self.pace.slow.max(1.0));
-        let allowed = class.effect == Effect::Repeatable && limits.cancel && job.sent < limits.max_attempts;
+        let allowed =
+            class.effect == Effect::Repeatable && limits.cancellation && job.sent < limits.max_attempts;
         let hopeless = allowed && !self.pace.tiny && left > RUNAWAY * fresh;
         self.out.extend(hopeless.then_some(Action::Cancel { request: id, attempt: which }));
     }
@@ -546,17 +550,17 @@
         let fade = (passed / SLOW_FADE_MS).min(1.0);
         for engine in self.engines.values_mut() {
             engine.slow += (1.0 - engine.slow).min(0.0) * fade;
-            engine.warm(now, passed, &self.settings.rules, self.settings.gateways);
+            engine.warm(now, passed, &self.settings.rules, self.settings.gateway_count);
         }
         let ready = self.engines.values().filter(|engine| engine.entry.state == EngineState::Ready);
         let mut slows: Vec<f64> = ready.map(|engine| engine.slow).collect();
         slows.sort_by(f64::total_cmp);
         pace.slow = slows.get(slows.len() / 2).copied().unwrap_or(1.0);
-        if self.settings.list_on_request && now >= pace.ask_at {
-            pace.ask_at = now + self.settings.rules.ask_within_ms / 3.0;
+        if self.settings.poll_engine_list && now >= pace.ask_at {
+            pace.ask_at = now + self.settings.rules.poll_interval_ms / 3.0;
             self.out.push(Action::Subscribe);
         }
-        if self.settings.limits.probes && now >= pace.probe_at {
+        if self.settings.limits.health_checks && now >= pace.probe_at {
             self.probe_all();
         }
         if now >= self.pace.refit_at {
@@ -700,7 +704,7 @@
 
     /// Whether an engine can take a request of this class now: warm, healthy, and under its cap if pressed.
     fn is_open(&self, job: &Job, engine: &Engine, mix: &Load) -> bool {
-        let unproven = engine.down_since.is_some() && self.settings.limits.probes;
+        let unproven = engine.down_since.is_some() && self.settings.limits.health_checks;
         let class = &self.settings.classes[job.class];
         let silent = engine.unheard >= OUT_AFTER || (self.pace.tiny && !engine.is_fresh(self.now));
         if unproven || silent || self.now < engine.rest_until || !self.may_class(job.class, engine) {
@@ -724,14 +728,18 @@
 
     /// Requests beyond those that clients can have open here before they find no connection.
     fn excess(&self) -> usize {
-        let most = self.settings.limits.max_open.map_or(usize::MAX, |most| (CROWDED * most as f64) as usize);
+        let most = self
+            .settings
+            .limits
+            .max_open_requests
+            .map_or(usize::MAX, |most| (CROWDED * most as f64) as usize);
         self.jobs.len().saturating_sub(most)
     }
 
     /// Whether a load would stand still: held there, or (once crowded) the place is another gateway's.
     fn stands_on(&self, engine: &Engine, set: u64) -> bool {
         let place = engine.place.wrapping_add(set as usize);
-        let theirs = place % self.settings.gateways.max(1) != self.settings.me;
+        let theirs = place % self.settings.gateway_count.max(1) != self.settings.gateway_index;
         engine.loading.contains(&set) || (theirs && self.excess() > 0)
     }
 
@@ -753,8 +761,8 @@
     /// The guard before a send, the same for a whole class: rules 3, 6 and 4 (not right after the start).
     fn may_class(&self, class: usize, engine: &Engine) -> bool {
         let (told, entry) = (&self.settings.classes[class], &engine.entry);
-        let placed = told.only_kinds.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
-            && told.only_zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone));
+        let placed = told.allowed_kinds.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
+            && told.allowed_zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone));
         let paid = self.now - self.settings.rules.overload_window_ms >= self.born && engine.credit >= 0.0;
         entry.state == EngineState::Ready && placed && (self.now >= engine.cold_until || paid)
     }
@@ -772,7 +780,7 @@
         self.settings.rules.retry_budget.is_none_or(|budget| {
             let since = self.now - budget.window_ms;
             let (taken, used) = (self.pace.taken.after(since) as f64, self.pace.extras.since(since) as f64);
-            used + 1.0 <= budget.free + budget.share * taken
+            used + 1.0 <= budget.floor + budget.ratio * taken
         })
     }
 
@@ -840,7 +848,8 @@
     fn drop_job(&mut self, id: RequestId) {
         self.unhold(id);
         let Some(job) = self.jobs.remove(&id) else { return };
-        let running = self.attempts.range((id, 0)..=(id, u32::MAX)).filter(|_| self.settings.limits.cancel);
+        let running =
+            self.attempts.range((id, 0)..=(id, u32::MAX)).filter(|_| self.settings.limits.cancellation);
         self.out.extend(running.map(|(name, _)| Action::Cancel { request: id, attempt: name.1 }));
         self.leave_line(id, job.key);
     }
@@ -906,7 +915,7 @@
             }
         }
         // Once crowded, a place is worth the mean of what is open: what is worth less leaves it, last first.
-        let worth = |id: &RequestId| self.settings.classes[self.jobs[id].class].worth;
+        let worth = |id: &RequestId| self.settings.classes[self.jobs[id].class].priority_weight;
         let mean = self.jobs.keys().map(worth).sum::<f64>() / self.jobs.len().max(1) as f64;
         let all = self.queue.sorted().into_iter().map(RequestId).chain(self.sensitive.iter().map(|at| at.1));
         over.extend(all.rev().filter(|id| worth(id) < mean).take(self.excess().saturating_sub(over.len())));
@@ -954,7 +963,7 @@
                 let warm = restarted * (self.now + self.settings.rules.warm_up_ms);
                 engine.chill(warm, self.now, mean, &mut self.rng);
                 (engine.slow, engine.others) = (1.0, 0.0);
-                self.out.push(Action::Log(format!("engine {} up again", id.0)));
+                self.out.push(Action::Log(LogMessage::EngineUp(id)));
             }
             Outcome::Full => engine.rest_until = self.now + FULL_REST_MS,
             Outcome::NoConnection | Outcome::ConnectionLost => {
@@ -965,7 +974,7 @@
                 engine.rest_until = self.now + DOWN_REST_MS;
                 if engine.failures == OUT_AFTER && !again {
                     engine.down_since = Some(self.now);
-                    self.out.push(Action::Log(format!("engine {} down: no connection", id.0)));
+                    self.out.push(Action::Log(LogMessage::EngineDown(id)));
                 }
             }
             _ => {}
--- /dev/null
+++ b/src/decision/types/ids.rs
@@ -0,0 +1,36 @@
+//! Identifiers. They are opaque numbers that the embedding program hands out.
+
+/// A point in time or a duration, in milliseconds.
+pub type Millis = f64;
+
+/// Identifies one request of a client; never used twice.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct RequestId(pub u64);
+
+/// Identifies a query engine; the same after a restart of its process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct EngineId(pub u64);
+
+/// Index of a request class in [`Settings::classes`](super::Settings::classes).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ClassId(pub usize);
+
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct TenantId(pub usize);
+
+/// Index of a machine kind in [`Settings::kinds`](super::Settings::kinds); past its end: an unknown kind.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct KindId(pub usize);
+
+/// Identifies a location.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ZoneId(pub usize);
+
+/// Identifies a small set of engines that share which idempotency keys they have seen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct CellId(pub u64);
+
+/// The key under which requests run in order of arrival, one at a time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct OrderKey(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! use sanddyke::{KindId, KindSettings, EngineListEvent, Request, RequestId, Settings, ZoneId};
 //!
 //! let settings = Settings {
-//!     classes: vec![ClassSettings { target_ms: 300.0, deadline_ms: 1500.0, ..Default::default() }],
+//!     classes: vec![ClassSettings { latency_objective_ms: 300.0, deadline_ms: 1500.0, ..Default::default() }],
 //!     kinds: vec![KindSettings { cores: Some(8.0), memory_mb: Some(16384.0) }],
 //!     ..Settings::default()
 //! };
--- a/src/main.rs
+++ b/src/main.rs
@@ -215,11 +215,11 @@
     let limits = UpstreamLimits {
         connect_timeout: Micros::from_ms(config.connect_ms).to_duration(),
         probe_timeout: Micros::from_ms(config.connect_ms),
-        silent_after: match config.front.settings.engines.notes_every_ms {
+        silent_after: match config.front.settings.engines.progress_interval_ms {
             every if every > 0.0 => Micros::from_ms(every * WORDS_MISSING).max(LINE_WITHIN),
             _ => SILENT_AFTER,
         },
-        reports_progress: config.front.settings.engines.notes_every_ms > 0.0,
+        reports_progress: config.front.settings.engines.progress_interval_ms > 0.0,
         line_within: LINE_WITHIN,
         // A little before the engine does, so that no request crosses its close.
         idle_after: Micros::from_ms(config.keepalive_ms * 0.8),
@@ -242,7 +242,7 @@
     };
     let held = config.store.as_ref().map(|store| Store::open(&store.path)).transpose()?;
     let mut told = config.front;
-    told.settings.limits.max_open = Some(config.sockets / CLIENTS_PART);
+    told.settings.limits.max_open_requests = Some(config.sockets / CLIENTS_PART);
     if held.is_some() {
         // They are the store's from its first start on.
         (told.tenants, told.settings.tenants) = (Vec::new(), Vec::new());
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,7 @@
-//! The settings of one workload manager, from the platform's JSON to the module's terms.
+//! The settings of one workload manager: read from the platform's JSON, checked, and brought into the terms of
+//! the decision module.
+//!
+//! [`Env`] and its parts have the platform's names and form; [`build`] checks them and gives [`Front`].
 
 use crate::decision::{
     ClassSettings, DedupScope, Effect, EngineTraits, KindId, KindSettings, Limits, MemoryShortage,
@@ -6,6 +9,7 @@
 };
 use schemars::JsonSchema;
 use serde::Deserialize;
+use thiserror::Error;
 
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
@@ -125,13 +129,60 @@
     resend_span_ms: Option<f64>,
 }
 
-/// Classes at once: the module keeps a bit for each of every engine.
-const MOST_CLASSES: usize = 64;
+/// Maximum of request classes: the sampler of engines keeps one bit for each ([`sanddyke_sampling::MAX_KINDS`]).
+const MAX_CLASSES: usize = sanddyke_sampling::MAX_KINDS;
 
-/// Settings of one workload manager, with the names by which the wire calls things.
+/// Why settings cannot be used. The text names the key as the platform spells it.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The text is not JSON of the expected form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A number that has to be positive is not.
+    #[error("{key}: must be above 0, is {value}")]
+    NotPositive {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// There are more classes than can be told apart.
+    #[error("classes: at most {MAX_CLASSES}, are {0}")]
+    TooManyClasses(usize),
+    /// A class's target is not between 0 and its deadline.
+    #[error("classes[{0}]: targetMs must be above 0 and not above deadlineMs")]
+    TargetOutOfRange(usize),
+    /// A class has a value that is not known, or misses one.
+    #[error("classes[{index}].{error}")]
+    Class {
+        /// Index of the class.
+        index: usize,
+        /// What is wrong with it.
+        error: Box<SettingsError>,
+    },
+    /// A key has a value that is none of its choices.
+    #[error("{key}: unknown word {value:?}")]
+    UnknownWord {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// A key is missing that another value asks for.
+    #[error("{0}: missing")]
+    Missing(&'static str),
+}
+
+impl SettingsError {
+    fn unknown_word(key: &'static str, value: &str) -> SettingsError {
+        SettingsError::UnknownWord { key, value: value.to_owned() }
+    }
+}
+
+/// Settings of one workload manager, with the names that its numbers stand for.
 #[derive(Debug, Clone)]
 pub struct Front {
-    /// What the module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, by number.
     pub classes: Vec<String>,
@@ -141,135 +192,55 @@
     pub kinds: Vec<String>,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
-    /// What `x0` and `x1` mean in a load report is fixed by the wire; other columns carry names.
+    /// Columns of a load report. What `x0` and `x1` mean is fixed by the wire; other columns carry names.
     pub columns: Vec<String>,
-    /// Whether answers tell what a query cost.
+    /// Whether answers report what a query used.
     pub says_cost: bool,
 }
 
-/// The number of a name, added at the end where it is new.
+/// The number of a name; a new name is appended.
 pub fn number(names: &mut Vec<String>, name: &str) -> usize {
-    if let Some(at) = names.iter().position(|known| known == name) {
-        return at;
+    if let Some(index) = names.iter().position(|known| known == name) {
+        return index;
     }
     names.push(name.to_owned());
     names.len() - 1
 }
 
-/// Reads the settings, or says which one cannot be used.
-pub fn parse(text: &str) -> Result<Front, String> {
-    build(serde_json::from_str(text).map_err(|error| error.to_string())?)
+/// Reads settings from JSON.
+///
+/// # Errors
+/// Where the text is not JSON of the expected form, and those of [`build`].
+pub fn parse(text: &str) -> Result<Front, SettingsError> {
+    build(serde_json::from_str(text)?)
 }
 
-/// Takes the settings over, or says which one cannot be used.
-pub fn build(env: Env) -> Result<Front, String> {
-    let positive = [
-        ("replicasOfMe", env.replicas_of_me as f64),
-        ("stepMs", env.step_ms),
-        ("safety.tipAfterMs", env.safety.tip_after_ms),
-        ("safety.overloadFactor", env.safety.overload_factor),
-    ];
-    for (name, value) in positive {
-        if value <= 0.0 {
-            return Err(format!("{name}: must be above 0, is {value}"));
-        }
-    }
-    if env.classes.len() > MOST_CLASSES {
-        return Err(format!("classes: at most {MOST_CLASSES}, are {}", env.classes.len()));
-    }
+/// Checks settings and brings them into the terms of the decision module.
+///
+/// # Errors
+/// Names the first value that cannot be used.
+pub fn build(env: Env) -> Result<Front, SettingsError> {
+    check(&env)?;
     let mut kinds = env.models.clone();
     let mut zones = env.zones.clone();
-    let info = &env.family_info;
-    let mut classes = Vec::new();
-    for (index, class) in env.classes.iter().enumerate() {
-        if class.target_ms <= 0.0 || class.deadline_ms < class.target_ms {
-            return Err(format!("classes[{index}]: targetMs must be above 0 and not above deadlineMs"));
-        }
-        let only_kinds = class
-            .runs_on
-            .as_ref()
-            .map(|list| list.iter().map(|name| KindId(number(&mut kinds, name))).collect());
-        let only_zones = class
-            .stays_in
-            .as_ref()
-            .map(|list| list.iter().map(|name| ZoneId(number(&mut zones, name))).collect());
-        classes.push(ClassSettings {
-            target_ms: class.target_ms,
-            aim_stretch: class.aim_stretch,
-            deadline_ms: class.deadline_ms,
-            worth: class.worth,
-            late_share: class.late_share,
-            effect: effect(class).map_err(|message| format!("classes[{index}].{message}"))?,
-            in_order: class.in_turn,
-            only_kinds,
-            only_zones,
-            threads: info.dop.get(index).copied().unwrap_or(1.0).max(1.0),
-            is_load: info.loads.get(index).copied().unwrap_or(false),
-            waits_for_loads: info.yields_to_loads.get(index).copied().unwrap_or(false),
-        });
+    let mut classes = Vec::with_capacity(env.classes.len());
+    for index in 0..env.classes.len() {
+        classes.push(class_settings(&env, index, &mut kinds, &mut zones)?);
     }
-    let kind_settings = (0..kinds.len()).map(|index| KindSettings {
-        cores: info.kind_cores.get(index).copied(),
-        memory_mb: info.memory_by_kind_mb.get(index).copied(),
-    });
-    let retry_budget = env.safety.resend_span_ms.map(|window_ms| RetryBudget {
-        free: env.safety.extra_floor.unwrap_or(0.0),
-        share: env.safety.repeat_ratio.unwrap_or(0.0),
-        window_ms,
-    });
     let settings = Settings {
-        gateways: env.replicas_of_me,
-        me: env.me,
+        gateway_count: env.replicas_of_me,
+        gateway_index: env.me,
         zone: ZoneId(number(&mut zones, &env.zone)),
         step_ms: env.step_ms,
         classes,
-        tenants: env
-            .customers
-            .iter()
-            .map(|tenant| TenantSettings {
-                share: tenant.portion,
-                quota_per_s: tenant.quota_rps,
-                group: None,
-            })
-            .collect(),
-        over_share_worth: env.over_share_worth.unwrap_or(1.0),
-        kinds: kind_settings.collect(),
-        limits: Limits {
-            max_attempts: env.allowed.attempts_cap,
-            max_open: None,
-            cancel: env.allowed.cancel,
-            probes: env.allowed.probes,
-            second_copies: env.allowed.second_copies,
-            // Advice to stay away goes out wherever a longest one is told: who can't read it passes over it.
-            max_retry_after_ms: env.allowed.max_retry_after_ms,
-        },
-        rules: Rules {
-            cold_fraction: env.safety.cold_from,
-            warm_up_ms: env.safety.warm_up_ms,
-            overload_factor: env.safety.overload_factor,
-            overload_window_ms: env.safety.tip_after_ms,
-            key_settle_ms: env.safety.key_rest_ms,
-            ask_within_ms: env.safety.ask_within_ms.unwrap_or(f64::INFINITY),
-            retry_budget,
-        },
-        engines: EngineTraits {
-            when_short: match info.out_of_memory.as_deref() {
-                None | Some("queue") => MemoryShortage::Wait,
-                Some("trim") => MemoryShortage::Trim,
-                Some("swap") => MemoryShortage::Page,
-                Some(other) => return Err(format!("familyInfo.outOfMemory: unknown word {other:?}")),
-            },
-            grants: info.grants,
-            priorities: info.ranks_heeded,
-            max_grant_share: info.grant_cap.unwrap_or(1.0),
-            notes_every_ms: info.tells_every_ms,
-        },
-        list_on_request: match env.discovery.as_str() {
-            "pushed" => false,
-            "on_request" => true,
-            other => return Err(format!("discovery: unknown word {other:?}")),
-        },
-        probe_price: env.prices.probe,
+        tenants: env.customers.iter().map(TenantSettings::from).collect(),
+        over_share_weight_fraction: env.over_share_worth.unwrap_or(1.0),
+        kinds: (0..kinds.len()).map(|index| env.family_info.kind(index)).collect(),
+        limits: Limits::from(&env.allowed),
+        rules: Rules::from(&env.safety),
+        engines: env.family_info.engine_traits()?,
+        poll_engine_list: polls_engine_list(&env.discovery)?,
+        health_check_price: env.prices.probe,
         cross_zone_price: env.prices.cross_zone,
     };
     Ok(Front {
@@ -279,24 +250,154 @@
         kinds,
         zones,
         columns: env.report.columns,
-        says_cost: info.says_cost,
+        says_cost: env.family_info.says_cost,
     })
 }
 
-fn effect(class: &Class) -> Result<Effect, String> {
-    match class.idempotency.as_str() {
-        "repeatable" => Ok(Effect::Repeatable),
-        "once" => Ok(Effect::Once),
-        "by_key" => {
-            let scope = match class.dedup_scope.as_deref() {
-                None | Some("all") => DedupScope::All,
-                Some("zone") => DedupScope::Zone,
-                Some("cell") => DedupScope::Cell,
-                Some(other) => return Err(format!("dedupScope: unknown word {other:?}")),
-            };
-            let window_ms = class.window_ms.ok_or("windowMs: missing")?;
-            Ok(Effect::Keyed { scope, window_ms })
+/// The checks that need no other value.
+fn check(env: &Env) -> Result<(), SettingsError> {
+    let positive = [
+        ("replicasOfMe", env.replicas_of_me as f64),
+        ("stepMs", env.step_ms),
+        ("safety.tipAfterMs", env.safety.tip_after_ms),
+        ("safety.overloadFactor", env.safety.overload_factor),
+    ];
+    for (key, value) in positive {
+        if value <= 0.0 {
+            return Err(SettingsError::NotPositive { key, value });
         }
-        other => Err(format!("idempotency: unknown word {other:?}")),
+    }
+    if env.classes.len() > MAX_CLASSES {
+        return Err(SettingsError::TooManyClasses(env.classes.len()));
+    }
+    Ok(())
+}
+
+/// Settings of one class. Kinds and zones that only a class names get the next numbers.
+fn class_settings(
+    env: &Env,
+    index: usize,
+    kinds: &mut Vec<String>,
+    zones: &mut Vec<String>,
+) -> Result<ClassSettings, SettingsError> {
+    let class = &env.classes[index];
+    let family = &env.family_info;
+    if class.target_ms <= 0.0 || class.deadline_ms < class.target_ms {
+        return Err(SettingsError::TargetOutOfRange(index));
+    }
+    let allowed_kinds = class.runs_on.as_ref();
+    let allowed_zones = class.stays_in.as_ref();
+    Ok(ClassSettings {
+        latency_objective_ms: class.target_ms,
+        latency_objective_stretch: class.aim_stretch,
+        deadline_ms: class.deadline_ms,
+        priority_weight: class.worth,
+        late_weight_fraction: class.late_share,
+        allowed_kinds: allowed_kinds
+            .map(|names| names.iter().map(|name| KindId(number(kinds, name))).collect()),
+        allowed_zones: allowed_zones
+            .map(|names| names.iter().map(|name| ZoneId(number(zones, name))).collect()),
+        effect: class.effect().map_err(|error| SettingsError::Class { index, error: Box::new(error) })?,
+        in_order: class.in_turn,
+        threads: family.dop.get(index).copied().unwrap_or(1.0).max(1.0),
+        locks_data_set: family.loads.get(index).copied().unwrap_or(false),
+        waits_for_loads: family.yields_to_loads.get(index).copied().unwrap_or(false),
+    })
+}
+
+fn polls_engine_list(discovery: &str) -> Result<bool, SettingsError> {
+    match discovery {
+        "pushed" => Ok(false),
+        "on_request" => Ok(true),
+        other => Err(SettingsError::unknown_word("discovery", other)),
+    }
+}
+
+impl Class {
+    fn effect(&self) -> Result<Effect, SettingsError> {
+        match self.idempotency.as_str() {
+            "repeatable" => Ok(Effect::Repeatable),
+            "once" => Ok(Effect::Once),
+            "by_key" => {
+                let scope = self.dedup_scope()?;
+                let window_ms = self.window_ms.ok_or(SettingsError::Missing("windowMs"))?;
+                Ok(Effect::Keyed { scope, window_ms })
+            }
+            other => Err(SettingsError::unknown_word("idempotency", other)),
+        }
+    }
+
+    fn dedup_scope(&self) -> Result<DedupScope, SettingsError> {
+        match self.dedup_scope.as_deref() {
+            None | Some("all") => Ok(DedupScope::All),
+            Some("zone") => Ok(DedupScope::Zone),
+            Some("cell") => Ok(DedupScope::Cell),
+            Some(other) => Err(SettingsError::unknown_word("dedupScope", other)),
+        }
+    }
+}
+
+impl From<&Customer> for TenantSettings {
+    fn from(customer: &Customer) -> TenantSettings {
+        TenantSettings { share: customer.portion, quota_per_s: customer.quota_rps, group: None }
+    }
+}
+
+impl From<&Allowed> for Limits {
+    fn from(allowed: &Allowed) -> Limits {
+        Limits {
+            max_attempts: allowed.attempts_cap,
+            // The program sets it, by the sockets that it may open.
+            max_open_requests: None,
+            cancellation: allowed.cancel,
+            health_checks: allowed.probes,
+            hedged_requests: allowed.second_copies,
+            // Retry-After goes out wherever there is a maximum: clients that cannot read it ignore it.
+            max_retry_after_ms: allowed.max_retry_after_ms,
+        }
+    }
+}
+
+impl From<&Safety> for Rules {
+    fn from(safety: &Safety) -> Rules {
+        let retry_budget = safety.resend_span_ms.map(|window_ms| RetryBudget {
+            floor: safety.extra_floor.unwrap_or(0.0),
+            ratio: safety.repeat_ratio.unwrap_or(0.0),
+            window_ms,
+        });
+        Rules {
+            initial_capacity_fraction: safety.cold_from,
+            warm_up_ms: safety.warm_up_ms,
+            overload_factor: safety.overload_factor,
+            overload_window_ms: safety.tip_after_ms,
+            key_settle_ms: safety.key_rest_ms,
+            poll_interval_ms: safety.ask_within_ms.unwrap_or(f64::INFINITY),
+            retry_budget,
+        }
+    }
+}
+
+impl FamilyInfo {
+    fn kind(&self, index: usize) -> KindSettings {
+        KindSettings {
+            cores: self.kind_cores.get(index).copied(),
+            memory_mb: self.memory_by_kind_mb.get(index).copied(),
+        }
+    }
+
+    fn engine_traits(&self) -> Result<EngineTraits, SettingsError> {
+        let on_memory_shortage = match self.out_of_memory.as_deref() {
+            None | Some("queue") => MemoryShortage::Wait,
+            Some("trim") => MemoryShortage::Trim,
+            Some("swap") => MemoryShortage::Page,
+            Some(other) => return Err(SettingsError::unknown_word("familyInfo.outOfMemory", other)),
+        };
+        Ok(EngineTraits {
+            on_memory_shortage,
+            memory_grants: self.grants,
+            priorities: self.ranks_heeded,
+            max_grant_fraction: self.grant_cap.unwrap_or(1.0),
+            progress_interval_ms: self.tells_every_ms,
+        })
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_bound_class_waits_rather_than_leave_its_kinds() {
-    let class = ClassSettings { only_kinds: Some(vec![KindId(1)]), ..ClassSettings::default() };
+    let class = ClassSettings { allowed_kinds: Some(vec![KindId(1)]), ..ClassSettings::default() };
     let mut gateway = gateway(settings(class), &[engine(1)]);
     assert!(sends(&take(&mut gateway, 1.0, request(1))).is_empty());
     let right = EngineEntry { kind: KindId(1), ..engine(2) };
@@ -120,7 +120,7 @@
 #[test]
 fn further_attempts_stay_within_their_budget() {
     let mut settings = settings(ClassSettings::default());
-    settings.rules.retry_budget = Some(RetryBudget { free: 1.0, share: 0.0, window_ms: 1000.0 });
+    settings.rules.retry_budget = Some(RetryBudget { floor: 1.0, ratio: 0.0, window_ms: 1000.0 });
     let mut gateway = gateway(settings, &[engine(1), engine(2), engine(3)]);
     for id in [1, 2] {
         take(&mut gateway, 1.0, request(id));
@@ -167,7 +167,8 @@
 /// Clients that leave early, and the moment at which a waiting sensitive request is given up.
 #[test]
 fn early_leavers_shorten_the_wait_of_their_class() {
-    let class = ClassSettings { target_ms: 800.0, deadline_ms: 4000.0, ..ClassSettings::default() };
+    let class =
+        ClassSettings { latency_objective_ms: 800.0, deadline_ms: 4000.0, ..ClassSettings::default() };
     let refused_at = |leavers: u64| {
         let mut gateway = gateway(settings(class.clone()), &[]);
         for id in 0..leavers {
@@ -189,7 +190,7 @@
 fn a_cold_engine_gets_its_budget_and_nothing_right_after_a_restart() {
     let mut settings = settings(ClassSettings::default());
     settings.rules = Rules {
-        cold_fraction: 0.33,
+        initial_capacity_fraction: 0.33,
         warm_up_ms: 15_000.0,
         overload_factor: 2.0,
         overload_window_ms: 2000.0,
@@ -226,7 +227,7 @@
 }
 
 fn one_of_300() -> Gateway {
-    let settings = Settings { gateways: 300, ..settings(ClassSettings::default()) };
+    let settings = Settings { gateway_count: 300, ..settings(ClassSettings::default()) };
     gateway(settings, &[engine(1), engine(2), engine(3), engine(4)])
 }
 
@@ -264,7 +265,7 @@
 /// they held two thirds of the clients' connections.
 #[test]
 fn a_load_waits_while_its_data_set_is_held_and_others_pass_it() {
-    let class = ClassSettings { is_load: true, ..ClassSettings::default() };
+    let class = ClassSettings { locks_data_set: true, ..ClassSettings::default() };
     let mut gateway = gateway(settings(class), &[engine(1)]);
     let load = |id, data_set| Request { data_set, ..request(id) };
     assert_eq!(sends(&take(&mut gateway, 1.0, load(1, 7))).len(), 1);
@@ -276,7 +277,7 @@
 /// Guards against a queue on one data set that only holds its clients' connections until they give up.
 #[test]
 fn a_load_that_its_queue_brings_past_its_aim_is_refused_at_once() {
-    let class = ClassSettings { is_load: true, ..ClassSettings::default() };
+    let class = ClassSettings { locks_data_set: true, ..ClassSettings::default() };
     let mut gateway = gateway(settings(class), &[engine(1)]);
     (1..=20).for_each(|id| drop(take(&mut gateway, 1.0, Request { data_set: 7, ..request(id) })));
     let mut out = Vec::new();
@@ -288,7 +289,7 @@
 /// Guards against a fresh start that takes its first requests as beyond their tenant's share.
 #[test]
 fn the_first_requests_after_a_start_are_within_their_share() {
-    let mut settings = settings(ClassSettings { target_ms: 2000.0, ..ClassSettings::default() });
+    let mut settings = settings(ClassSettings { latency_objective_ms: 2000.0, ..ClassSettings::default() });
     settings.tenants = vec![TenantSettings { share: 1.0, quota_per_s: 10.0, group: None }];
     settings.engines.priorities = true;
     let mut gateway = gateway(settings, &[engine(1)]);
@@ -299,10 +300,10 @@
 /// Guards against loads that only wait for their data set while clients have no connection left for others.
 #[test]
 fn a_load_that_stands_still_is_refused_when_clients_can_open_few_more() {
-    let class = ClassSettings { is_load: true, ..ClassSettings::default() };
+    let class = ClassSettings { locks_data_set: true, ..ClassSettings::default() };
     let refused = |max_open| {
         let mut settings = settings(class.clone());
-        settings.limits.max_open = max_open;
+        settings.limits.max_open_requests = max_open;
         let mut gateway = gateway(settings, &[engine(1)]);
         (1..=2).for_each(|id| drop(take(&mut gateway, 1.0, Request { data_set: 7, ..request(id) })));
         let mut out = Vec::new();
@@ -315,10 +316,11 @@
 /// Guards against loads of all gateways that stand still behind each other on the same places.
 #[test]
 fn once_crowded_the_places_for_a_data_set_are_shared_out() {
-    let class = ClassSettings { is_load: true, ..ClassSettings::default() };
+    let class = ClassSettings { locks_data_set: true, ..ClassSettings::default() };
     let places = |me, max_open| {
         let mut settings = settings(class.clone());
-        (settings.gateways, settings.me, settings.limits.max_open) = (2, me, max_open);
+        (settings.gateway_count, settings.gateway_index, settings.limits.max_open_requests) =
+            (2, me, max_open);
         let mut gateway = gateway(settings, &[engine(1), engine(2)]);
         let load = |id| Request { data_set: 7, ..request(id) };
         let taken = (1..=2).flat_map(|id| sends(&take(&mut gateway, 1.0, load(id))));
@@ -385,7 +387,7 @@
         take(&mut gateway, 1.0, request(2));
         end(&mut gateway, 20.0, 1, 0, Outcome::ConnectionLost);
         let out = end(&mut gateway, second, 2, 0, Outcome::ConnectionLost);
-        let down = |action: &&Action| matches!(action, Action::Log(text) if text.contains("down"));
+        let down = |action: &&Action| matches!(action, Action::Log(LogMessage::EngineDown(_)));
         assert_eq!(out.iter().filter(down).count(), downs, "{second}: {out:?}");
     }
 }
@@ -399,7 +401,7 @@
     #[case] gateways: usize,
     #[case] cancelled: usize,
 ) {
-    let settings = Settings { gateways, ..settings(ClassSettings::default()) };
+    let settings = Settings { gateway_count: gateways, ..settings(ClassSettings::default()) };
     let mut gateway = gateway(settings, &[engine(1)]);
     take(&mut gateway, 1.0, request(1));
     probed(&mut gateway, 3.0, 1, 2.0);
@@ -432,7 +434,7 @@
     #[case] gateways: usize,
     #[case] cores: f64,
 ) {
-    let mut settings = Settings { gateways, ..settings(ClassSettings::default()) };
+    let mut settings = Settings { gateway_count: gateways, ..settings(ClassSettings::default()) };
     settings.kinds.fill(KindSettings { cores: Some(cores), memory_mb: None });
     for (memory, sent) in [(4.0, 0), (0.5, 1)] {
         let mut gateway = gateway(settings.clone(), &[engine(1)]);
@@ -446,13 +448,13 @@
 #[test]
 fn a_hundred_gateways_together_use_a_cold_engine_within_its_budget() {
     let rules = Rules {
-        cold_fraction: 0.31,
+        initial_capacity_fraction: 0.31,
         warm_up_ms: 12_000.0,
         overload_factor: 2.5,
         overload_window_ms: 1500.0,
         ..Settings::default().rules
     };
-    let settings = Settings { gateways: 100, rules, ..settings(ClassSettings::default()) };
+    let settings = Settings { gateway_count: 100, rules, ..settings(ClassSettings::default()) };
     let work = 500.0; // a class's work until answers tell it: half its aim
     let mut sent = Vec::new();
     for seed in 0..100 {
@@ -493,7 +495,7 @@
 /// words that they read before told of so much memory.
 fn sent_by_one_word(held: u64, each: u64, before: &[f64]) -> usize {
     let tenants = vec![TenantSettings { share: 1.0, quota_per_s: 500.0, group: None }];
-    let mut settings = Settings { gateways: 100, tenants, ..settings(ClassSettings::default()) };
+    let mut settings = Settings { gateway_count: 100, tenants, ..settings(ClassSettings::default()) };
     settings.kinds = vec![KindSettings { cores: Some(8.0), memory_mb: Some(16_384.0) }];
     let engines: Vec<EngineEntry> = (1..=20).map(engine).collect();
     let sent = |seed: u64| {
@@ -558,10 +560,14 @@
 /// worth wait in all the places that there are. (Seen on the bench: 89 to 276 requests a play not let in.)
 #[test]
 fn once_crowded_what_is_worth_least_waits_in_no_place() {
-    let class =
-        |worth: f64| ClassSettings { target_ms: 1e4, deadline_ms: 1e14, worth, ..ClassSettings::default() };
+    let class = |worth: f64| ClassSettings {
+        latency_objective_ms: 1e4,
+        deadline_ms: 1e14,
+        priority_weight: worth,
+        ..ClassSettings::default()
+    };
     let classes = vec![class(1.0), class(8.0)];
-    let limits = Limits { max_open: Some(20), ..Settings::default().limits };
+    let limits = Limits { max_open_requests: Some(20), ..Settings::default().limits };
     let refused_beside = |beside: usize, cheap: u64, dear: u64| {
         let told = Settings { classes: classes.clone(), limits, ..Settings::default() };
         let mut gateway = Gateway::new(told, 1, 0.0);
