--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -3,7 +3,9 @@
 use super::{Core, FNV};
 use crate::clock::Micros;
 use crate::decision::EngineId;
-use crate::decision::learned_state::{LearnedClass, LearnedEngine, LearnedRates, LearnedState};
+use crate::decision::learned_state::{
+    LearnedClass, LearnedEngine, LearnedEngineEntry, LearnedRates, LearnedState,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -31,12 +33,12 @@
 impl Core {
     /// What this process has learnt.
     pub fn handover_state(&self) -> HandoverState {
-        let learnt = self.gateway.learnt();
+        let learnt = self.gateway.learned_state();
         let classes = self.front.classes.iter().zip(learnt.classes);
         let named =
-            |(id, engine): (EngineId, LearnedEngine)| Some((self.engines.get(&id.0)?.name.clone(), engine));
+            |entry: LearnedEngineEntry| Some((self.engines.get(&entry.id.0)?.name.clone(), entry.learned));
         HandoverState {
-            pace: learnt.pace,
+            pace: learnt.rates,
             classes: classes.filter_map(|(name, of)| Some((name.clone(), of?))).take(MOST).collect(),
             engines: learnt.engines.into_iter().filter_map(named).take(MOST).collect(),
         }
@@ -45,12 +47,15 @@
     /// Goes on from what another process has learnt, so long ago.
     pub(super) fn restore(&mut self, handover: &HandoverState, age: Micros) {
         let learnt = LearnedState {
-            pace: handover.pace.clone(),
+            rates: handover.pace.clone(),
             classes: self.front.classes.iter().map(|name| handover.classes.get(name).cloned()).collect(),
             engines: handover
                 .engines
                 .iter()
-                .map(|(name, engine)| (EngineId(engine_number(name)), engine.clone()))
+                .map(|(name, engine)| LearnedEngineEntry {
+                    id: EngineId(engine_number(name)),
+                    learned: engine.clone(),
+                })
                 .collect(),
         };
         self.gateway.restore(&learnt, age.as_ms());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -211,7 +211,7 @@
             Input::RestoreState(handover, age) => self.restore(&handover, age),
             Input::PeerProcessConnections(connections) => {
                 let most = self.front.settings.limits.max_open_requests;
-                self.gateway.set_max_open(most.map(|most| most.saturating_sub(connections).max(1)));
+                self.gateway.set_max_open_requests(most.map(|most| most.saturating_sub(connections).max(1)));
             }
             Input::Tick => self.due(now, out),
             Input::RejectNew => self.rejecting = true,
--- /dev/null
+++ b/src/decision/attempts.rs
@@ -0,0 +1,175 @@
+//! Attempts: sending one, its progress, and its end.
+
+use super::gateway::Gateway;
+use super::requests::{Attempt, AttemptId, PossiblyExecuted};
+use super::types::{Action, AttemptEnd, AttemptNote, Effect, EngineId, Millis, Outcome, RequestId};
+use sanddyke_statistics::Load;
+
+/// An attempt whose remaining time is more than this times what a fresh one takes is cancelled. Ours.
+const RUNAWAY_FACTOR: f64 = 5.0;
+/// Progress that is reckoned with at least (fraction).
+const MIN_PROGRESS: f64 = 0.001;
+/// Priority of a request beyond its tenant's share.
+const OVER_SHARE_PRIORITY: u8 = 0;
+/// Priority of a best-effort request.
+const BEST_EFFORT_PRIORITY: u8 = 1;
+/// Priority of a request of a sensitive class.
+const SENSITIVE_PRIORITY: u8 = 3;
+
+impl Gateway {
+    /// Sends a request's next attempt; false where it may not be sent now, or no engine has capacity.
+    pub(super) fn try_send(&mut self, id: RequestId) -> bool {
+        let Some(engine) = self.select_engine(id) else { return false };
+        self.dequeue(id);
+        self.set_terms(id);
+        self.start_attempt(id, engine);
+        true
+    }
+
+    /// Sets the priority of a request's attempts where engines honor one. Its memory is left to the engine.
+    fn set_terms(&mut self, id: RequestId) {
+        if !self.settings.engines.priorities {
+            return;
+        }
+        let request = &self.requests[&id];
+        let priority = if request.rank.is_over_share() {
+            OVER_SHARE_PRIORITY
+        } else if self.settings.classes[request.class].is_sensitive() {
+            SENSITIVE_PRIORITY
+        } else {
+            BEST_EFFORT_PRIORITY
+        };
+        self.actions.push(Action::SetTerms { request: id, memory_mb: 0.0, priority });
+    }
+
+    fn start_attempt(&mut self, id: RequestId, to: EngineId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(engine) = self.engines.get_mut(&to) else { return };
+        let number = request.attempts_sent;
+        if number > 0 {
+            self.retries.record_retry(self.now);
+        }
+        request.attempts_sent += 1;
+        request.possibly_executed.get_or_insert(PossiblyExecuted {
+            attempt: number,
+            at: self.now,
+            zone: engine.entry.zone,
+            cell: engine.entry.cell,
+        });
+
+        let load = Load {
+            queries: 1.0,
+            threads: self.settings.classes[request.class].threads,
+            work_ms: request.work_ms,
+            memory_mb: request.memory_mb,
+        };
+        engine.local_load += load;
+        self.local_load += load;
+        // Until the next report: as much again from each gateway that is taken to send by the last one.
+        let memory_fraction = request.memory_mb / engine.memory_mb;
+        engine.reported.memory_fraction += memory_fraction * self.observers.per_report;
+        engine.slow_start.record_send(self.now, self.classes[request.class].statistics.work_ms);
+        engine.locked_data_sets.extend(request.data_set_lock);
+        let attempt = Attempt {
+            engine: to,
+            sent_at: self.now,
+            class: request.class,
+            load,
+            data_set_lock: request.data_set_lock,
+            order_key: request.order_key,
+        };
+        self.attempts.insert(AttemptId { request: id, number }, attempt);
+        self.actions.push(Action::Send { request: id, engine: to, timeout_ms: 0.0 });
+    }
+
+    pub(super) fn on_stream_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.streaming = true;
+        }
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd) {
+        let id = end.request;
+        let Some(attempt) = self.attempts.remove(&AttemptId { request: id, number: end.attempt }) else {
+            return;
+        };
+        self.release(&attempt);
+        if let Some(report) = end.report {
+            self.record_load_report(attempt.engine, report);
+        }
+        if end.outcome == Outcome::Served {
+            self.learn_from_answer(&attempt, end);
+        }
+        self.record_outcome(attempt.engine, end.outcome);
+        self.engine_sampler.restore(attempt.engine);
+        self.pause_key(attempt.order_key, end.outcome);
+        self.conclude_attempt(end);
+        self.leave_ordered_queue(id, attempt.order_key);
+    }
+
+    /// Takes an attempt off the load of its engine, and frees the data set that it has locked there.
+    fn release(&mut self, attempt: &Attempt) {
+        self.local_load -= attempt.load;
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        engine.local_load -= attempt.load;
+        let mut locked = engine.locked_data_sets.iter();
+        if let Some(index) = locked.position(|data_set| Some(*data_set) == attempt.data_set_lock) {
+            engine.locked_data_sets.swap_remove(index);
+        }
+    }
+
+    /// What the end of an attempt means for its request: it is over, is queued again, or is answered unserved.
+    fn conclude_attempt(&mut self, end: &AttemptEnd) {
+        let id = end.request;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if end.outcome.never_ran() {
+            // It was the attempt in question: nothing has been executed after all.
+            request.possibly_executed =
+                request.possibly_executed.filter(|executed| executed.attempt != end.attempt);
+        }
+        if end.settled {
+            let service_ms = (end.outcome == Outcome::Served).then_some(end.elapsed_ms);
+            self.record_completion(id, service_ms);
+            self.forget_request(id);
+        } else if !self.has_attempt_in_flight(id) {
+            if self.may_retry_after(id, end.outcome) {
+                self.enqueue(id);
+            } else {
+                self.answer_unserved(id);
+            }
+        }
+    }
+
+    fn may_retry_after(&self, id: RequestId, outcome: Outcome) -> bool {
+        let request = &self.requests[&id];
+        let attempts_left = request.attempts_sent < self.settings.limits.max_attempts;
+        let time_left = self.now < request.deadline;
+        outcome != Outcome::NotSent && attempts_left && time_left && self.is_harmless(request, None)
+    }
+
+    /// Cancels an attempt that met a bad plan, or a bad engine: what remains at its own pace is far more than a fresh
+    /// attempt takes. A gateway below the minimum cap knows no pace to judge it by.
+    pub(super) fn on_attempt_note(&mut self, id: AttemptId, note: AttemptNote) {
+        let AttemptNote::Progress(progress) = note else { return };
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(request) = self.requests.get(&id.request) else { return };
+        let class = &self.settings.classes[request.class];
+        let limits = &self.settings.limits;
+        let is_allowed = class.effect == Effect::Repeatable
+            && limits.cancellation
+            && request.attempts_sent < limits.max_attempts
+            && !self.capacity.below_min_cap;
+        let remaining_ms = (self.now - attempt.sent_at) * (1.0 - progress) / progress.max(MIN_PROGRESS);
+        let fresh_ms = self.fresh_attempt_ms(request.tenant, request.class, request.work_ms);
+        if is_allowed && remaining_ms > RUNAWAY_FACTOR * fresh_ms {
+            self.actions.push(Action::Cancel { request: id.request, attempt: id.number });
+        }
+    }
+
+    /// What a fresh attempt takes: by the tenant's stream, and at least by its work and the engines' slowdown (ms).
+    fn fresh_attempt_ms(&self, tenant: usize, class: usize, work_ms: Millis) -> Millis {
+        let usual_ms = self.tenants.get(&tenant).map_or(0.0, |tenant| tenant.streams[class].service_ms);
+        let alone_ms = work_ms / self.settings.classes[class].threads;
+        usual_ms.max(alone_ms * self.capacity.median_slowdown.max(1.0))
+    }
+}
--- /dev/null
+++ b/src/decision/bounds.rs
@@ -0,0 +1,24 @@
+//! A closed range of numbers.
+
+/// Bounds of a figure, both of them allowed.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Bounds {
+    pub(super) min: f64,
+    pub(super) max: f64,
+}
+
+impl Bounds {
+    pub(super) const fn new(min: f64, max: f64) -> Bounds {
+        Bounds { min, max }
+    }
+
+    /// The nearest value within the bounds.
+    pub(super) fn clamp(self, value: f64) -> f64 {
+        value.clamp(self.min, self.max)
+    }
+
+    /// The nearest value within the bounds; `None` for infinity and what is not a number.
+    pub(super) fn clamp_finite(self, value: f64) -> Option<f64> {
+        value.is_finite().then(|| self.clamp(value))
+    }
+}
--- /dev/null
+++ b/src/decision/capacity.rs
@@ -0,0 +1,143 @@
+//! Capacity: when an engine counts as saturated, the cap of one gateway on one engine, and memory.
+
+use super::bounds::Bounds;
+use super::engines::Engine;
+use super::gateway::Gateway;
+use super::outliers::JAMMED_SLOWDOWN;
+use super::requests::PendingRequest;
+use super::types::Settings;
+use sanddyke_statistics::Load;
+
+/// Minimum cap of one gateway on one engine (threads): the design page's two. A gateway whose fraction of an engine
+/// is below it is not bound by caps, which would fill the engine many times over, but goes by fresh load reports.
+const MIN_CAP_THREADS: f64 = 2.0;
+/// Initial threads per core at which an engine counts as saturated. Ours.
+const INITIAL_SATURATION: f64 = 1.2;
+/// The same where the fraction is below the minimum cap: of few engines that are not saturated, all gateways would
+/// choose the same.
+const INITIAL_SATURATION_BELOW_MIN_CAP: f64 = 2.0;
+/// Bounds of that figure. Ours.
+pub(super) const SATURATION_BOUNDS: Bounds = Bounds::new(1.0, 2.2);
+/// Fraction by which it moves a refit. Ours.
+const SATURATION_STEP: f64 = 0.02;
+/// It rises while best-effort answers are stretched less than the lower bound, and falls above the upper. Ours.
+const STRETCH_RANGE: Bounds = Bounds::new(1.4, 1.8);
+/// One answer counts with this stretch at most: a slow engine alone must not lower the saturation of all.
+pub(super) const MAX_STRETCH: f64 = 4.0;
+/// Weight of one answer in the stretch. Ours.
+const STRETCH_WEIGHT: f64 = 0.05;
+/// Threads per core that sensitive requests have on top, so that they do not wait for heavy ones. Ours.
+const SENSITIVE_HEADROOM: f64 = 0.4;
+/// Health-check latency excess above which half of the saturation holds. Ours.
+const BUSY_LATENCY_EXCESS: f64 = 0.3;
+/// Health-check latency excess above which an engine takes nothing. Ours.
+const JAMMED_LATENCY_EXCESS: f64 = 0.6;
+/// Fraction of an engine's memory to fill: above it come spills and paging. Ours.
+const MAX_MEMORY_FRACTION: f64 = 0.85;
+/// Queries below which an engine counts as empty: then any request fits.
+const EMPTY_BELOW_QUERIES: f64 = 1.0;
+
+/// What this gateway takes the capacity of an engine to be.
+#[derive(Debug)]
+pub(super) struct FleetCapacity {
+    /// This gateway's fraction of all traffic.
+    pub(super) gateway_fraction: f64,
+    /// Whether its fraction of an engine is below the minimum cap.
+    pub(super) below_min_cap: bool,
+    /// Threads per core at which an engine counts as saturated.
+    pub(super) saturation_threads_per_core: f64,
+    /// Time of best-effort answers over the time that they would take alone, smoothed.
+    pub(super) stretch: f64,
+    /// Median slowdown of the ready engines.
+    pub(super) median_slowdown: f64,
+    /// Engines in the list.
+    pub(super) listed_engines: usize,
+}
+
+impl FleetCapacity {
+    pub(super) fn new(settings: &Settings) -> FleetCapacity {
+        let gateway_fraction = 1.0 / settings.gateway_count.max(1) as f64;
+        let max_cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
+        let cap_threads = max_cores * INITIAL_SATURATION * gateway_fraction;
+        let below_min_cap = settings.limits.health_checks && cap_threads < MIN_CAP_THREADS && max_cores > 0.0;
+        let saturation_threads_per_core =
+            if below_min_cap { INITIAL_SATURATION_BELOW_MIN_CAP } else { INITIAL_SATURATION };
+        FleetCapacity {
+            gateway_fraction,
+            below_min_cap,
+            saturation_threads_per_core,
+            stretch: 0.0,
+            median_slowdown: 1.0,
+            listed_engines: 0,
+        }
+    }
+
+    /// One answer took this times the time that it would have taken alone.
+    pub(super) fn record_stretch(&mut self, stretch: f64) {
+        self.stretch += STRETCH_WEIGHT * (stretch.min(MAX_STRETCH) - self.stretch);
+    }
+
+    /// Moves the saturation a step, by the stretch of answers; it rises only while best-effort requests wait.
+    pub(super) fn adjust_saturation(&mut self, best_effort_waits: bool) {
+        let has_capacity = best_effort_waits && self.stretch > 0.0 && self.stretch < STRETCH_RANGE.min;
+        let is_crowded = self.stretch > STRETCH_RANGE.max;
+        let step = SATURATION_STEP * (f64::from(has_capacity) - f64::from(is_crowded));
+        let saturation = self.saturation_threads_per_core * (1.0 + step);
+        self.saturation_threads_per_core = SATURATION_BOUNDS.clamp(saturation);
+    }
+
+    /// The cap of this gateway on one engine (threads): lower on an engine that is much slowed down.
+    fn cap_threads(&self, engine: &Engine) -> f64 {
+        let healthy_cap = engine.cores * self.saturation_threads_per_core * self.gateway_fraction;
+        let cap = healthy_cap * (JAMMED_SLOWDOWN / engine.health.slowdown).min(1.0);
+        cap.max(MIN_CAP_THREADS)
+    }
+
+    /// Whether another request of so many threads is within the cap; the first always is.
+    fn is_within_cap(&self, engine: &Engine, threads: f64) -> bool {
+        let local_threads = engine.local_load.threads;
+        local_threads == 0.0 || local_threads + threads <= self.cap_threads(engine)
+    }
+}
+
+impl Engine {
+    /// Whether another request of this much memory would fill its memory too far.
+    pub(super) fn is_short_of_memory(&self, memory_mb: f64, mean_query: &Load) -> bool {
+        let peer_queries = self.reported.peer_queries;
+        if self.local_load.queries + peer_queries < EMPTY_BELOW_QUERIES {
+            return false;
+        }
+        let estimated_mb = self.local_load.memory_mb + peer_queries * mean_query.memory_mb + memory_mb;
+        let added_fraction = self.reported.concurrent_observers * memory_mb / self.memory_mb;
+        let reported_fraction = self.reported.memory_fraction + added_fraction;
+        estimated_mb > MAX_MEMORY_FRACTION * self.memory_mb || reported_fraction > MAX_MEMORY_FRACTION
+    }
+
+    fn is_jammed(&self) -> bool {
+        self.health.slowdown > JAMMED_SLOWDOWN || self.health.check_latency_excess > JAMMED_LATENCY_EXCESS
+    }
+}
+
+impl Gateway {
+    /// Whether an engine has capacity for a request of this class: it is not under pressure, or the request is
+    /// within this gateway's cap there; and it has the memory.
+    pub(super) fn has_capacity(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
+        let threads = self.settings.classes[request.class].threads;
+        let pressed = engine.is_jammed() || self.would_saturate(request.class, engine, mean_query);
+        let within_cap = !self.capacity.below_min_cap && self.capacity.is_within_cap(engine, threads);
+        // By the lesser of request and class: this decides for the whole class until the next upkeep.
+        let memory_mb = request.memory_mb.min(self.classes[request.class].statistics.memory_mb);
+        (!pressed || within_cap) && !engine.is_short_of_memory(memory_mb, mean_query)
+    }
+
+    /// Whether half a request more of this class would saturate the engine.
+    fn would_saturate(&self, class: usize, engine: &Engine, mean_query: &Load) -> bool {
+        let class = &self.settings.classes[class];
+        let threads = engine.local_load.threads + engine.reported.peer_queries * mean_query.threads;
+        let headroom = if class.is_sensitive() { SENSITIVE_HEADROOM } else { 0.0 };
+        let saturation = self.capacity.saturation_threads_per_core + headroom;
+        let is_busy = engine.health.check_latency_excess > BUSY_LATENCY_EXCESS;
+        let limit = if is_busy { saturation / 2.0 } else { saturation };
+        threads + class.threads / 2.0 > limit * engine.slow_start.effective_cores
+    }
+}
--- /dev/null
+++ b/src/decision/completion.rs
@@ -0,0 +1,64 @@
+//! Final answers: the one path on which a request ends unserved, and what is recorded when a request ends.
+
+use super::gateway::Gateway;
+use super::requests::AttemptId;
+use super::types::{Action, Millis, RequestId};
+use sanddyke_statistics::ServedTimes;
+
+/// Disengagement of an answer after its latency objective: the staircase of the design page.
+pub(super) const LATE_DISENGAGEMENT: f64 = 0.5;
+/// Disengagement of an answer after its deadline, or of none.
+pub(super) const UNSERVED_DISENGAGEMENT: f64 = 1.0;
+
+impl Gateway {
+    /// Ends a request unserved: rejected where a retry of its client's is harmless, else failed.
+    pub(super) fn answer_unserved(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.streaming) else { return };
+        let answer = if self.is_harmless_for_client(request) {
+            let retry_after_ms = self.settings.limits.max_retry_after_ms.unwrap_or(0.0);
+            Action::Reject { request: id, retry_after_ms }
+        } else {
+            Action::Fail(id)
+        };
+        self.actions.push(answer);
+        self.record_completion(id, None);
+        self.forget_request(id);
+    }
+
+    /// The client no longer waits. Clients that give up early shorten the time that their class is worth serving in.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get(&id) {
+            let waited_ms = self.now - request.arrived_at;
+            self.classes[request.class].statistics.record_disconnect(waited_ms);
+        }
+        self.forget_request(id);
+    }
+
+    /// Records the end of a request in its stream; `service_ms` is the time on its engine, where it was served.
+    pub(super) fn record_completion(&mut self, id: RequestId, service_ms: Option<Millis>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let disengagement = match service_ms {
+            None => UNSERVED_DISENGAGEMENT,
+            Some(_) if self.now <= request.objective_at => 0.0,
+            Some(_) => LATE_DISENGAGEMENT,
+        };
+        let latency_ms = self.now - request.arrived_at;
+        let served = service_ms.map(|service_ms| ServedTimes { latency_ms, service_ms });
+        if let Some(tenant) = self.tenants.get_mut(&request.tenant) {
+            tenant.streams[request.class].completions.push(self.now, served, disengagement);
+        }
+    }
+
+    /// Forgets a request that has ended; what still runs for it is cancelled where that is allowed.
+    pub(super) fn forget_request(&mut self, id: RequestId) {
+        self.dequeue(id);
+        let Some(request) = self.requests.remove(&id) else { return };
+        if self.settings.limits.cancellation {
+            let in_flight: Vec<AttemptId> = self.attempts_in_flight(id).collect();
+            let cancels =
+                in_flight.iter().map(|attempt| Action::Cancel { request: id, attempt: attempt.number });
+            self.actions.extend(cancels);
+        }
+        self.leave_ordered_queue(id, request.order_key);
+    }
+}
--- /dev/null
+++ b/src/decision/engine_selection.rs
@@ -0,0 +1,111 @@
+//! Engine selection: the guard rules before a send, and the less loaded of two random engines that fit.
+
+use super::engines::Engine;
+use super::gateway::Gateway;
+use super::requests::PendingRequest;
+use super::types::{EngineId, RequestId};
+use sanddyke_sampling::Suitability;
+use sanddyke_statistics::Load;
+
+impl Gateway {
+    /// The engine for a request's next attempt; `None` where it may not be sent now, or no engine has capacity.
+    pub(super) fn select_engine(&mut self, id: RequestId) -> Option<EngineId> {
+        let request = &self.requests[&id];
+        let class = request.class;
+        if !self.may_place_class(class) || !self.may_send(id, request) {
+            return None;
+        }
+        if self.capacity.below_min_cap && !self.has_fresh_choice(id) {
+            return None;
+        }
+        let selected = self.pick_less_loaded_of_two(id);
+        if selected.is_none() {
+            self.classes[class].placement_failures += 1;
+        }
+        selected
+    }
+
+    /// Draws two engines with capacity, and takes the one with less work for what it can do now. One that is found
+    /// unavailable is not drawn again for the class until something changes there.
+    fn pick_less_loaded_of_two(&mut self, id: RequestId) -> Option<EngineId> {
+        let request = &self.requests[&id];
+        let mean_query = self.mean_query();
+        // Both are taken out while the closures below read the gateway.
+        let mut sampler = std::mem::take(&mut self.engine_sampler);
+        let mut rng = self.rng;
+        let judge = |engine: &EngineId| self.judge(request, *engine, &mean_query);
+        let random_below = |limit: usize| rng.rand_range(0..limit as u64) as usize;
+        let two = sampler.sample_two(request.class, random_below, judge);
+        let weighed = two
+            .into_iter()
+            .flatten()
+            .map(|engine| (engine, self.relative_load(&self.engines[&engine], request, &mean_query)));
+        let less_loaded = weighed.min_by(|a, b| a.1.total_cmp(&b.1));
+        self.engine_sampler = sampler;
+        self.rng = rng;
+        less_loaded.map(|(engine, _)| engine)
+    }
+
+    fn judge(&self, request: &PendingRequest, engine: EngineId, mean_query: &Load) -> Suitability {
+        let available =
+            self.engines.get(&engine).filter(|engine| self.is_available(request, engine, mean_query));
+        match available {
+            None => Suitability::UnsuitableForKind,
+            Some(engine) if self.can_place(request, engine, mean_query) => Suitability::Suitable,
+            Some(_) => Suitability::Unsuitable,
+        }
+    }
+
+    /// Estimated work on an engine with this request, over the cores' worth that it can do, times its slowdown.
+    fn relative_load(&self, engine: &Engine, request: &PendingRequest, mean_query: &Load) -> f64 {
+        let peer_work_ms = engine.reported.peer_queries * mean_query.work_ms;
+        let work_ms = engine.local_load.work_ms + peer_work_ms + request.work_ms;
+        work_ms / engine.slow_start.effective_cores * engine.health.slowdown
+    }
+
+    /// Whether an engine can take requests of this class now: allowed, reachable, and with capacity. The same for all
+    /// requests of the class, until something changes on the engine.
+    pub(super) fn is_available(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
+        let awaits_check = engine.health.down_since.is_some() && self.settings.limits.health_checks;
+        let unknown_load = self.capacity.below_min_cap && !engine.reported.is_fresh(self.now);
+        !awaits_check
+            && !engine.health.is_silent()
+            && !unknown_load
+            && !engine.health.is_paused(self.now)
+            && self.may_receive_class(request.class, engine)
+            && self.has_capacity(request, engine, mean_query)
+    }
+
+    /// Whether an available engine can take this very request.
+    pub(super) fn can_place(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
+        let lock = request.data_set_lock;
+        let would_wait = lock.is_some_and(|data_set| self.is_data_set_locked_on(engine, data_set));
+        !would_wait
+            && !engine.is_short_of_memory(request.memory_mb, mean_query)
+            && self.is_harmless(request, Some(&engine.entry))
+    }
+
+    /// The guard before every send, as far as class and engine go: rules 3, 4 and 6. A gateway that has just started
+    /// does not know what it sent before, so it sends nothing to an engine that is warming up.
+    pub(super) fn may_receive_class(&self, class: usize, engine: &Engine) -> bool {
+        let class = &self.settings.classes[class];
+        let kind_allowed =
+            class.allowed_kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.entry.kind));
+        let zone_allowed =
+            class.allowed_zones.as_ref().is_none_or(|zones| zones.contains(&engine.entry.zone));
+        let window_start = self.now - self.settings.rules.overload_window_ms;
+        let knows_own_sends = window_start >= self.created_at;
+        let within_budget =
+            engine.slow_start.is_warm(self.now) || (knows_own_sends && engine.slow_start.has_credit());
+        engine.is_ready() && kind_allowed && zone_allowed && within_budget
+    }
+
+    /// The guard before every send, as far as the request goes: rules 1, 2, 5 and 7.
+    fn may_send(&self, id: RequestId, request: &PendingRequest) -> bool {
+        self.is_next_of_its_key(id, request)
+            && self.may_attempt_again(request)
+            && !request.streaming
+            && self.now < request.deadline
+            && !self.has_attempt_in_flight(id)
+    }
+}
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,162 +1,229 @@
-//! What the gateway has learnt, for the process that takes over from this one: levels and means, no moments and
-//! no requests. It decides nothing: the same rules go on from where they stood.
+//! What a gateway has learned, for the process that takes over from this one: levels and means, no moments and no
+//! requests. It decides nothing: the same rules continue from where they stood.
 //!
-//! Nothing taken over loosens a rule: an engine's coldness can only grow by it, its state and credit are not part
-//! of it, and a figure that is not a number or out of its bounds is cut to them or left out.
+//! Nothing that is restored loosens a rule: an engine's warm-up can only become longer by it, its state and its
+//! credit are not part of it, and a figure that is not a number or is out of its bounds is ignored or clamped. The
+//! serialized names are those of the first version.
 
-use super::*;
+use super::alpha::ALPHA_BOUNDS;
+use super::bounds::Bounds;
+use super::capacity::{MAX_STRETCH, SATURATION_BOUNDS};
+use super::classes::{ClassState, LEARNING_ANSWERS};
+use super::engines::Engine;
+use super::gateway::Gateway;
+use super::outliers::MAX_SLOWDOWN;
+use super::tenants::Stream;
+use super::types::{EngineId, Millis};
 use serde::{Deserialize, Serialize};
 
+/// Maximum of any restored work, memory or rate.
+const MAX_FIGURE: f64 = 1e9;
+/// Bounds of the bias of hints. Ours.
+const HINT_BIAS_BOUNDS: Bounds = Bounds::new(0.01, 100.0);
+/// Minimum work of a request (ms of one thread), and minimum patience (ms).
+const MIN_TIME_MS: Millis = 1.0;
+
 /// Levels of the whole gateway.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedRates {
     /// Alpha, once it is known.
     pub alpha: Option<f64>,
-    /// Threads a core of a full engine.
-    pub full: f64,
-    /// Time over time alone.
+    /// Threads per core at which an engine counts as saturated.
+    #[serde(rename = "full")]
+    pub saturation_threads_per_core: f64,
+    /// Time of best-effort answers over the time that they would take alone.
     pub stretch: f64,
-    /// Work finished a ms.
-    pub rate: f64,
-    /// Requests taken a ms.
-    pub arrival_rate: f64,
+    /// Work finished per ms (ms of one thread).
+    #[serde(rename = "rate")]
+    pub work_per_ms: f64,
+    /// Requests received per ms.
+    #[serde(rename = "arrival_rate")]
+    pub requests_per_ms: f64,
 }
 
 /// Means of one class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedClass {
-    /// Answers that they are over.
-    pub seen: f64,
-    /// Work, in ms of one thread.
-    pub work: f64,
-    /// Memory, in MB.
-    pub memory: f64,
-    /// Told work over hinted work.
-    pub bias: f64,
-    /// Mean time of an answer, and the least that it was for long, in ms.
-    pub elapsed: f64,
-    /// See `elapsed`.
-    pub best: f64,
-    /// How long clients wait, in ms.
-    pub patience: f64,
-    /// Time on an engine, and the latency budget less that, in ms, over the tenants that asked of late.
-    pub service: f64,
-    /// See `service`.
-    pub slack: f64,
+    /// Answers that the means are over.
+    #[serde(rename = "seen")]
+    pub answers: f64,
+    /// Work (ms of one thread).
+    #[serde(rename = "work")]
+    pub work_ms: f64,
+    /// Memory (MB).
+    #[serde(rename = "memory")]
+    pub memory_mb: f64,
+    /// Used work over the client's estimate.
+    #[serde(rename = "bias")]
+    pub hint_bias: f64,
+    /// Time from sending an attempt to its answer (ms).
+    #[serde(rename = "elapsed")]
+    pub mean_latency_ms: f64,
+    /// The least that the mean latency was for long (ms).
+    #[serde(rename = "best")]
+    pub best_latency_ms: f64,
+    /// How long clients wait (ms).
+    #[serde(rename = "patience")]
+    pub patience_ms: f64,
+    /// Time on an engine, over the tenants that sent requests lately (ms).
+    #[serde(rename = "service")]
+    pub service_ms: f64,
+    /// Latency budget less the service time, over the same tenants (ms).
+    #[serde(rename = "slack")]
+    pub slack_ms: f64,
 }
 
-/// What is known of one engine beyond the list and its next report.
+/// What is known of one engine beyond the list and its next load report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedEngine {
     /// Time that answers take over the time that they would take alone.
-    pub slow: f64,
-    /// It is cold for so long yet, in ms.
-    pub cold_ms: f64,
+    #[serde(rename = "slow")]
+    pub slowdown: f64,
+    /// Time until it is warm (ms).
+    #[serde(rename = "cold_ms")]
+    pub warm_up_remaining_ms: f64,
+}
+
+/// What is known of the engine with this id.
+#[derive(Debug, Clone, PartialEq)]
+pub struct LearnedEngineEntry {
+    /// The engine.
+    pub id: EngineId,
+    /// What is known of it.
+    pub learned: LearnedEngine,
 }
 
 /// All that is passed on.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedState {
     /// Levels of the whole gateway.
-    pub pace: LearnedRates,
-    /// By class.
+    pub rates: LearnedRates,
+    /// By class number; `None` for a class of which nothing is known.
     pub classes: Vec<Option<LearnedClass>>,
     /// By engine.
-    pub engines: Vec<(EngineId, LearnedEngine)>,
+    pub engines: Vec<LearnedEngineEntry>,
 }
 
-/// Cuts a figure to its bounds; `None` for what is no number.
-fn within(figure: f64, least: f64, most: f64) -> Option<f64> {
-    figure.is_finite().then(|| figure.clamp(least, most))
+/// Takes a figure over, clamped to its bounds; what is not a number is ignored.
+fn restore_figure(target: &mut f64, figure: f64, bounds: Bounds) {
+    if let Some(figure) = bounds.clamp_finite(figure) {
+        *target = figure;
+    }
 }
 
-/// Takes a figure over where it is one.
-fn take(to: &mut f64, figure: f64, least: f64, most: f64) {
-    *to = within(figure, least, most).unwrap_or(*to);
+impl ClassState {
+    /// What is learned of the class, with the means over the streams of the tenants that sent requests lately.
+    fn learned(&self, streams: &[&Stream]) -> LearnedClass {
+        let mean = |figure: fn(&Stream) -> f64| match streams.len() {
+            0 => figure(&self.initial_stream),
+            count => streams.iter().map(|stream| figure(stream)).sum::<f64>() / count as f64,
+        };
+        LearnedClass {
+            answers: self.statistics.answers,
+            work_ms: self.statistics.work_ms,
+            memory_mb: self.statistics.memory_mb,
+            hint_bias: self.statistics.hint_bias,
+            mean_latency_ms: self.statistics.mean_latency_ms,
+            best_latency_ms: self.statistics.best_latency_ms,
+            patience_ms: self.statistics.patience_ms,
+            service_ms: mean(|stream| stream.service_ms),
+            slack_ms: mean(|stream| stream.slack_ms),
+        }
+    }
+
+    fn restore(&mut self, learned: &LearnedClass, deadline_ms: Millis) {
+        let figure = Bounds::new(0.0, MAX_FIGURE);
+        let latency = Bounds::new(0.0, deadline_ms);
+        let statistics = &mut self.statistics;
+        restore_figure(&mut statistics.answers, learned.answers, Bounds::new(0.0, LEARNING_ANSWERS));
+        restore_figure(&mut statistics.work_ms, learned.work_ms, Bounds::new(MIN_TIME_MS, MAX_FIGURE));
+        restore_figure(&mut statistics.memory_mb, learned.memory_mb, figure);
+        restore_figure(&mut statistics.hint_bias, learned.hint_bias, HINT_BIAS_BOUNDS);
+        restore_figure(&mut statistics.mean_latency_ms, learned.mean_latency_ms, latency);
+        restore_figure(&mut statistics.best_latency_ms, learned.best_latency_ms, latency);
+        let patience = Bounds::new(MIN_TIME_MS, deadline_ms);
+        restore_figure(&mut statistics.patience_ms, learned.patience_ms, patience);
+        restore_figure(&mut self.initial_stream.service_ms, learned.service_ms, latency);
+        restore_figure(&mut self.initial_stream.slack_ms, learned.slack_ms, latency);
+    }
 }
 
-/// No work, memory or rate is above this.
-const MOST_FIGURE: f64 = 1e9;
+impl Engine {
+    fn learned(&self, now: Millis) -> LearnedEngine {
+        let warm_up_remaining_ms = (self.slow_start.warm_at - now).max(0.0);
+        LearnedEngine { slowdown: self.health.slowdown, warm_up_remaining_ms }
+    }
+}
 
 impl Gateway {
-    /// What it has learnt. Costs a walk over classes, engines and the tenants that asked of late.
-    pub fn learnt(&self) -> LearnedState {
-        let pace = &self.pace;
-        let class = |index: usize, stats: &ClassStats| {
-            let streams = self.tenants.values().map(|tenant| &tenant.streams[index]);
-            let asked: Vec<&Stream> = streams.filter(|stream| !stream.done.is_empty()).collect();
-            let mean = |of: fn(&Stream) -> f64, first: f64| match asked.len() {
-                0 => first,
-                count => asked.iter().map(|stream| of(stream)).sum::<f64>() / count as f64,
-            };
-            LearnedClass {
-                seen: stats.seen,
-                work: stats.work,
-                memory: stats.memory,
-                bias: stats.bias,
-                elapsed: stats.elapsed,
-                best: stats.best,
-                patience: stats.patience,
-                service: mean(|stream| stream.service, stats.first.service),
-                slack: mean(|stream| stream.slack, stats.first.slack),
-            }
-        };
-        let cold = |engine: &Engine| (engine.cold_until - self.now).max(0.0);
-        let listed = self.engines.values().filter(|engine| engine.entry.state != EngineState::Removed);
+    /// What it has learned. Costs a walk over classes, engines and the tenants that sent requests lately.
+    pub fn learned_state(&self) -> LearnedState {
+        let listed = self.engines.values().filter(|engine| engine.is_listed());
         LearnedState {
-            pace: LearnedRates {
-                alpha: pace.alpha,
-                full: pace.full,
-                stretch: pace.stretch,
-                rate: pace.rate,
-                arrival_rate: pace.arrival_rate,
+            rates: LearnedRates {
+                alpha: self.alpha.alpha,
+                saturation_threads_per_core: self.capacity.saturation_threads_per_core,
+                stretch: self.capacity.stretch,
+                work_per_ms: self.traffic.work_per_ms,
+                requests_per_ms: self.traffic.requests_per_ms,
             },
-            classes: self.classes.iter().enumerate().map(|(at, stats)| Some(class(at, stats))).collect(),
+            classes: (0..self.classes.len()).map(|index| Some(self.learned_class(index))).collect(),
             engines: listed
-                .map(|engine| (engine.entry.id, LearnedEngine { slow: engine.slow, cold_ms: cold(engine) }))
+                .map(|engine| LearnedEngineEntry { id: engine.entry.id, learned: engine.learned(self.now) })
                 .collect(),
         }
     }
 
-    /// Requests that clients can have open here from now on: fewer while another process has some of their places.
-    pub fn set_max_open(&mut self, most: Option<usize>) {
-        self.settings.limits.max_open_requests = most;
+    fn learned_class(&self, index: usize) -> LearnedClass {
+        let streams = self.tenants.values().map(|tenant| &tenant.streams[index]);
+        let recent: Vec<&Stream> = streams.filter(|stream| !stream.completions.is_empty()).collect();
+        self.classes[index].learned(&recent)
     }
 
-    /// Goes on from what another has learnt, so many ms ago. Engines that are not listed are passed over.
-    pub fn restore(&mut self, learnt: &LearnedState, age_ms: Millis) {
-        let (pace, told) = (&mut self.pace, &learnt.pace);
-        pace.alpha =
-            told.alpha.and_then(|alpha| within(alpha, ALPHA_BOUNDS.0, ALPHA_BOUNDS.1)).or(pace.alpha);
-        take(&mut pace.full, told.full, FULL_BOUNDS.0, FULL_BOUNDS.1);
-        take(&mut pace.stretch, told.stretch, 0.0, STRETCH_MOST);
-        take(&mut pace.rate, told.rate, 0.0, MOST_FIGURE);
-        take(&mut pace.arrival_rate, told.arrival_rate, 0.0, MOST_FIGURE);
-        for ((stats, class), told) in self.classes.iter_mut().zip(&self.settings.classes).zip(&learnt.classes)
-        {
-            let Some(told) = told.as_ref().filter(|told| told.seen > 0.0) else { continue };
-            let deadline = class.deadline_ms;
-            take(&mut stats.seen, told.seen, 0.0, LEARN_OVER);
-            take(&mut stats.work, told.work, 1.0, MOST_FIGURE);
-            take(&mut stats.memory, told.memory, 0.0, MOST_FIGURE);
-            take(&mut stats.bias, told.bias, 0.01, 100.0);
-            take(&mut stats.elapsed, told.elapsed, 0.0, deadline);
-            take(&mut stats.best, told.best, 0.0, deadline);
-            take(&mut stats.patience, told.patience, 1.0, deadline);
-            take(&mut stats.first.service, told.service, 0.0, deadline);
-            take(&mut stats.first.slack, told.slack, 0.0, deadline);
+    /// Sets the maximum of requests that clients can have open here: it is lower while another process has some of
+    /// their connections.
+    pub fn set_max_open_requests(&mut self, limit: Option<usize>) {
+        self.settings.limits.max_open_requests = limit;
+    }
+
+    /// Continues from what another process had learned `age_ms` ago. Engines that are not known are ignored.
+    pub fn restore(&mut self, state: &LearnedState, age_ms: Millis) {
+        self.restore_rates(&state.rates);
+        let classes = self.classes.iter_mut().zip(&self.settings.classes).zip(&state.classes);
+        for ((class, settings), learned) in classes {
+            if let Some(learned) = learned.as_ref().filter(|learned| learned.answers > 0.0) {
+                class.restore(learned, settings.deadline_ms);
+            }
         }
-        for (id, told) in &learnt.engines {
-            let Some(engine) = self.engines.get_mut(id) else { continue };
-            take(&mut engine.slow, told.slow, 1.0, 50.0);
-            let most = self.settings.rules.warm_up_ms;
-            let left = within(told.cold_ms - age_ms.max(0.0), 0.0, most).unwrap_or(0.0);
-            let until = self.now + left;
-            engine.chill(until, self.now, 0.0, &mut self.rng);
-            engine.warm(self.now, 0.0, &self.settings.rules, self.settings.gateway_count);
+        for entry in &state.engines {
+            self.restore_engine(entry, age_ms);
         }
     }
+
+    fn restore_rates(&mut self, learned: &LearnedRates) {
+        if let Some(alpha) = learned.alpha.and_then(|alpha| ALPHA_BOUNDS.clamp_finite(alpha)) {
+            self.alpha.alpha = Some(alpha);
+        }
+        let figure = Bounds::new(0.0, MAX_FIGURE);
+        let saturation = learned.saturation_threads_per_core;
+        restore_figure(&mut self.capacity.saturation_threads_per_core, saturation, SATURATION_BOUNDS);
+        restore_figure(&mut self.capacity.stretch, learned.stretch, Bounds::new(0.0, MAX_STRETCH));
+        restore_figure(&mut self.traffic.work_per_ms, learned.work_per_ms, figure);
+        restore_figure(&mut self.traffic.requests_per_ms, learned.requests_per_ms, figure);
+    }
+
+    fn restore_engine(&mut self, entry: &LearnedEngineEntry, age_ms: Millis) {
+        let rules = &self.settings.rules;
+        let Some(engine) = self.engines.get_mut(&entry.id) else { return };
+        let slowdown_bounds = Bounds::new(1.0, MAX_SLOWDOWN);
+        restore_figure(&mut engine.health.slowdown, entry.learned.slowdown, slowdown_bounds);
+        let remaining_ms = entry.learned.warm_up_remaining_ms - age_ms.max(0.0);
+        let warm_up = Bounds::new(0.0, rules.warm_up_ms);
+        let warm_at = self.now + warm_up.clamp_finite(remaining_ms).unwrap_or(0.0);
+        engine.slow_start.begin(warm_at, self.now, 0.0, &mut self.rng);
+        engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.gateway_count);
+    }
 }
--- /dev/null
+++ b/src/decision/ordered_queues.rs
@@ -0,0 +1,49 @@
+//! Ordered queues (rule 5): requests of one key run in order of arrival, one at a time.
+
+use super::gateway::Gateway;
+use super::requests::PendingRequest;
+use super::types::{Millis, OrderKey, Outcome, RequestId};
+use std::collections::VecDeque;
+
+/// Requests of one key, the oldest first.
+#[derive(Debug, Default)]
+pub(super) struct OrderedQueue {
+    requests: VecDeque<RequestId>,
+    /// No request begins before this: an attempt whose end is unknown may still run.
+    paused_until: Millis,
+}
+
+impl OrderedQueue {
+    pub(super) fn push(&mut self, request: RequestId) {
+        self.requests.push_back(request);
+    }
+}
+
+impl Gateway {
+    /// Whether it is the request's turn. A request that has begun may be retried during the pause of its key.
+    pub(super) fn is_next_of_its_key(&self, id: RequestId, request: &PendingRequest) -> bool {
+        let Some(key) = request.order_key else { return true };
+        let Some(queue) = self.ordered_queues.get(&key) else { return true };
+        let settled = request.attempts_sent > 0 || self.now >= queue.paused_until;
+        queue.requests.front() == Some(&id) && settled
+    }
+
+    /// Pauses a key after an attempt, where it is unknown whether that still runs.
+    pub(super) fn pause_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
+        let end_known = outcome.never_ran() || matches!(outcome, Outcome::Served | Outcome::ServerError);
+        let pause_ms = if end_known { 0.0 } else { self.settings.rules.key_settle_ms };
+        if let Some(queue) = key.and_then(|key| self.ordered_queues.get_mut(&key)) {
+            queue.paused_until = queue.paused_until.max(self.now + pause_ms);
+        }
+    }
+
+    /// Takes a request out of its key's queue, once it is answered and none of its attempts is in flight.
+    pub(super) fn leave_ordered_queue(&mut self, id: RequestId, key: Option<OrderKey>) {
+        let Some(key) = key else { return };
+        if self.requests.contains_key(&id) || self.has_attempt_in_flight(id) {
+            return;
+        }
+        let queue = self.ordered_queues.entry(key).or_default();
+        queue.requests.retain(|other| *other != id);
+    }
+}
--- /dev/null
+++ b/src/decision/retry_policy.rs
@@ -0,0 +1,76 @@
+//! Retries: whether one more attempt is harmless (rule 2), and within the retry budget (rule 7).
+
+use super::gateway::Gateway;
+use super::requests::PendingRequest;
+use super::types::{DedupScope, Effect, EngineEntry, Millis, RetryBudget};
+use sanddyke_statistics::Timeline;
+
+/// Requests and retries of late, by which the retry budget is reckoned.
+#[derive(Debug, Default)]
+pub(super) struct RetryWindow {
+    requests: Timeline,
+    retries: Timeline,
+}
+
+impl RetryWindow {
+    pub(super) fn record_request(&mut self, now: Millis) {
+        self.requests.push(now);
+    }
+
+    pub(super) fn record_retry(&mut self, now: Millis) {
+        self.retries.push(now);
+    }
+
+    /// Whether one more retry is within the budget.
+    fn allows_retry(&self, budget: RetryBudget, now: Millis) -> bool {
+        let since = now - budget.window_ms;
+        let requests = self.requests.after(since) as f64;
+        let retries = self.retries.since(since) as f64;
+        retries + 1.0 <= budget.floor + budget.ratio * requests
+    }
+
+    /// Drops what no window reaches back to.
+    pub(super) fn trim(&mut self, budget: Option<RetryBudget>, now: Millis) {
+        let since = now - budget.map_or(0.0, |budget| budget.window_ms);
+        self.retries.trim(since);
+        self.requests.trim(since);
+    }
+}
+
+impl Gateway {
+    /// Whether the request may have one more attempt, as far as the number of attempts goes.
+    pub(super) fn may_attempt_again(&self, request: &PendingRequest) -> bool {
+        let is_retry = request.attempts_sent > 0;
+        request.attempts_sent < self.settings.limits.max_attempts && (!is_retry || self.retry_budget_allows())
+    }
+
+    fn retry_budget_allows(&self) -> bool {
+        let budget = self.settings.rules.retry_budget;
+        budget.is_none_or(|budget| self.retries.allows_retry(budget, self.now))
+    }
+
+    /// Rule 2: whether one more attempt does no harm, on that engine, or on the best one where none is given.
+    pub(super) fn is_harmless(&self, request: &PendingRequest, engine: Option<&EngineEntry>) -> bool {
+        let Some(executed) = request.possibly_executed else { return true };
+        match self.settings.classes[request.class].effect {
+            Effect::Repeatable => true,
+            Effect::Once => false,
+            Effect::Keyed { scope, window_ms } => {
+                let in_scope = engine.is_none_or(|engine| match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => executed.zone == engine.zone,
+                    DedupScope::Cell => executed.cell.is_some() && executed.cell == engine.cell,
+                });
+                in_scope && self.now + self.settings.step_ms < executed.at + window_ms
+            }
+        }
+    }
+
+    /// Whether the client may retry the request by itself, wherever that goes: only then is it rejected, else failed.
+    pub(super) fn is_harmless_for_client(&self, request: &PendingRequest) -> bool {
+        let effect = self.settings.classes[request.class].effect;
+        let limited_scope = matches!(effect, Effect::Keyed { scope, .. } if scope != DedupScope::All);
+        let may_miss_scope = limited_scope && request.possibly_executed.is_some();
+        self.is_harmless(request, None) && !may_miss_scope
+    }
+}
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -1,6 +1,7 @@
 //! The mechanism against values worked out by hand.
 
-use super::*;
+use super::alpha::next_alpha;
+use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
 
 #[test]
 fn the_budget_meets_the_target_under_the_exponential() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -571,7 +571,7 @@
     let refused_beside = |beside: usize, cheap: u64, dear: u64| {
         let told = Settings { classes: classes.clone(), limits, ..Settings::default() };
         let mut gateway = Gateway::new(told, 1, 0.0);
-        gateway.set_max_open(Some(20 - beside));
+        gateway.set_max_open_requests(Some(20 - beside));
         let one =
             |id: u64| Request { class: ClassId(usize::from(id >= 100)), remaining_ms: 1e14, ..request(id) };
         (0..cheap).chain(100..100 + dear).for_each(|id| drop(take(&mut gateway, 1.0, one(id))));
