--- a/crates/snapshot/tests/files.rs
+++ b/crates/snapshot/tests/files.rs
@@ -1,6 +1,6 @@
-//! Snapshots that are cut, spoilt, old, new, or written by several at once.
+//! Snapshots that are cut, damaged, too old, too new, or written by several processes at once.
 
-use sanddyke_snapshot::{MOST, SnapshotError, SnapshotFile, VERSION, decode, encode};
+use sanddyke_snapshot::{MAX_PAYLOAD_BYTES, SnapshotError, SnapshotFile, VERSION, decode, encode};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -24,23 +24,23 @@
 }
 
 #[test]
-fn a_snapshot_cut_anywhere_or_with_any_bit_turned_is_not_taken() {
+fn a_snapshot_cut_at_any_byte_or_with_any_bit_flipped_is_rejected() {
     let whole = encode(b"what was learnt", NOW).unwrap();
-    assert_eq!(decode(&whole, NOW, MINUTE).unwrap().0, b"what was learnt");
+    assert_eq!(decode(&whole, NOW, MINUTE).unwrap().payload, b"what was learnt");
     for cut in 0..whole.len() {
         assert!(decode(&whole[..cut], NOW, MINUTE).is_err(), "cut at {cut}");
     }
     for bit in 0..whole.len() * 8 {
-        let mut spoilt = whole.clone();
-        spoilt[bit / 8] ^= 1 << (bit % 8);
-        assert!(decode(&spoilt, NOW, MINUTE).is_err(), "bit {bit}");
+        let mut damaged = whole.clone();
+        damaged[bit / 8] ^= 1 << (bit % 8);
+        assert!(decode(&damaged, NOW, MINUTE).is_err(), "bit {bit}");
     }
     let longer = [&whole[..], b"x"].concat();
     assert!(decode(&longer, NOW, MINUTE).is_err());
 }
 
 #[test]
-fn noise_of_any_length_is_not_taken() {
+fn random_bytes_of_any_length_are_rejected() {
     let mut rng = oorandom::Rand32::new(20261201);
     for round in 0..20_000 {
         let length = rng.rand_range(0..200) as usize;
@@ -57,55 +57,55 @@
 fn age_version_and_length_are_bounded() {
     let whole = encode(b"x", NOW).unwrap();
     let at = |now: u64| decode(&whole, now, MINUTE);
-    assert!(matches!(at(NOW + 60_001), Err(SnapshotError::Old(_))));
-    assert!(matches!(at(NOW + 86_400_000), Err(SnapshotError::Old(_))));
-    assert!(matches!(at(NOW - 2_001), Err(SnapshotError::Future(_))));
-    assert_eq!(at(NOW - 500).unwrap().1, Duration::ZERO);
+    assert!(matches!(at(NOW + 60_001), Err(SnapshotError::TooOld { .. })));
+    assert!(matches!(at(NOW + 86_400_000), Err(SnapshotError::TooOld { .. })));
+    assert!(matches!(at(NOW - 2_001), Err(SnapshotError::FromFuture { .. })));
+    assert_eq!(at(NOW - 500).unwrap().age, Duration::ZERO);
     let mut newer = whole.clone();
     newer[8..12].copy_from_slice(&(VERSION + 1).to_le_bytes());
     newer.truncate(40);
-    assert!(matches!(decode(&newer, NOW, MINUTE), Err(SnapshotError::Newer(_))));
-    assert!(matches!(encode(&vec![0; MOST + 1], NOW), Err(SnapshotError::Long(_))));
-    assert!(encode(&vec![0; MOST], NOW).is_ok());
+    assert!(matches!(decode(&newer, NOW, MINUTE), Err(SnapshotError::NewerVersion { .. })));
+    assert!(matches!(encode(&vec![0; MAX_PAYLOAD_BYTES + 1], NOW), Err(SnapshotError::TooLong { .. })));
+    assert!(encode(&vec![0; MAX_PAYLOAD_BYTES], NOW).is_ok());
 }
 
 #[test]
-fn the_last_whole_one_is_read_and_what_the_killed_left_is_swept() {
+fn the_latest_complete_snapshot_is_read_and_stale_temporary_files_are_removed() {
     let folder = Folder::new("place");
-    let place = SnapshotFile::new(&folder.0, "n/1..");
-    assert!(place.read(NOW, MINUTE).unwrap().is_none());
-    place.write(b"first", NOW).unwrap();
-    place.write(b"second", NOW + 1).unwrap();
-    assert_eq!(place.read(NOW + 1, MINUTE).unwrap().unwrap().0, b"second");
+    let file = SnapshotFile::new(&folder.0, "n/1..");
+    assert!(file.read(NOW, MINUTE).unwrap().is_none());
+    file.write(b"first", NOW).unwrap();
+    file.write(b"second", NOW + 1).unwrap();
+    assert_eq!(file.read(NOW + 1, MINUTE).unwrap().unwrap().payload, b"second");
     let left = folder.0.join("sanddyke-n1.999999999.part");
     let other = folder.0.join("sanddyke-n2.999999999.part");
     let own = folder.0.join(format!("sanddyke-n1.{}.part", std::process::id()));
     for path in [&left, &other, &own] {
         std::fs::write(path, b"half").unwrap();
     }
-    place.remove_stale_parts().unwrap();
+    file.remove_stale_parts().unwrap();
     assert_eq!([&left, &other, &own].map(|path| path.exists()), [false, true, true]);
-    place.write(b"third", NOW).unwrap();
-    assert_eq!(place.read(NOW, MINUTE).unwrap().unwrap().0, b"third");
+    file.write(b"third", NOW).unwrap();
+    assert_eq!(file.read(NOW, MINUTE).unwrap().unwrap().payload, b"third");
 }
 
 #[test]
-fn a_place_that_cannot_be_written_or_read_says_so() {
+fn a_file_that_cannot_be_written_or_read_is_an_error() {
     let folder = Folder::new("bad");
-    let place = SnapshotFile::new(&folder.0.join("missing"), "n1");
-    assert!(matches!(place.write(b"x", NOW), Err(SnapshotError::File(_))));
-    assert!(place.read(NOW, MINUTE).unwrap().is_none());
+    let file = SnapshotFile::new(&folder.0.join("missing"), "n1");
+    assert!(matches!(file.write(b"x", NOW), Err(SnapshotError::File(_))));
+    assert!(file.read(NOW, MINUTE).unwrap().is_none());
     std::fs::create_dir_all(folder.0.join("sanddyke-n1.learnt")).unwrap();
     assert!(matches!(SnapshotFile::new(&folder.0, "n1").read(NOW, MINUTE), Err(SnapshotError::File(_))));
 }
 
 /// A reader beside writers, one of which is killed at random moments (it stops in the middle of its file), finds
-/// a whole snapshot at every moment once there was one.
+/// a complete snapshot at every moment once there was one.
 #[test]
-fn a_reader_finds_a_whole_one_whatever_writers_do() {
+fn a_reader_finds_a_complete_snapshot_whatever_writers_do() {
     let folder = Folder::new("writers");
-    let place = SnapshotFile::new(&folder.0, "n1");
-    place.write(&0u64.to_le_bytes().repeat(1000), NOW).unwrap();
+    let file = SnapshotFile::new(&folder.0, "n1");
+    file.write(&0u64.to_le_bytes().repeat(1000), NOW).unwrap();
     let mut rng = oorandom::Rand32::new(7);
     let whole = encode(&9u64.to_le_bytes().repeat(1000), NOW).unwrap();
     for round in 1..500u64 {
@@ -113,9 +113,9 @@
         std::fs::write(folder.0.join(format!("sanddyke-n1.{}.part", std::process::id())), &whole[..cut])
             .unwrap();
         if round % 3 == 0 {
-            place.write(&round.to_le_bytes().repeat(1000), NOW).unwrap();
+            file.write(&round.to_le_bytes().repeat(1000), NOW).unwrap();
         }
-        let (found, _) = place.read(NOW, MINUTE).unwrap().unwrap();
+        let found = file.read(NOW, MINUTE).unwrap().unwrap().payload;
         let expected = (round / 3 * 3).to_le_bytes();
         assert!(found.chunks(8).all(|chunk| chunk == expected), "round {round}");
     }
--- /dev/null
+++ b/src/server/startup.rs
@@ -0,0 +1,328 @@
+//! Start-up: opens the store, starts the service and its background tasks, and opens the listeners last, once
+//! requests can be served.
+
+use super::error::ServerError;
+use super::limits::{DescriptorBudget, upstream_limits};
+use super::reload::{AdminTls, ConfigReloader};
+use super::shutdown::ShutdownBudget;
+use super::{Server, Signals, StartOptions};
+use sanddyke::admin::{self, Admin};
+use sanddyke::clock::Clock;
+use sanddyke::cluster::Cluster;
+use sanddyke::config::{AdminApi, Config, StoreKeys, TdsFront};
+use sanddyke::core::{Core, EngineListUpdate, Input};
+use sanddyke::discovery::{self, DiscoveryTarget};
+use sanddyke::frontend::http::{self, Http};
+use sanddyke::frontend::tds::{self, Tds};
+use sanddyke::lifecycle::LifecycleHandle;
+use sanddyke::operations_endpoint::{self, Heartbeat, OperationsEndpoint};
+use sanddyke::service::{self, ServiceEnded, ServiceHandle};
+use sanddyke::settings::Front;
+use sanddyke::state_handover;
+use sanddyke::tenants::{TenantService, TenantServiceError};
+use sanddyke::upstream::UpstreamPool;
+use sanddyke_lifecycle::{Event, ListenSocket};
+use sanddyke_snapshot::SnapshotFile;
+use sanddyke_store::{Loaded, Store, StoreError};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use tokio::net::TcpListener;
+use tokio::sync::{Notify, watch};
+use tokio::task::JoinHandle;
+
+/// The parts that most tasks need: the way to the service, the lifecycle and the clock.
+#[derive(Debug, Clone)]
+struct Handles {
+    service: ServiceHandle,
+    lifecycle: LifecycleHandle,
+    clock: Clock,
+}
+
+impl Server {
+    /// Starts everything, in an order in which each part finds what it needs; clients are accepted last.
+    pub async fn start(options: StartOptions) -> Result<Server, ServerError> {
+        let StartOptions { source, clock, config, inherited_listener } = options;
+        let socket = match inherited_listener {
+            Some(_) => ListenSocket::Shared,
+            None => ListenSocket::Exclusive,
+        };
+        let lifecycle = LifecycleHandle::new(socket);
+        let signals = Signals::register()?;
+        let shutdown_budget =
+            ShutdownBudget::new(&config.front.settings.classes, socket, source.is_platform());
+
+        let store = open_store(config.store.as_ref())?;
+        let service = start_service(&config, store.is_some(), clock);
+        let handles = Handles { service, lifecycle, clock };
+        let initial_engines = EngineListUpdate::Initial(config.listed.engines());
+        handles.service.notify(Input::Engines(initial_engines)).await?;
+        start_operations_endpoint(&config, &handles)?;
+
+        let handover = Handover::new(&config.name, socket);
+        handover.restore(&handles).await?;
+        let tenant_service = start_tenant_service(&config, store, &handles).await?;
+        let restart = Arc::new(Notify::new());
+        let cluster = join_cluster(&config, &handles, &tenant_service, &restart)?;
+        let discovery_target = start_discovery(&config, &handles);
+        let admin_tls = AdminTls::new(None);
+        let reloader =
+            ConfigReloader::new(source, clock, config.read.clone(), discovery_target, admin_tls.clone());
+        if socket == ListenSocket::Shared {
+            // Another process serves until this one reports that it is ready.
+            state_handover::wait_for_engines(&handles.service, &clock).await?;
+        }
+
+        let name = config.name.clone();
+        let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.sockets));
+        listeners.open(config, inherited_listener, tenant_service, cluster.clone(), &admin_tls).await?;
+        for event in [Event::EngineListLoaded, Event::EnginesChecked] {
+            handles.lifecycle.apply(event)?;
+        }
+        handover.start_tasks(&handles);
+        log::info!("{name} is ready");
+        Ok(Server {
+            clock,
+            socket,
+            lifecycle: handles.lifecycle,
+            service: handles.service,
+            frontends: listeners.accept_loops,
+            cluster,
+            signals,
+            restart,
+            reloader,
+            shutdown_budget,
+            peer_connections_file: handover.connections_file,
+        })
+    }
+}
+
+/// The files by which this process and the next, or the one before, hand over. There are none where the clients'
+/// socket ends with the process.
+#[derive(Debug)]
+struct Handover {
+    snapshot_file: Option<SnapshotFile>,
+    connections_file: Option<SnapshotFile>,
+}
+
+impl Handover {
+    fn new(name: &str, socket: ListenSocket) -> Handover {
+        match socket {
+            ListenSocket::Shared => Handover {
+                snapshot_file: state_handover::snapshot_file(name),
+                connections_file: state_handover::connections_file(name),
+            },
+            ListenSocket::Exclusive => Handover { snapshot_file: None, connections_file: None },
+        }
+    }
+
+    /// Restores what the process before has learned.
+    async fn restore(&self, handles: &Handles) -> Result<(), ServiceEnded> {
+        match &self.snapshot_file {
+            Some(file) => state_handover::restore_snapshot(file, &handles.service, &handles.clock).await,
+            None => Ok(()),
+        }
+    }
+
+    /// Starts to write snapshots for the next process, and to watch the connections of the one before.
+    fn start_tasks(&self, handles: &Handles) {
+        if let Some(file) = self.snapshot_file.clone() {
+            let Handles { service, lifecycle, clock } = handles.clone();
+            tokio::spawn(state_handover::write_snapshots(file, service, clock, lifecycle));
+        }
+        if let Some(file) = self.connections_file.clone() {
+            let Handles { service, lifecycle, clock } = handles.clone();
+            tokio::spawn(state_handover::watch_peer_connections(file, service, clock, lifecycle));
+        }
+    }
+}
+
+/// Opens the store, where tenants are managed while the program runs.
+fn open_store(keys: Option<&StoreKeys>) -> Result<Option<(Store, Loaded)>, StoreError> {
+    keys.map(|keys| Store::open(&keys.path)).transpose()
+}
+
+/// Starts the task that owns the core, with the connections to engines.
+fn start_service(config: &Config, has_store: bool, clock: Clock) -> ServiceHandle {
+    let (service, messages) = ServiceHandle::new();
+    let descriptors = DescriptorBudget::new(config.sockets);
+    let limits = upstream_limits(config, descriptors);
+    let upstream = UpstreamPool::new(config.wire.clone(), service.clone(), clock, limits);
+    let mut front: Front = config.front.clone();
+    front.settings.limits.max_open = Some(descriptors.max_open_requests());
+    if has_store {
+        // From its first start on the store defines the tenants.
+        front.tenants = Vec::new();
+        front.settings.tenants = Vec::new();
+    }
+    let mut core = Core::new(front, config.max_open, config.seed, clock.now());
+    if has_store {
+        core = core.host();
+    }
+    tokio::spawn(service::run(core, clock, messages, upstream));
+    service
+}
+
+/// Starts the operations endpoint, where one is configured, and the heartbeat that it reports.
+fn start_operations_endpoint(config: &Config, handles: &Handles) -> Result<(), ServerError> {
+    let Some(address) = config.ops else { return Ok(()) };
+    let heartbeat = Heartbeat::default();
+    tokio::spawn(heartbeat.clone().run(handles.service.clone(), handles.clock));
+    let endpoint =
+        OperationsEndpoint { lifecycle: handles.lifecycle.clone(), heartbeat, clock: handles.clock };
+    let max_connections = DescriptorBudget::new(config.sockets).max_operations_connections();
+    operations_endpoint::start(address, endpoint, max_connections)
+        .map_err(|source| ServerError::BindOperationsAddress { address, source })
+}
+
+/// Starts the service that manages tenants, with those of the store or else of the settings.
+async fn start_tenant_service(
+    config: &Config,
+    store: Option<(Store, Loaded)>,
+    handles: &Handles,
+) -> Result<Arc<TenantService>, TenantServiceError> {
+    let settings_tenants = config.document();
+    let backups = config.store.as_ref().and_then(|keys| keys.backups.clone());
+    let service = handles.service.clone();
+    TenantService::start(store, &settings_tenants, backups, service, config.known.clone(), handles.clock)
+        .await
+}
+
+/// Starts to watch the name service. What it is asked for can be replaced by the sender that is returned.
+fn start_discovery(config: &Config, handles: &Handles) -> watch::Sender<DiscoveryTarget> {
+    let target = DiscoveryTarget {
+        resolver: config.resolver,
+        service: config.service.clone(),
+        listed: config.listed.clone(),
+    };
+    let (sender, receiver) = watch::channel(target);
+    tokio::spawn(discovery::run(receiver, handles.service.clone(), handles.clock, config.seed));
+    sender
+}
+
+/// Joins the cluster, where one is configured.
+#[cfg(feature = "cluster")]
+fn join_cluster(
+    config: &Config,
+    handles: &Handles,
+    tenant_service: &Arc<TenantService>,
+    restart: &Arc<Notify>,
+) -> Result<Option<Cluster>, ServerError> {
+    use sanddyke::cluster::{ROLLING_RESTART_LEASE, backup, follow, restart_controller, start};
+    let Some(fleet) = config.fleet.clone() else { return Ok(None) };
+    let address = fleet.listen;
+    let backup_interval_ms = fleet.backup_every_ms;
+    let Handles { lifecycle, clock, .. } = handles.clone();
+    let shutdown = (lifecycle.clone(), restart.clone());
+    let (cluster, mut lease_events) = start(fleet, &config.name, clock, config.seed, shutdown)
+        .map_err(|source| ServerError::BindClusterAddress { address, source })?;
+    if let (Some(events), Some(interval_ms)) = (lease_events.remove(backup::DUTY), backup_interval_ms) {
+        tokio::spawn(backup::run(cluster.clone(), events, tenant_service.clone(), clock, interval_ms));
+    }
+    if let Some(events) = lease_events.remove(ROLLING_RESTART_LEASE) {
+        tokio::spawn(restart_controller::run(cluster.clone(), events, clock));
+    }
+    tokio::spawn(follow(cluster.clone(), lifecycle));
+    Ok(Some(cluster))
+}
+
+/// A build without the feature `cluster` joins none.
+#[cfg(not(feature = "cluster"))]
+fn join_cluster(
+    _config: &Config,
+    _handles: &Handles,
+    _tenant_service: &Arc<TenantService>,
+    _restart: &Arc<Notify>,
+) -> Result<Option<Cluster>, ServerError> {
+    Ok(None)
+}
+
+/// The listeners for clients and operators, each with its accept loop.
+#[derive(Debug)]
+struct Listeners {
+    handles: Handles,
+    descriptors: DescriptorBudget,
+    accept_loops: Vec<JoinHandle<()>>,
+}
+
+impl Listeners {
+    fn new(handles: Handles, descriptors: DescriptorBudget) -> Listeners {
+        Listeners { handles, descriptors, accept_loops: Vec::new() }
+    }
+
+    /// Opens every listener that is configured.
+    async fn open(
+        &mut self,
+        config: Config,
+        inherited_listener: Option<std::net::TcpListener>,
+        tenant_service: Arc<TenantService>,
+        cluster: Option<Cluster>,
+        admin_tls: &AdminTls,
+    ) -> Result<(), ServerError> {
+        if let Some(address) = config.listen {
+            self.start_http(address, inherited_listener, config.page_bytes).await?;
+        }
+        if let Some(settings) = config.tds {
+            self.start_tds(settings, config.seed).await?;
+        }
+        if let Some(settings) = config.admin {
+            self.start_admin(settings, tenant_service, cluster, admin_tls).await?;
+        }
+        Ok(())
+    }
+
+    /// Accepts HTTP clients, on the inherited socket where there is one.
+    async fn start_http(
+        &mut self,
+        address: SocketAddr,
+        inherited_listener: Option<std::net::TcpListener>,
+        page_bytes: usize,
+    ) -> Result<(), ServerError> {
+        let listener = match inherited_listener {
+            Some(listener) => TcpListener::from_std(listener)?,
+            None => bind(address).await?,
+        };
+        let frontend = Http::new(self.handles.service.clone(), self.handles.lifecycle.clone(), page_bytes);
+        let max_connections = self.descriptors.max_http_connections();
+        self.accept_loops.push(tokio::spawn(http::serve(listener, frontend, max_connections)));
+        Ok(())
+    }
+
+    /// Accepts TDS clients.
+    async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
+        let listener = bind(settings.listen).await?;
+        let frontend = Tds {
+            handle: self.handles.service.clone(),
+            lifecycle: self.handles.lifecycle.clone(),
+            directory: settings.directory,
+            tls: settings.tls,
+            class: settings.class,
+            budget: settings.budget,
+            seed,
+            named: AtomicU64::new(1),
+        };
+        let max_connections = self.descriptors.max_tds_connections();
+        self.accept_loops.push(tokio::spawn(tds::serve(listener, Arc::new(frontend), max_connections)));
+        Ok(())
+    }
+
+    /// Accepts operators at the administration API, whose certificate can be replaced by `admin_tls`.
+    async fn start_admin(
+        &mut self,
+        settings: AdminApi,
+        tenant_service: Arc<TenantService>,
+        cluster: Option<Cluster>,
+        admin_tls: &AdminTls,
+    ) -> Result<(), ServerError> {
+        let listener = bind(settings.listen).await?;
+        admin_tls.send_replace(settings.tls);
+        let Handles { service, lifecycle, clock } = self.handles.clone();
+        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.token, cluster);
+        self.accept_loops.push(tokio::spawn(admin::serve(listener, api, admin_tls.subscribe())));
+        Ok(())
+    }
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, ServerError> {
+    TcpListener::bind(address).await.map_err(|source| ServerError::BindClientAddress { address, source })
+}
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -1,130 +1,178 @@
-//! What one process of this program leaves for the next under the same name and socket: read at the start,
-//! written once a second while it serves. Off where the socket is the process's own, or `$TMPDIR` is not set.
+//! Handover of state between two processes of one manager, which share the clients' socket: the old one writes a
+//! snapshot of its learned state once a second while it serves, and the new one restores it at its start. While the
+//! old one shuts down it publishes its open connections, which count against the new one's limit.
+//!
+//! It is off where the socket belongs to one process alone, and where `$TMPDIR` is not set.
 
 use crate::clock::{Clock, Micros};
 use crate::core::{HandoverState, Input};
 use crate::lifecycle::LifecycleHandle;
 use crate::service::{ServiceEnded, ServiceHandle};
-use sanddyke_snapshot::SnapshotFile;
+use sanddyke_snapshot::{SnapshotError, SnapshotFile};
 use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Time between two snapshots.
-const EVERY: Duration = Duration::from_secs(1);
-/// What is older tells of other traffic: rates are over 2 s and windows over 10 s. A new version is up within 6 s.
-const OLDEST: Duration = Duration::from_secs(30);
-/// A new version says yes after so long at the latest, also where engines say nothing: it must within 6 s.
-const HEARD_WITHIN: Micros = Micros(2_000_000);
-/// Time between two looks whether engines were heard.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
+/// An older snapshot describes other traffic: rates are over 2 s and windows over 10 s. A new version is up within
+/// 6 s.
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(30);
+/// A new process reports ready after this time at the latest, also where engines do not answer: the platform gives
+/// it 6 s.
+const MAX_ENGINE_WAIT: Micros = Micros(2_000_000);
+/// Time between two looks whether engines have answered.
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process that leaves says so often how many connections of clients it still has, and one that has taken over
-/// looks as often.
-const WORD_EVERY: Duration = Duration::from_millis(100);
-/// Word that is older is of a process that is gone.
-const WORD_LASTS: Duration = Duration::from_secs(1);
+/// Time between two counts that a process publishes while it shuts down; the next process reads as often.
+const CONNECTIONS_INTERVAL: Duration = Duration::from_millis(100);
+/// An older count is of a process that has ended.
+const MAX_CONNECTIONS_AGE: Duration = Duration::from_secs(1);
 
-/// Where a process that leaves says how many connections it still has.
-pub fn leaving(name: &str) -> Option<SnapshotFile> {
-    place(&format!("{name}-leaving"))
+/// Why a snapshot was not written or not restored.
+#[derive(Debug, Error)]
+enum HandoverError {
+    #[error(transparent)]
+    Snapshot(#[from] SnapshotError),
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error(transparent)]
+    WriterTask(#[from] tokio::task::JoinError),
 }
 
-/// Says how many connections of clients this process still has, until it ends.
-pub async fn leave(place: SnapshotFile, clock: Clock, lifecycle: LifecycleHandle) {
+/// Where the learned state of a manager of this name is stored; `None` where `$TMPDIR` is not set.
+pub fn snapshot_file(name: &str) -> Option<SnapshotFile> {
+    let folder = PathBuf::from(std::env::var_os("TMPDIR")?);
+    Some(SnapshotFile::new(&folder, name))
+}
+
+/// Where a process of this name that shuts down publishes its open connections.
+pub fn connections_file(name: &str) -> Option<SnapshotFile> {
+    snapshot_file(&format!("{name}-leaving"))
+}
+
+/// Publishes the number of clients' connections that this process still has, until it ends.
+pub async fn publish_connections(file: SnapshotFile, clock: Clock, lifecycle: LifecycleHandle) {
     loop {
-        let word = (lifecycle.connections() as u64).to_le_bytes();
-        if let Err(error) = place.write(&word, clock.unix_ms()) {
-            return log::warn!("handover: the next process is not told of open connections: {error}");
+        let count = (lifecycle.connections() as u64).to_le_bytes();
+        if let Err(error) = file.write(&count, clock.unix_ms()) {
+            log::warn!("handover: the next process is not told of open connections: {error}");
+            return;
         }
-        tokio::time::sleep(WORD_EVERY).await;
+        tokio::time::sleep(CONNECTIONS_INTERVAL).await;
     }
 }
 
-/// Tells the service how many of the connections that clients may have another process of this manager holds,
-/// for as long as this one does not leave itself: both count as one.
-pub async fn beside(place: SnapshotFile, handle: ServiceHandle, clock: Clock, lifecycle: LifecycleHandle) {
-    let mut told = 0;
+/// Notifies the service of the clients' connections that another process of this manager still has: both count
+/// against one limit. It ends when this process shuts down itself.
+pub async fn watch_peer_connections(
+    file: SnapshotFile,
+    service: ServiceHandle,
+    clock: Clock,
+    lifecycle: LifecycleHandle,
+) {
+    let mut notified = 0;
     while !lifecycle.is_shutting_down() {
-        // None, one that is old, and one that can't be read all say that nobody is there.
-        let word = place.read(clock.unix_ms(), WORD_LASTS).ok().flatten();
-        let word = word.and_then(|(bytes, _)| <[u8; 8]>::try_from(bytes).ok()).map_or(0, u64::from_le_bytes);
-        let word = usize::try_from(word).unwrap_or(usize::MAX);
-        if word != told {
-            told = word;
-            if handle.notify(Input::PeerProcessConnections(word)).await.is_err() {
+        let connections = read_connections(&file, &clock);
+        if connections != notified {
+            notified = connections;
+            if service.notify(Input::PeerProcessConnections(connections)).await.is_err() {
                 return;
             }
         }
-        tokio::time::sleep(WORD_EVERY).await;
+        tokio::time::sleep(CONNECTIONS_INTERVAL).await;
     }
 }
 
-/// Where snapshots of a manager of this name are kept, if they are.
-pub fn place(name: &str) -> Option<SnapshotFile> {
-    let folder = PathBuf::from(std::env::var_os("TMPDIR")?);
-    Some(SnapshotFile::new(&folder, name))
+/// The published connections; 0 where the file is missing, outdated or unreadable, as no process is there then.
+fn read_connections(file: &SnapshotFile, clock: &Clock) -> usize {
+    let snapshot = file.read(clock.unix_ms(), MAX_CONNECTIONS_AGE).ok().flatten();
+    let bytes = snapshot.and_then(|snapshot| <[u8; 8]>::try_from(snapshot.payload).ok());
+    let connections = bytes.map_or(0, u64::from_le_bytes);
+    usize::try_from(connections).unwrap_or(usize::MAX)
 }
 
-/// Has the service go on from the snapshot that is there. One that can't be used costs one line in the log.
-pub async fn take(place: &SnapshotFile, handle: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
-    if let Err(error) = place.remove_stale_parts() {
+/// Restores the service's learned state from the snapshot, if there is one. One that can't be used costs a line in
+/// the log.
+pub async fn restore_snapshot(
+    file: &SnapshotFile,
+    service: &ServiceHandle,
+    clock: &Clock,
+) -> Result<(), ServiceEnded> {
+    if let Err(error) = file.remove_stale_parts() {
         log::warn!("handover: what was left aside stays: {error}");
     }
-    let found = match place.read(clock.unix_ms(), OLDEST) {
+    let (state, age) = match read_snapshot(file, clock) {
+        Ok(Some(found)) => found,
         Ok(None) => return Ok(()),
-        Ok(Some((payload, age))) => serde_json::from_slice::<HandoverState>(&payload)
-            .map(|handover| (handover, age))
-            .map_err(|error| error.to_string()),
-        Err(unfit) => Err(unfit.to_string()),
-    };
-    match found {
-        Ok((handover, age)) => {
-            let (classes, engines) = (handover.classes.len(), handover.engines.len());
-            let ms = age.as_millis();
-            log::info!("handover: goes on from {classes} classes and {engines} engines, {ms} ms old");
-            let age = Micros(i64::try_from(age.as_micros()).unwrap_or(i64::MAX));
-            handle.notify(Input::RestoreState(Box::new(handover), age)).await
-        }
-        Err(why) => {
-            log::warn!("handover: a snapshot is left out: {why}");
-            Ok(())
+        Err(error) => {
+            log::warn!("handover: a snapshot is left out: {error}");
+            return Ok(());
         }
-    }
+    };
+    log::info!(
+        "handover: goes on from {} classes and {} engines, {} ms old",
+        state.classes.len(),
+        state.engines.len(),
+        age.as_millis()
+    );
+    let age = Micros(i64::try_from(age.as_micros()).unwrap_or(i64::MAX));
+    service.notify(Input::RestoreState(Box::new(state), age)).await
 }
 
-/// Leaves snapshots until the program is about to end: from then on, they are the next one's to write.
-pub async fn keep(place: SnapshotFile, handle: ServiceHandle, clock: Clock, lifecycle: LifecycleHandle) {
-    let mut well = true;
+fn read_snapshot(
+    file: &SnapshotFile,
+    clock: &Clock,
+) -> Result<Option<(HandoverState, Duration)>, HandoverError> {
+    let Some(snapshot) = file.read(clock.unix_ms(), MAX_SNAPSHOT_AGE)? else { return Ok(None) };
+    let state = serde_json::from_slice(&snapshot.payload)?;
+    Ok(Some((state, snapshot.age)))
+}
+
+/// Writes snapshots until this process shuts down: from then on, the file is the next process's to write.
+pub async fn write_snapshots(
+    file: SnapshotFile,
+    service: ServiceHandle,
+    clock: Clock,
+    lifecycle: LifecycleHandle,
+) {
+    let mut last_write_succeeded = true;
     loop {
-        tokio::time::sleep(EVERY).await;
-        let Ok(handover) = handle.handover_state().await else { return };
+        tokio::time::sleep(SNAPSHOT_INTERVAL).await;
+        let Ok(state) = service.handover_state().await else { return };
         if lifecycle.is_shutting_down() {
             return;
         }
-        let place = place.clone();
-        let written = tokio::task::spawn_blocking(move || {
-            let payload = serde_json::to_vec(&handover).map_err(|error| error.to_string())?;
-            place.write(&payload, clock.unix_ms()).map_err(|error| error.to_string())
-        });
-        let written = written.await.unwrap_or_else(|error| Err(error.to_string()));
-        match &written {
-            Err(why) if well => log::warn!("handover: no snapshot is left: {why}"),
-            Ok(()) if !well => log::info!("handover: snapshots are left again"),
+        let result = write_snapshot(file.clone(), state, clock).await;
+        // Only a change is logged: a full disk would fill the log once a second.
+        match &result {
+            Err(error) if last_write_succeeded => log::warn!("handover: no snapshot is left: {error}"),
+            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are left again"),
             _ => {}
         }
-        well = written.is_ok();
+        last_write_succeeded = result.is_ok();
     }
 }
 
-/// Waits until enough engines were heard, or it has taken too long.
-pub async fn heard(handle: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
-    let until = clock.now() + HEARD_WITHIN;
-    while !handle.engines_checked().await? {
-        if clock.now() >= until {
+/// Writes one snapshot on a thread for blocking calls.
+async fn write_snapshot(file: SnapshotFile, state: HandoverState, clock: Clock) -> Result<(), HandoverError> {
+    let write = move || {
+        let payload = serde_json::to_vec(&state)?;
+        file.write(&payload, clock.unix_ms())?;
+        Ok(())
+    };
+    tokio::task::spawn_blocking(write).await?
+}
+
+/// Waits until enough engines have answered a health check, or [`MAX_ENGINE_WAIT`] has passed.
+pub async fn wait_for_engines(service: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
+    let give_up_at = clock.now() + MAX_ENGINE_WAIT;
+    while !service.engines_checked().await? {
+        if clock.now() >= give_up_at {
             log::warn!("most engines have said nothing yet: ready without their word");
             break;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -90,11 +90,14 @@
 fn the_snapshot_of_an_earlier_build_is_read_and_written_with_the_same_bytes() {
     let bytes = std::fs::read(fixture("snapshot.learnt")).unwrap();
     let written_ms = u64::from_le_bytes(bytes[12..20].try_into().unwrap());
-    let (payload, age) = sanddyke_snapshot::decode(&bytes, written_ms + 5, Duration::from_secs(30)).unwrap();
-    assert_eq!(age, Duration::from_millis(5));
-    let learned: HandoverState = serde_json::from_slice(payload).unwrap();
+    let snapshot = sanddyke_snapshot::decode(&bytes, written_ms + 5, Duration::from_secs(30)).unwrap();
+    assert_eq!(snapshot.age, Duration::from_millis(5));
+    let learned: HandoverState = serde_json::from_slice(snapshot.payload).unwrap();
     let again = serde_json::to_vec(&learned).unwrap();
-    assert_eq!(String::from_utf8(again.clone()).unwrap(), String::from_utf8(payload.to_vec()).unwrap());
+    assert_eq!(
+        String::from_utf8(again.clone()).unwrap(),
+        String::from_utf8(snapshot.payload.to_vec()).unwrap()
+    );
     assert!(sanddyke_snapshot::encode(&again, written_ms).unwrap() == bytes, "the file differs");
 }
 
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -393,7 +393,7 @@
     let word = || {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         let read = place.read(now.as_millis() as u64, Duration::from_secs(1)).ok().flatten();
-        read.map(|(bytes, _)| u64::from_le_bytes(bytes.try_into().unwrap()))
+        read.map(|snapshot| u64::from_le_bytes(snapshot.payload.try_into().unwrap()))
     };
     assert_eq!(word(), None, "one that serves says nothing");
     old.terminate();
