--- a/benches/core.rs
+++ b/benches/core.rs
@@ -7,8 +7,8 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use sanddyke::clock::Micros;
 use sanddyke::core::{
-    AttemptEvent, Command, ConnectionEnd, Core, Engine, EngineListUpdate, IncomingRequest, Input, Table,
-    TenantUpdate,
+    AttemptEvent, AttemptId, Command, ConnectionEnd, Core, Engine, EngineListUpdate, HealthCheckResult,
+    IncomingRequest, Input, Table, TenantUpdate,
 };
 use sanddyke::decision::{EngineState, LoadReport};
 use sanddyke_tenancy::{Generation, State, Tenant, TenantId, TenantSpec};
@@ -40,7 +40,7 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Answer { request: u64, attempt: u32 },
+    Answer(AttemptId),
     Probe { engine: u64 },
 }
 
@@ -65,7 +65,7 @@
         let service =
             if scene.standing { threads * 3 / 2 * EVERY } else { threads / 100 * EVERY + 2 * EVERY };
         let mut world = World {
-            core: Core::new(front, 100_000, 1, Micros(0)).host(),
+            core: Core::new(front, 100_000, 1, Micros(0)).with_tenant_store(),
             scene,
             service,
             now: 1_000_000,
@@ -84,7 +84,7 @@
             cell: None,
             state: EngineState::Ready,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         world.tell(Input::Engines(EngineListUpdate::Initial((0..scene.engines).map(engine).collect())));
         let tenant = |number: usize| TenantUpdate::Set {
@@ -110,8 +110,8 @@
         for command in self.out.drain(..) {
             self.count += 1;
             match command {
-                Command::StartAttempt { request, attempt, .. } => {
-                    let due = Due::Answer { request, attempt };
+                Command::StartAttempt { attempt, .. } => {
+                    let due = Due::Answer(attempt);
                     self.due.push(Reverse((self.now + self.service, self.count, due)));
                 }
                 Command::HealthCheck { engine } => {
@@ -134,13 +134,13 @@
             self.now = at;
             self.next += 1;
             let arrival = IncomingRequest {
-                request: self.next,
+                id: self.next,
                 name: format!("r{}", self.next),
                 class: if self.next.is_multiple_of(2) { "lookup" } else { "report" }.to_owned(),
                 tenant: Some(format!("t{}", self.next as usize % self.scene.sending)),
-                key: None,
+                idempotency_key: None,
                 statement: self.statement.clone(),
-                left: Micros(8_000_000),
+                time_budget: Micros(8_000_000),
             };
             self.tell(Input::RequestReceived(arrival));
         }
@@ -158,16 +158,16 @@
             let Some(Reverse((_, _, due))) = self.due.pop() else { return };
             let report = Some(LoadReport { busy: Some(0.9), ..LoadReport::default() });
             let input = match due {
-                Due::Answer { request, attempt } => {
-                    let news = AttemptEvent::Served { table: Table::default(), usage: None, report };
-                    Input::Attempt { request, attempt, news }
+                Due::Answer(attempt) => {
+                    let event = AttemptEvent::Served { table: Table::default(), usage: None, report };
+                    Input::Attempt { attempt, event }
                 }
-                Due::Probe { engine } => Input::HealthChecked {
+                Due::Probe { engine } => Input::HealthChecked(HealthCheckResult {
                     engine,
                     end: ConnectionEnd::Answered,
                     report,
                     elapsed: Micros(500),
-                },
+                }),
             };
             return self.tell(input);
         }
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,7 +1,7 @@
 //! The state in Prometheus' text format. Labels are bounded: past so many tenants the rest are one.
 
 use crate::cluster::View;
-use crate::core::{Report, Tally};
+use crate::core::{AnswerCounts, Report};
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::Write;
 
@@ -14,14 +14,14 @@
     text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-fn answers(tally: &Tally) -> u64 {
-    tally.served + tally.refused + tally.failed + tally.cancelled + tally.left
+fn answers(counts: &AnswerCounts) -> u64 {
+    counts.served + counts.rejected + counts.failed + counts.cancelled + counts.disconnected
 }
 
 /// The tenants that have series of their own.
 fn named(report: &Report) -> HashSet<&str> {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    report.tallies.iter().for_each(|tally| *counts.entry(&tally.tenant).or_default() += answers(tally));
+    report.answers.iter().for_each(|one| *counts.entry(&one.tenant).or_default() += answers(one));
     let mut counts: Vec<(&str, u64)> = counts.into_iter().collect();
     counts.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
     counts.into_iter().take(MOST_TENANTS).map(|(name, _)| name).collect()
@@ -59,15 +59,15 @@
     let known = |tenant: &str| if named.contains(tenant) { label(tenant) } else { OTHERS.to_owned() };
     let mut ends: BTreeMap<(String, String, &str), u64> = BTreeMap::new();
     let mut seconds: BTreeMap<(String, String), f64> = BTreeMap::new();
-    for tally in &report.tallies {
-        let (class, tenant) = (label(&tally.class), known(&tally.tenant));
-        *seconds.entry((class.clone(), tenant.clone())).or_default() += tally.served_us as f64 / 1e6;
+    for counted in &report.answers {
+        let (class, tenant) = (label(&counted.class), known(&counted.tenant));
+        *seconds.entry((class.clone(), tenant.clone())).or_default() += counted.served_us as f64 / 1e6;
         let counts = [
-            ("served", tally.served),
-            ("refused", tally.refused),
-            ("failed", tally.failed),
-            ("cancelled", tally.cancelled),
-            ("left", tally.left),
+            ("served", counted.served),
+            ("refused", counted.rejected),
+            ("failed", counted.failed),
+            ("cancelled", counted.cancelled),
+            ("left", counted.disconnected),
         ];
         for (end, count) in counts {
             *ends.entry((class.clone(), tenant.clone(), end)).or_default() += count;
@@ -75,7 +75,7 @@
     }
     let mut refused: BTreeMap<(String, &str), u64> = BTreeMap::new();
     for tenant in &report.tenants {
-        for (reason, count) in &tenant.refused {
+        for (reason, count) in &tenant.rejected {
             *refused.entry((known(&tenant.name), reason)).or_default() += count;
         }
     }
@@ -111,7 +111,7 @@
     let _ = writeln!(text, "# TYPE sanddyke_attempts_out gauge");
     for engine in &report.engines {
         let labels = format!("engine=\"{}\",state=\"{}\"", label(&engine.name), engine.state);
-        let _ = writeln!(text, "sanddyke_attempts_out{{{labels}}} {}", engine.attempts_out);
+        let _ = writeln!(text, "sanddyke_attempts_out{{{labels}}} {}", engine.attempts_in_flight);
     }
     text
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -9,7 +9,7 @@
 use self::problem::Problem;
 use crate::clock::Clock;
 use crate::cluster::Cluster;
-use crate::core::{Report, Tally};
+use crate::core::{AnswerCounts, Report};
 use crate::frontend::http::message::{Request, Response};
 use crate::frontend::http::{first_by, read_request};
 use crate::frontend::{self, ConnectionPermit};
@@ -228,13 +228,13 @@
 }
 
 fn tenants(report: &Report) -> Vec<serde_json::Value> {
-    let mut tallies: HashMap<&str, Vec<&Tally>> = HashMap::new();
-    report.tallies.iter().for_each(|tally| tallies.entry(&tally.tenant).or_default().push(tally));
-    let of = |name: &str| tallies.get(name).cloned().unwrap_or_default();
+    let mut answers: HashMap<&str, Vec<&AnswerCounts>> = HashMap::new();
+    report.answers.iter().for_each(|counts| answers.entry(&counts.tenant).or_default().push(counts));
+    let of = |name: &str| answers.get(name).cloned().unwrap_or_default();
     let tenants = report.tenants.iter();
     tenants
         .map(|tenant| {
-            let (name, share, open) = (&tenant.name, tenant.share, tenant.open);
+            let (name, share, open) = (&tenant.name, tenant.share, tenant.open_requests);
             json!({ "name": name, "share": share, "open": open, "classes": of(name) })
         })
         .collect()
--- a/src/admin/v1.rs
+++ b/src/admin/v1.rs
@@ -199,10 +199,10 @@
     // A tenant always has a JSON form.
     let mut value = serde_json::to_value(tenant).unwrap_or_default();
     value["share"] = json!(share);
-    value["usage"] = usage.map_or(
-        Value::Null,
-        |usage| json!({ "open": usage.open, "attempts": usage.attempts, "refused": usage.refused }),
-    );
+    value["usage"] = usage.map_or(Value::Null, |usage| {
+        let (open, attempts) = (usage.open_requests, usage.attempts_in_flight);
+        json!({ "open": open, "attempts": attempts, "refused": usage.rejected })
+    });
     value
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -674,7 +674,7 @@
                 Status::Gone => EngineState::Removed,
             },
             weight: told.weight,
-            started: (told.since_ms != 0.0).then(|| clock.from_unix_ms(told.since_ms as i64)),
+            started_at: (told.since_ms != 0.0).then(|| clock.from_unix_ms(told.since_ms as i64)),
         };
         let engines = notice.pool.endpoints.into_iter().map(engine).collect();
         listed.start(last.unwrap_or(notice.rev), index == 0 || notice.pool.snapshot, engines);
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -1,6 +1,6 @@
-//! Book: gives the one final answer, and counts it.
+//! Gives the one final answer, and counts answers and attempts.
 
-use super::{Answer, Command, Core, Open};
+use super::{Answer, AttemptId, Command, Core, OpenRequest};
 use crate::clock::Micros;
 use crate::decision::Outcome;
 use crate::settings::Front;
@@ -8,87 +8,105 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Ends of one class and tenant.
+/// Answers to requests of one class and tenant.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Tally {
+pub struct AnswerCounts {
     /// The class.
     pub class: String,
     /// The tenant; empty where there are none.
     pub tenant: String,
-    /// Served.
+    /// Requests that were served.
     pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
+    /// Requests that were rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Requests that failed.
     pub failed: u64,
-    /// Ended by an operator.
+    /// Requests that an operator cancelled.
     pub cancelled: u64,
-    /// The client left first.
-    pub left: u64,
-    /// Time that served requests took in all, in microseconds.
+    /// Requests whose clients disconnected before the answer.
+    #[serde(rename = "left")]
+    pub disconnected: u64,
+    /// Sum of the times from receipt to answer of served requests, in microseconds.
     pub served_us: i64,
 }
 
-/// What has been answered.
+/// What [`AnswerCounts`] are counted by.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AnswerKey {
+    /// The tenant's slot; none where there are none.
+    pub tenant_slot: Option<Slot>,
+    /// The position of the class in the settings.
+    pub class: usize,
+}
+
+/// Counts of answers and attempts.
 #[derive(Debug, Clone, Default)]
 pub struct Accounting {
-    /// One tally for each tenant and class that has had a request.
-    pub tallies: BTreeMap<(Option<Slot>, usize), Tally>,
-    /// Ends of attempts, by outcome.
+    /// Answers, for each tenant and class that has had a request.
+    pub answers: BTreeMap<AnswerKey, AnswerCounts>,
+    /// Ended attempts, by the name of their outcome.
     pub attempts: BTreeMap<&'static str, u64>,
 }
 
 impl Accounting {
-    /// Drops what was counted of a tenant that is gone.
+    /// Drops the counts of a tenant that was removed.
     pub(super) fn forget(&mut self, slot: Slot) {
-        let of_it = (Some(slot), 0)..=(Some(slot), usize::MAX);
-        let classes: Vec<_> = self.tallies.range(of_it).map(|(key, _)| *key).collect();
-        classes.iter().for_each(|key| drop(self.tallies.remove(key)));
+        let tenant_slot = Some(slot);
+        let first = AnswerKey { tenant_slot, class: 0 };
+        let last = AnswerKey { tenant_slot, class: usize::MAX };
+        let keys: Vec<AnswerKey> = self.answers.range(first..=last).map(|(key, _)| *key).collect();
+        for key in keys {
+            self.answers.remove(&key);
+        }
     }
 
     /// Counts the end of an attempt.
     pub(super) fn count_attempt(&mut self, outcome: Outcome) {
-        *self.attempts.entry(word(outcome)).or_default() += 1;
-    }
-
-    fn tally(&mut self, front: &Front, roster: &Roster, open: &Open) -> &mut Tally {
-        self.tallies.entry((open.slot, open.class)).or_insert_with(|| Tally {
-            class: front.classes[open.class].clone(),
-            tenant: open
-                .slot
-                .and_then(|slot| roster.tenant(slot))
-                .map_or(String::new(), |of| of.name.clone()),
-            ..Tally::default()
-        })
+        *self.attempts.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    pub(super) fn count(
+    /// Counts a request's answer.
+    pub(super) fn count_answer(
         &mut self,
         front: &Front,
         roster: &Roster,
-        open: &Open,
+        open: &OpenRequest,
         answer: &Answer,
         now: Micros,
     ) {
-        let tally = self.tally(front, roster, open);
+        let counts = self.counts_of(front, roster, open);
         match answer {
             Answer::Served(_) => {
-                tally.served += 1;
-                tally.served_us += (now - open.arrived).0;
+                counts.served += 1;
+                counts.served_us += (now - open.received_at).0;
             }
-            Answer::Rejected { .. } => tally.refused += 1,
-            Answer::Failed(_) | Answer::Invalid(_) => tally.failed += 1,
-            Answer::Cancelled => tally.cancelled += 1,
+            Answer::Rejected { .. } => counts.rejected += 1,
+            Answer::Failed(_) | Answer::Invalid(_) => counts.failed += 1,
+            Answer::Cancelled => counts.cancelled += 1,
         }
     }
 
-    pub(super) fn count_left(&mut self, front: &Front, roster: &Roster, open: &Open) {
-        self.tally(front, roster, open).left += 1;
+    /// Counts a request whose client disconnected before its answer.
+    pub(super) fn count_disconnected(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) {
+        self.counts_of(front, roster, open).disconnected += 1;
+    }
+
+    fn counts_of(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) -> &mut AnswerCounts {
+        let key = AnswerKey { tenant_slot: open.tenant_slot, class: open.class };
+        self.answers.entry(key).or_insert_with(|| {
+            let tenant = open.tenant_slot.and_then(|slot| roster.tenant(slot));
+            AnswerCounts {
+                class: front.classes[open.class].clone(),
+                tenant: tenant.map_or(String::new(), |tenant| tenant.name.clone()),
+                ..AnswerCounts::default()
+            }
+        })
     }
 }
 
 /// An outcome's name in metrics and the log.
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "Served",
         Outcome::ServerError => "ServerError",
@@ -103,25 +121,30 @@
 }
 
 impl Core {
-    /// Gives a request its answer. It takes the request out of the table, so a second answer finds none.
+    /// Answers a request and takes it out of the table; a second answer finds none there.
     pub(super) fn answer(&mut self, now: Micros, request: u64, answer: Answer, out: &mut Vec<Command>) {
         let Some(open) = self.requests.remove(&request) else { return };
-        self.accounting.count(&self.front, &self.roster, &open, &answer, now);
+        self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
         self.close(now, request, &open, out);
         out.push(Command::Answer { request, answer });
     }
 
-    /// What leaves the table takes its place along, and what is not written of it yet never is.
-    pub(super) fn close(&mut self, now: Micros, request: u64, open: &Open, out: &mut Vec<Command>) {
-        self.names.remove(&open.arrival.name);
-        debug_assert_eq!(self.names.len(), self.requests.len(), "each open request has its name");
-        let tries = self.sent.get(&request).map_or(0, |sent| sent.next);
-        let unended = (0..tries).filter_map(|attempt| self.attempts.get(&(request, attempt)));
-        unended.for_each(|attempt| attempt.cancel_token.cancel());
-        if self.sent.get(&request).is_some_and(|sent| sent.out == 0) {
-            self.sent.remove(&request);
+    /// Releases what a request occupied when it has left the table. Attempts that are not written yet never will be.
+    pub(super) fn close(&mut self, now: Micros, request: u64, open: &OpenRequest, out: &mut Vec<Command>) {
+        self.open_names.remove(&open.incoming.name);
+        debug_assert_eq!(self.open_names.len(), self.requests.len(), "each open request has its name");
+        if let Some(history) = self.attempt_histories.get(&request) {
+            for number in 0..history.started {
+                if let Some(attempt) = self.attempts.get(&AttemptId { request, number }) {
+                    attempt.cancel_token.cancel();
+                }
+            }
+            if history.in_flight == 0 {
+                self.attempt_histories.remove(&request);
+            }
         }
-        let over = open.slot.and_then(|slot| self.roster.request_closed(slot, (now - open.arrived).0));
-        self.forget_tenant(now, over, out);
+        let released_slot =
+            open.tenant_slot.and_then(|slot| self.roster.request_closed(slot, (now - open.received_at).0));
+        self.forget_tenant(now, released_slot, out);
     }
 }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,44 +1,52 @@
-//! Route: carries out what the module decides.
+//! Carries out what the decision module decides.
 
-use super::{Answer, Command, Core, RequestState, Timer};
+use super::{Answer, AttemptId, Command, Core, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{Action, Outcome};
 
+/// The highest priority that engines know.
+const MAX_PRIORITY: u8 = 3;
+/// A timer fires in a later turn, never in the one that sets it.
+const MIN_TIMER_DELAY: Micros = Micros(1);
+
 impl Core {
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send { request, engine, timeout_ms } => {
-                self.launch(now, request.0, engine.0, Micros::from_ms(timeout_ms), out);
+                self.start_attempt(now, request.0, engine.0, Micros::from_ms(timeout_ms), out);
+            }
+            Action::SetTerms { request, priority, .. } => {
+                self.set_priority(request.0, priority.min(MAX_PRIORITY), out);
             }
-            Action::SetTerms { request, priority, .. } => self.rank(request.0, priority.min(3), out),
             Action::Reject { request, retry_after_ms } => {
                 let answer = Answer::Rejected { retry_after: Micros::from_ms(retry_after_ms), reason: None };
                 self.answer(now, request.0, answer, out);
             }
             Action::Fail(request) => self.answer(now, request.0, Answer::Failed(None), out),
             Action::Cancel { request, attempt } => {
-                self.halt(now, request.0, attempt, Outcome::Cancelled, out);
+                let attempt = AttemptId { request: request.0, number: attempt };
+                self.cancel_attempt(now, attempt, Outcome::Cancelled, out);
             }
             Action::HealthCheck(engine) => out.push(Command::HealthCheck { engine: engine.0 }),
             Action::Timer { token, after_ms } => {
-                // A timer comes back in a later turn, never in the one that sets it.
-                let after = Micros::from_ms(after_ms).max(Micros(1));
-                self.set_timer(now + after, Timer::Module(token));
+                let delay = Micros::from_ms(after_ms).max(MIN_TIMER_DELAY);
+                self.timers.set(now + delay, Timer::Gateway(token));
             }
-            Action::Subscribe => {} // the name service is asked all the time
+            Action::Subscribe => {} // the name service is polled all the time
             Action::Log(text) => out.push(Command::Log(text)),
         }
     }
 
-    fn rank(&mut self, request: u64, priority: u8, out: &mut Vec<Command>) {
-        let Some(open) = self.requests.get_mut(&request).filter(|open| open.priority != priority) else {
+    fn set_priority(&mut self, request: u64, priority: u8, out: &mut Vec<Command>) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        if open.priority == priority {
             return;
-        };
+        }
         open.priority = priority;
-        if let RequestState::Running(attempt) = open.state
-            && let Some(running) = self.attempts.get(&(request, attempt))
-        {
-            out.push(Command::SetPriority { request, attempt, engine: running.engine, priority });
+        let RequestState::Running(number) = open.state else { return };
+        let attempt = AttemptId { request, number };
+        if let Some(running) = self.attempts.get(&attempt) {
+            out.push(Command::SetPriority { attempt, engine: running.engine, priority });
         }
     }
 }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,78 +1,102 @@
-//! Admit: hands a request that can be used to the module, or refuses it where there is no room for it.
+//! Admits a valid request and hands it to the decision module, or rejects it.
 
-use super::{Answer, Command, Core, Invalid, Open, Timer};
+use super::{Answer, Command, Core, IncomingRequest, Invalid, OpenRequest, Timer};
 use crate::clock::Micros;
 use crate::decision::{ClassId, Event, Request, RequestId, TenantId};
 use crate::sql;
 use sanddyke_tenancy::{AdmissionRequest, Reason, Rejection};
 
-/// Advice to clients that come while the program ends: it is back by then.
-const COME_BACK: Micros = Micros(1_000_000);
+/// Retry-After of requests that are rejected because the program ends or is full: it has started again by then.
+const RETRY_AFTER_OVERLOAD: Micros = Micros(1_000_000);
 
 impl Core {
-    pub(super) fn admit(&mut self, now: Micros, mut open: Open, out: &mut Vec<Command>) {
-        let request = open.arrival.request;
-        if self.rejecting || self.requests.len() >= self.max_open {
-            let answer = Answer::Rejected { retry_after: COME_BACK, reason: None };
-            self.accounting.count(&self.front, &self.roster, &open, &answer, now);
-            return out.push(Command::Answer { request, answer });
+    /// A frontend received a request.
+    pub(super) fn request_received(
+        &mut self,
+        now: Micros,
+        incoming: IncomingRequest,
+        out: &mut Vec<Command>,
+    ) {
+        let request = incoming.id;
+        match self.validate(now, incoming) {
+            Ok(open) => self.admit(now, open, out),
+            Err(invalid) => out.push(Command::Answer { request, answer: Answer::Invalid(invalid) }),
         }
-        if let Err(answer) = self.judge(now, &mut open) {
-            return out.push(Command::Answer { request, answer });
+    }
+
+    fn admit(&mut self, now: Micros, mut open: OpenRequest, out: &mut Vec<Command>) {
+        let request = open.incoming.id;
+        if self.rejects_new_requests || self.requests.len() >= self.max_open {
+            let answer = Answer::Rejected { retry_after: RETRY_AFTER_OVERLOAD, reason: None };
+            self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
+            out.push(Command::Answer { request, answer });
+            return;
+        }
+        if let Err(answer) = self.admit_to_tenant(now, &mut open) {
+            out.push(Command::Answer { request, answer });
+            return;
         }
         let event = Event::Request(Request {
             id: RequestId(request),
             class: ClassId(open.class),
-            tenant: open.slot.map(TenantId),
-            key: None, // no class here takes turns by key
-            data_set: sql::table_group(&open.arrival.statement).unwrap_or(0),
+            tenant: open.tenant_slot.map(TenantId),
+            key: None, // no class here is ordered by key
+            data_set: sql::table_group(&open.incoming.statement).unwrap_or(0),
             work_ms: None,
             memory_mb: None,
             remaining_ms: (open.deadline - now).as_ms(),
         });
-        self.set_timer(open.deadline, Timer::Deadline(request));
-        self.names.insert(open.arrival.name.clone());
+        self.timers.set(open.deadline, Timer::RequestDeadline(request));
+        self.open_names.insert(open.incoming.name.clone());
         self.requests.insert(request, open);
         self.decide(now, event, out);
     }
 
-    /// The program is ended by force then: what is open, and what still comes, has no longer.
-    pub(super) fn shut_down_by(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
-        self.shutdown_by = Some(at);
-        let mut late = Vec::new();
-        for (request, open) in self.requests.iter_mut().filter(|(_, open)| open.deadline > at) {
-            open.deadline = at;
-            late.push(*request);
-        }
-        late.into_iter().for_each(|request| self.set_timer(at, Timer::Deadline(request)));
-        self.decide(now, Event::ShutdownBy(at.as_ms()), out);
-    }
-
-    /// Whether the request's tenant may ask this now; it counts as the tenant's from here on.
-    fn judge(&mut self, now: Micros, open: &mut Open) -> Result<(), Answer> {
-        if !self.hosted && self.roster.is_empty() {
-            return Ok(()); // requests carry no tenants
+    /// Applies the limits of the request's tenant; from here on it counts as one of the tenant's. The error is the
+    /// answer to the request.
+    fn admit_to_tenant(&mut self, now: Micros, open: &mut OpenRequest) -> Result<(), Answer> {
+        let requests_carry_tenants = self.has_tenant_store || !self.roster.is_empty();
+        if !requests_carry_tenants {
+            return Ok(());
         }
-        let name = open.arrival.tenant.as_deref().unwrap_or("");
+        let name = open.incoming.tenant.as_deref().unwrap_or("");
         let class = &self.front.classes[open.class];
-        let ask = AdmissionRequest { class, statement_bytes: open.arrival.statement.len() };
-        match self.roster.admit(now.0, name, &ask) {
+        let admission = AdmissionRequest { class, statement_bytes: open.incoming.statement.len() };
+        match self.roster.admit(now.0, name, &admission) {
             Ok(slot) => {
-                open.slot = Some(slot);
-                let most = self.roster.longest_us(slot).map_or(open.deadline, |us| now + Micros(us));
-                open.deadline = open.deadline.min(most);
+                open.tenant_slot = Some(slot);
+                if let Some(longest_us) = self.roster.longest_us(slot) {
+                    open.deadline = open.deadline.min(now + Micros(longest_us));
+                }
                 Ok(())
             }
             Err(Rejection { reason: Reason::Unknown, .. }) => {
-                Err(Answer::Invalid(Invalid::Tenant(name.to_owned())))
+                Err(Answer::Invalid(Invalid::UnknownTenant(name.to_owned())))
             }
-            Err(refused) => {
-                open.slot = self.roster.slot(name);
-                let retry_after = Micros(refused.retry_after_us);
-                let answer = Answer::Rejected { retry_after, reason: Some(refused.reason) };
-                self.accounting.count(&self.front, &self.roster, open, &answer, now);
+            Err(rejection) => {
+                open.tenant_slot = self.roster.slot(name);
+                let retry_after = Micros(rejection.retry_after_us);
+                let answer = Answer::Rejected { retry_after, reason: Some(rejection.reason) };
+                self.accounting.count_answer(&self.front, &self.roster, open, &answer, now);
                 Err(answer)
             }
         }
     }
+
+    /// The program is ended by force at `at`: no request, open or new, has a later deadline.
+    pub(super) fn shut_down_by(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
+        self.shutdown_by = Some(at);
+        for (request, open) in self.requests.iter_mut().filter(|(_, open)| open.deadline > at) {
+            open.deadline = at;
+            self.timers.set(at, Timer::RequestDeadline(*request));
+        }
+        self.decide(now, Event::ShutdownBy(at.as_ms()), out);
+    }
+
+    /// The connections of both processes count against one limit of open requests.
+    pub(super) fn peer_process_connections(&mut self, connections: usize) {
+        let limit = self.front.settings.limits.max_open;
+        let remaining = limit.map(|limit| limit.saturating_sub(connections).max(1));
+        self.gateway.set_max_open(remaining);
+    }
 }
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -1,49 +1,60 @@
-//! Relay: brings word of an attempt to the module, and a whole result to the client.
+//! Handles what engines report of attempts, and what ends a request early: its client, an operator, its deadline.
 
-use super::{Answer, AttemptEvent, Command, Core};
+use super::attempts::AttemptResult;
+use super::{Answer, AttemptEvent, AttemptId, Command, Core, Table};
 use crate::clock::Micros;
-use crate::decision::{Event, Outcome, RequestId};
+use crate::decision::{Event, RequestId};
 
 impl Core {
-    pub(super) fn relay(
+    /// An engine, or the connection to it, reports on an attempt.
+    pub(super) fn attempt_event(
         &mut self,
         now: Micros,
-        request: u64,
-        attempt: u32,
-        news: AttemptEvent,
+        attempt: AttemptId,
+        event: AttemptEvent,
         out: &mut Vec<Command>,
     ) {
-        let Some(running) = self.attempts.get(&(request, attempt)) else { return };
-        let cancelled = running.cancelled;
-        match news {
-            AttemptEvent::Note(_) if cancelled.is_some() => {}
+        let Some(running) = self.attempts.get(&attempt) else { return };
+        let cancelled_as = running.cancelled_as;
+        match event {
+            AttemptEvent::Note(_) if cancelled_as.is_some() => {}
             AttemptEvent::Note(note) => {
-                self.decide(now, Event::AttemptNote { request: RequestId(request), attempt, note }, out);
+                let request = RequestId(attempt.request);
+                self.decide(now, Event::AttemptNote { request, attempt: attempt.number, note }, out);
             }
             AttemptEvent::Served { table, usage, report } => {
-                let slot = self.requests.get(&request).and_then(|open| open.slot);
-                let judged = slot.map_or(Ok(()), |slot| self.roster.check_result(slot, table.bytes()));
-                // The work is done, so a result that may not be passed on is no refusal.
-                let answer = judged
-                    .map_or_else(|refused| Answer::Failed(Some(refused.reason)), |()| Answer::Served(table));
-                self.answer(now, request, answer, out);
-                self.end(now, request, attempt, Outcome::Served, usage, report, out);
+                let answer = self.answer_with(attempt.request, table);
+                self.answer(now, attempt.request, answer, out);
+                self.end_attempt(now, attempt, AttemptResult::served(usage, report), out);
             }
             AttemptEvent::Ended { end, report } => {
-                let outcome = cancelled.unwrap_or(end.outcome());
-                self.end(now, request, attempt, outcome, None, report, out);
+                let outcome = cancelled_as.unwrap_or(end.outcome());
+                self.end_attempt(now, attempt, AttemptResult { outcome, usage: None, report }, out);
             }
         }
     }
 
-    pub(super) fn client_left(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
+    /// The answer with a result, unless the result exceeds its tenant's limit: then the request has failed, and is
+    /// not rejected, as it was executed.
+    fn answer_with(&mut self, request: u64, table: Table) -> Answer {
+        let slot = self.requests.get(&request).and_then(|open| open.tenant_slot);
+        let checked = slot.map_or(Ok(()), |slot| self.roster.check_result(slot, table.bytes()));
+        match checked {
+            Ok(()) => Answer::Served(table),
+            Err(rejection) => Answer::Failed(Some(rejection.reason)),
+        }
+    }
+
+    /// The client of a request no longer waits.
+    pub(super) fn client_disconnected(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if let Some(open) = self.requests.remove(&request) {
-            self.accounting.count_left(&self.front, &self.roster, &open);
+            self.accounting.count_disconnected(&self.front, &self.roster, &open);
             self.close(now, request, &open, out);
             self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
         }
     }
 
+    /// An operator cancels a request.
     pub(super) fn cancel_request(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if self.requests.contains_key(&request) {
             self.answer(now, request, Answer::Cancelled, out);
@@ -51,7 +62,8 @@
         }
     }
 
-    pub(super) fn overdue(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
+    /// A request has reached its deadline. The decision module answers before that; this guards against its faults.
+    pub(super) fn deadline_passed(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if self.requests.contains_key(&request) {
             out.push(Command::Log(format!("request {request} was left to its deadline")));
             self.answer(now, request, Answer::Failed(None), out);
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,14 +1,83 @@
-//! Send: starts attempts and gives them up.
+//! Starts, cancels and ends attempts.
 
-use super::{Attempt, Call, CancelToken, Command, Core, RequestState, Timer};
+use super::{AttemptId, Call, CancelToken, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
-use crate::decision::{AttemptEnd, Effect, EngineState, Event, Outcome, RequestId};
+use crate::decision::{AttemptEnd, Effect, EngineState, Event, LoadReport, Outcome, RequestId, Usage};
+use sanddyke_tenancy::Slot;
 
-/// An engine that has not shown by then that it has read a stop is taken to have.
-const HALT_WITHIN: Micros = Micros(5_000_000);
+/// An engine that has not confirmed a cancellation by then is taken to have read it.
+const CANCEL_CONFIRM_TIMEOUT: Micros = Micros(5_000_000);
+
+/// An attempt whose end the decision module does not know yet.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    pub(super) engine: u64,
+    tenant_slot: Option<Slot>,
+    sent_at: Micros,
+    pub(super) cancel_token: CancelToken,
+    /// The outcome that the decision module is notified of once the engine has read the cancellation; set when the
+    /// attempt is cancelled.
+    pub(super) cancelled_as: Option<Outcome>,
+}
+
+/// The attempts of one request so far.
+#[derive(Debug, Default)]
+pub(super) struct AttemptHistory {
+    /// How many were started; the number of the next.
+    pub(super) started: u32,
+    pub(super) in_flight: u32,
+    /// The first attempt that the request may have been executed by.
+    possibly_executed: Option<PossiblyExecuted>,
+}
+
+/// An attempt that is not known to have not been executed.
+#[derive(Debug, Clone, Copy)]
+struct PossiblyExecuted {
+    /// The attempt's number.
+    number: u32,
+    sent_at: Micros,
+}
+
+impl AttemptHistory {
+    /// Counts a new attempt and gives its number.
+    fn start(&mut self) -> u32 {
+        let number = self.started;
+        self.started += 1;
+        self.in_flight += 1;
+        number
+    }
+
+    /// Counts the end of an attempt.
+    fn end(&mut self, number: u32, outcome: Outcome) {
+        self.in_flight -= 1;
+        let was_never_executed = |first: &PossiblyExecuted| outcome.never_ran() && first.number == number;
+        self.possibly_executed = self.possibly_executed.filter(|first| !was_never_executed(first));
+    }
+}
+
+/// How an attempt ended, and what its engine reported with the end.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AttemptResult {
+    pub(super) outcome: Outcome,
+    pub(super) usage: Option<Usage>,
+    pub(super) report: Option<LoadReport>,
+}
+
+impl AttemptResult {
+    /// The end of an attempt that was served.
+    pub(super) fn served(usage: Option<Usage>, report: Option<LoadReport>) -> AttemptResult {
+        AttemptResult { outcome: Outcome::Served, usage, report }
+    }
+
+    /// An end of which the engine reported nothing.
+    fn without_report(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, usage: None, report: None }
+    }
+}
 
 impl Core {
-    pub(super) fn launch(
+    /// Starts an attempt of an open request on an engine.
+    pub(super) fn start_attempt(
         &mut self,
         now: Micros,
         request: u64,
@@ -21,137 +90,155 @@
             "the module sent request {request}, which is over"
         );
         let Some(open) = self.requests.get_mut(&request) else {
-            return out.push(Command::Log(format!("the module sent request {request}, which is over")));
+            out.push(Command::Log(format!("the module sent request {request}, which is over")));
+            return;
         };
-        let sent = self.sent.entry(request).or_default();
-        let attempt = sent.next;
-        (sent.next, sent.out) = (sent.next + 1, sent.out + 1);
-        let slot = open.slot;
-        slot.into_iter().for_each(|slot| self.roster.attempt_started(slot));
-        // The module asks this when it decides, with the same margin; a connection that comes up late writes it later.
+        let history = self.attempt_histories.entry(request).or_default();
+        let attempt = AttemptId { request, number: history.start() };
+        if let Some(slot) = open.tenant_slot {
+            self.roster.attempt_started(slot);
+        }
+        // The decision module checks this too, with the same margin; a connection that is established late writes
+        // the attempt later.
         let settings = &self.front.settings;
-        let dedup_until = match (sent.maybe, settings.classes[open.class].effect) {
-            (Some((_, at)), Effect::Keyed { window_ms, .. }) => {
-                Some(at + Micros::from_ms(window_ms - settings.step_ms))
+        let deduplicated_until = match (history.possibly_executed, settings.classes[open.class].effect) {
+            (Some(first), Effect::Keyed { window_ms, .. }) => {
+                Some(first.sent_at + Micros::from_ms(window_ms - settings.step_ms))
             }
             _ => None,
         };
-        sent.maybe.get_or_insert((attempt, now));
-        let cancel_token = CancelToken::until(dedup_until);
-        let running =
-            Attempt { engine, slot, sent: now, cancel_token: cancel_token.clone(), cancelled: None };
-        self.attempts.insert((request, attempt), running);
-        let known = self.engines.get_mut(&engine);
-        let ready = known.is_some_and(|engine| {
-            engine.out += 1;
-            engine.state == EngineState::Ready
+        history.possibly_executed.get_or_insert(PossiblyExecuted { number: attempt.number, sent_at: now });
+        let cancel_token = CancelToken::until(deduplicated_until);
+        let running = Attempt {
+            engine,
+            tenant_slot: open.tenant_slot,
+            sent_at: now,
+            cancel_token: cancel_token.clone(),
+            cancelled_as: None,
+        };
+        self.attempts.insert(attempt, running);
+        let engine_is_ready = self.engines.get_mut(&engine).is_some_and(|known| {
+            known.attempts_in_flight += 1;
+            known.state == EngineState::Ready
         });
-        let left = open.deadline - now;
-        if !ready || left.0 <= 0 {
-            return self.set_timer(now, Timer::NotSent { request, attempt });
+        let remaining = open.deadline - now;
+        if !engine_is_ready || remaining.0 <= 0 {
+            self.timers.set(now, Timer::AttemptNotSent(attempt));
+            return;
         }
-        open.state = RequestState::Running(attempt);
-        let patience = if timeout.0 > 0 { timeout.min(left) } else { left };
-        let call = Call {
-            cancel_token,
-            name: open.arrival.name.clone(),
-            class: open.arrival.class.clone(),
-            key: open.arrival.key.clone(),
-            statement: open.arrival.statement.clone(),
-            patience,
-            priority: open.priority,
-        };
-        self.set_timer(now + patience, Timer::AttemptTimeout { request, attempt });
-        out.push(Command::StartAttempt { request, attempt, engine, call });
+        open.state = RequestState::Running(attempt.number);
+        let timeout = if timeout.0 > 0 { timeout.min(remaining) } else { remaining };
+        let call = call(open, cancel_token, timeout);
+        self.timers.set(now + timeout, Timer::AttemptTimeout(attempt));
+        out.push(Command::StartAttempt { attempt, engine, call });
     }
 
-    /// Gives an attempt up. Where its request is still open the module hears of it only once the engine has
-    /// read the stop: an engine that stands still reads nothing, and a second attempt sent meanwhile would be
-    /// a second copy. (Seen on the bench: 10 ms of patience were not enough in a pause.)
-    pub(super) fn halt(
+    /// Cancels an attempt. Where its request is still open, the decision module is notified only once the engine has
+    /// read the cancellation: an engine that is paused reads nothing, and an attempt sent meanwhile would be executed
+    /// beside the first. (In the testbed 10 ms of patience were not enough in a pause.)
+    pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
-        request: u64,
-        attempt: u32,
+        attempt: AttemptId,
         outcome: Outcome,
         out: &mut Vec<Command>,
     ) {
-        let Some(running) = self.attempts.get_mut(&(request, attempt)) else { return };
-        if running.cancelled.is_none() {
-            running.cancelled = Some(outcome);
-            running.cancel_token.cancel();
-            let confirm = self.requests.contains_key(&request);
-            out.push(Command::CancelAttempt { request, attempt, engine: running.engine, confirm });
-            let wait = if confirm { HALT_WITHIN } else { Micros(0) };
-            self.set_timer(now + wait, Timer::CancelOverdue { request, attempt });
+        let Some(running) = self.attempts.get_mut(&attempt) else { return };
+        if running.cancelled_as.is_some() {
+            return;
         }
+        running.cancelled_as = Some(outcome);
+        running.cancel_token.cancel();
+        let confirm = self.requests.contains_key(&attempt.request);
+        out.push(Command::CancelAttempt { attempt, engine: running.engine, confirm });
+        let wait = if confirm { CANCEL_CONFIRM_TIMEOUT } else { Micros(0) };
+        self.timers.set(now + wait, Timer::CancelUnconfirmed(attempt));
     }
 
-    pub(super) fn cancel_overdue(&mut self, now: Micros, request: u64, attempt: u32, out: &mut Vec<Command>) {
-        let outcome = self.attempts.get(&(request, attempt)).and_then(|running| running.cancelled);
+    /// The engine has not confirmed a cancellation in time.
+    pub(super) fn cancel_unconfirmed(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
+        let outcome = self.attempts.get(&attempt).and_then(|running| running.cancelled_as);
         if let Some(outcome) = outcome {
-            self.end(now, request, attempt, outcome, None, None, out);
+            self.end_attempt(now, attempt, AttemptResult::without_report(outcome), out);
         }
     }
 
-    pub(super) fn attempt_over(&mut self, now: Micros, request: u64, attempt: u32, out: &mut Vec<Command>) {
-        self.halt(now, request, attempt, Outcome::TimedOut, out);
+    /// An attempt has no result in time.
+    pub(super) fn attempt_timed_out(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
+        self.cancel_attempt(now, attempt, Outcome::TimedOut, out);
     }
 
-    pub(super) fn unsendable(&mut self, now: Micros, request: u64, attempt: u32, out: &mut Vec<Command>) {
-        self.end(now, request, attempt, Outcome::NotSent, None, None, out);
+    /// An attempt could not be sent.
+    pub(super) fn attempt_not_sent(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
+        self.end_attempt(now, attempt, AttemptResult::without_report(Outcome::NotSent), out);
     }
 
-    /// The one place where an attempt leaves the table and the module hears of its end.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn end(
+    /// Ends an attempt: the one place where it leaves the table and the decision module is notified of its end.
+    pub(super) fn end_attempt(
         &mut self,
         now: Micros,
-        request: u64,
-        attempt: u32,
-        outcome: Outcome,
-        usage: Option<crate::decision::Usage>,
-        report: Option<crate::decision::LoadReport>,
+        attempt: AttemptId,
+        result: AttemptResult,
         out: &mut Vec<Command>,
     ) {
-        let Some(ended) = self.attempts.remove(&(request, attempt)) else { return };
-        if let Some(open) = self.requests.get_mut(&request)
-            && open.state == RequestState::Running(attempt)
+        let Some(ended) = self.attempts.remove(&attempt) else { return };
+        let AttemptResult { outcome, usage, report } = result;
+        if let Some(open) = self.requests.get_mut(&attempt.request)
+            && open.state == RequestState::Running(attempt.number)
         {
             open.state = RequestState::Queued;
         }
         self.accounting.count_attempt(outcome);
-        if log::log_enabled!(log::Level::Debug) {
-            let name = self.engines.get(&ended.engine).map_or("?", |engine| &engine.name);
-            let (sent, took) = (ended.sent.0, (now - ended.sent).0);
-            let class = self.requests.get(&request).map_or("-", |open| &open.arrival.class);
-            log::debug!(
-                "attempt at={sent} us={took} engine={name} end={outcome:?} request={request}.{attempt} class={class}"
-            );
-        }
-        let settled = !self.requests.contains_key(&request);
-        if let Some(sent) = self.sent.get_mut(&request) {
-            sent.out -= 1;
-            sent.maybe = sent.maybe.filter(|(first, _)| !(outcome.never_ran() && *first == attempt));
-            if settled && sent.out == 0 {
-                self.sent.remove(&request);
+        self.log_attempt(now, attempt, &ended, outcome);
+        let settled = !self.requests.contains_key(&attempt.request);
+        if let Some(history) = self.attempt_histories.get_mut(&attempt.request) {
+            history.end(attempt.number, outcome);
+            if settled && history.in_flight == 0 {
+                self.attempt_histories.remove(&attempt.request);
             }
         }
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
-            engine.out -= 1;
+            engine.attempts_in_flight -= 1;
         }
-        let over = ended.slot.and_then(|slot| self.roster.attempt_ended(slot));
+        let released_slot = ended.tenant_slot.and_then(|slot| self.roster.attempt_ended(slot));
         let event = Event::AttemptEnded(AttemptEnd {
-            request: RequestId(request),
-            attempt,
+            request: RequestId(attempt.request),
+            attempt: attempt.number,
             outcome,
-            elapsed_ms: (now - ended.sent).as_ms(),
+            elapsed_ms: (now - ended.sent_at).as_ms(),
             settled,
             usage,
             report,
         });
         self.decide(now, event, out);
-        self.forget_gone(ended.engine, out);
-        self.forget_tenant(now, over, out);
+        self.remove_if_gone(ended.engine, out);
+        self.forget_tenant(now, released_slot, out);
+    }
+
+    /// Tools read this line.
+    fn log_attempt(&self, now: Micros, attempt: AttemptId, ended: &Attempt, outcome: Outcome) {
+        if !log::log_enabled!(log::Level::Debug) {
+            return;
+        }
+        let engine = self.engines.get(&ended.engine).map_or("?", |engine| &engine.name);
+        let class = self.requests.get(&attempt.request).map_or("-", |open| &open.incoming.class);
+        log::debug!(
+            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class}",
+            ended.sent_at.0,
+            (now - ended.sent_at).0
+        );
+    }
+}
+
+/// What an engine is sent for a request.
+fn call(open: &OpenRequest, cancel_token: CancelToken, timeout: Micros) -> Call {
+    Call {
+        cancel_token,
+        name: open.incoming.name.clone(),
+        class: open.incoming.class.clone(),
+        idempotency_key: open.incoming.idempotency_key.clone(),
+        statement: open.incoming.statement.clone(),
+        timeout,
+        priority: open.priority,
     }
 }
--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -1,70 +1,57 @@
-//! Hand over: what this process has learnt, by names that another process knows, whatever numbers it gives.
+//! The learned state that one process hands over to the next: by names, which both know, not by numbers.
 
-use super::{Core, FNV};
+use super::Core;
+use super::engines::engine_number;
 use crate::clock::Micros;
 use crate::decision::EngineId;
 use crate::decision::learned_state::{LearnedClass, LearnedEngine, LearnedRates, LearnedState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// So many classes and engines at most are passed on: a few hundred bytes each.
-const MOST: usize = 512;
+/// The most classes, and the most engines, that are handed over: an entry has a few hundred bytes.
+const MAX_ENTRIES: usize = 512;
 
-/// What is passed on. Keys that a version does not know are passed over, and those that it misses have their
-/// first values.
+/// Learned state. Keys that a version does not know are ignored, and those that are missing have their initial
+/// values.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
-    /// Levels of the whole manager.
-    pub pace: LearnedRates,
+    /// Rates of the whole manager.
+    #[serde(rename = "pace")]
+    pub rates: LearnedRates,
     /// By the class's name.
     pub classes: BTreeMap<String, LearnedClass>,
     /// By the engine's name.
     pub engines: BTreeMap<String, LearnedEngine>,
 }
 
-/// All workload managers give an engine the same number, in whatever order they hear of it.
-pub(super) fn engine_number(name: &str) -> u64 {
-    name.bytes().fold(FNV.0, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV.1))
-}
-
 impl Core {
-    /// What this process has learnt.
+    /// What this process has learned.
     pub fn handover_state(&self) -> HandoverState {
-        let learnt = self.gateway.learnt();
-        let classes = self.front.classes.iter().zip(learnt.classes);
-        let named =
-            |(id, engine): (EngineId, LearnedEngine)| Some((self.engines.get(&id.0)?.name.clone(), engine));
+        let learned = self.gateway.learnt();
+        let classes = self.front.classes.iter().zip(learned.classes);
+        let named_classes = classes.filter_map(|(name, class)| Some((name.clone(), class?)));
+        let named_engines = learned.engines.into_iter().filter_map(|(id, engine)| {
+            let known = self.engines.get(&id.0)?;
+            Some((known.name.clone(), engine))
+        });
         HandoverState {
-            pace: learnt.pace,
-            classes: classes.filter_map(|(name, of)| Some((name.clone(), of?))).take(MOST).collect(),
-            engines: learnt.engines.into_iter().filter_map(named).take(MOST).collect(),
+            rates: learned.pace,
+            classes: named_classes.take(MAX_ENTRIES).collect(),
+            engines: named_engines.take(MAX_ENTRIES).collect(),
         }
     }
 
-    /// Goes on from what another process has learnt, so long ago.
-    pub(super) fn restore(&mut self, handover: &HandoverState, age: Micros) {
-        let learnt = LearnedState {
-            pace: handover.pace.clone(),
-            classes: self.front.classes.iter().map(|name| handover.classes.get(name).cloned()).collect(),
-            engines: handover
-                .engines
-                .iter()
-                .map(|(name, engine)| (EngineId(engine_number(name)), engine.clone()))
-                .collect(),
+    /// Restores what another process had learned `age` ago.
+    pub(super) fn restore(&mut self, state: &HandoverState, age: Micros) {
+        let classes = self.front.classes.iter().map(|name| state.classes.get(name).cloned());
+        let engines = state.engines.iter();
+        let numbered_engines = engines.map(|(name, engine)| (EngineId(engine_number(name)), engine.clone()));
+        let learned = LearnedState {
+            pace: state.rates.clone(),
+            classes: classes.collect(),
+            engines: numbered_engines.collect(),
         };
-        self.gateway.restore(&learnt, age.as_ms());
-    }
-
-    /// Whether most of the ready engines have answered something: only then are requests placed as well as by a
-    /// process that has run for long. Where engines can't be asked, it is so from the start.
-    pub fn engines_checked(&self) -> bool {
-        use crate::decision::EngineState::Ready;
-        let ready = || self.engines.values().filter(|engine| engine.state == Ready);
-        let heard = ready().filter(|engine| engine.heard).count();
-        !self.front.settings.limits.probes || heard * HEARD_PART.1 >= ready().count() * HEARD_PART.0
+        self.gateway.restore(&learned, age.as_ms());
     }
 }
-
-/// The part of the engines that must have answered: one that is cut off must not keep a new version from its work.
-const HEARD_PART: (usize, usize) = (3, 4);
--- /dev/null
+++ b/src/core/reporting.rs
@@ -0,0 +1,104 @@
+//! Shows the state: a line for the log, and reports for the administration API and the metrics.
+
+use super::{AttemptId, Core, EngineReport, OpenRequest, Report, RequestReport, RequestState, TenantReport};
+use crate::clock::Micros;
+use sanddyke_tenancy::{Slot, TenantId};
+use std::collections::HashMap;
+
+/// The open requests of one class.
+#[derive(Debug, Clone, Copy, Default)]
+struct OpenCounts {
+    queued: usize,
+    running: usize,
+}
+
+impl Core {
+    /// A line for the log: open requests by class, queued and running, and ended attempts by outcome.
+    pub fn state_line(&self) -> String {
+        let mut counts = vec![OpenCounts::default(); self.front.classes.len()];
+        for open in self.requests.values() {
+            let class = &mut counts[open.class];
+            match open.state {
+                RequestState::Queued => class.queued += 1,
+                RequestState::Running(_) => class.running += 1,
+            }
+        }
+        let classes = self.front.classes.iter().zip(counts);
+        let classes: Vec<String> =
+            classes.map(|(name, count)| format!("{name} {}+{}", count.queued, count.running)).collect();
+        let attempts = self.accounting.attempts.iter();
+        let attempts: Vec<String> = attempts.map(|(outcome, count)| format!("{outcome} {count}")).collect();
+        format!("open (held+out): {}; attempts ended: {}", classes.join(", "), attempts.join(", "))
+    }
+
+    /// The state of the whole service. It walks all engines, requests and tenants.
+    pub fn report(&self, now: Micros) -> Report {
+        Report {
+            engines: self.engine_reports(),
+            requests: self.request_reports(now),
+            answers: self.accounting.answers.values().cloned().collect(),
+            attempts: self.accounting.attempts.clone(),
+            tenants: self.roster.tenants().filter_map(|(slot, _)| self.tenant_report(slot)).collect(),
+            unknown_tenants: self.roster.unknown(),
+            stopping: self.rejects_new_requests,
+        }
+    }
+
+    /// The state of some tenants.
+    pub fn usage(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
+        let slots = ids.iter().filter_map(|id| self.roster.slot_of(*id));
+        let reports = slots.filter_map(|slot| self.tenant_report(slot));
+        reports.map(|report| (report.id, report)).collect()
+    }
+
+    fn engine_reports(&self) -> Vec<EngineReport> {
+        let engines = self.engines.values().map(|engine| EngineReport {
+            name: engine.name.clone(),
+            zone: engine.zone.clone(),
+            kind: engine.kind.clone(),
+            state: engine.state.name().to_owned(),
+            attempts_in_flight: engine.attempts_in_flight,
+        });
+        let mut engines: Vec<EngineReport> = engines.collect();
+        engines.sort_by(|a, b| a.name.cmp(&b.name));
+        engines
+    }
+
+    fn request_reports(&self, now: Micros) -> Vec<RequestReport> {
+        let requests = self.requests.iter().map(|(id, open)| RequestReport {
+            id: *id,
+            name: open.incoming.name.clone(),
+            class: open.incoming.class.clone(),
+            tenant: open.incoming.tenant.clone(),
+            age_ms: (now - open.received_at).as_ms(),
+            remaining_ms: (open.deadline - now).as_ms(),
+            state: self.describe_state(*id, open),
+        });
+        let mut requests: Vec<RequestReport> = requests.collect();
+        requests.sort_by_key(|request| request.id);
+        requests
+    }
+
+    /// The state of a request as the administration API has it: `held`, `on ENGINE`, or `out` where the engine is
+    /// no longer known.
+    fn describe_state(&self, request: u64, open: &OpenRequest) -> String {
+        let RequestState::Running(number) = open.state else { return "held".to_owned() };
+        let attempt = self.attempts.get(&AttemptId { request, number });
+        let engine = attempt.and_then(|attempt| self.engines.get(&attempt.engine));
+        engine.map_or("out".to_owned(), |engine| format!("on {}", engine.name))
+    }
+
+    fn tenant_report(&self, slot: Slot) -> Option<TenantReport> {
+        let tenant = self.roster.tenant(slot)?;
+        let (open_requests, attempts_in_flight) = self.roster.in_flight(slot);
+        Some(TenantReport {
+            id: tenant.id,
+            name: tenant.name.clone(),
+            state: tenant.state,
+            share: self.tenant_shares.get(slot).map_or(0.0, |share| share.effective),
+            open_requests,
+            attempts_in_flight,
+            rejected: self.roster.refusals(slot).map(|(reason, count)| (reason.code(), count)).collect(),
+        })
+    }
+}
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,7 @@
-//! The core at its edges, without a socket.
+//! The core's handling of attempts, without a socket.
 
 use super::*;
-use crate::decision::AttemptNote;
+use crate::decision::{AttemptNote, EngineState};
 use std::net::{Ipv4Addr, SocketAddr};
 
 fn core() -> (Core, Vec<Command>) {
@@ -19,7 +19,7 @@
         cell: None,
         state: EngineState::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
     let mut out = Vec::new();
     core.handle(
@@ -27,22 +27,23 @@
         Input::Engines(EngineListUpdate::Initial(vec![engine("x"), engine("y")])),
         &mut out,
     );
-    let arrival = IncomingRequest {
-        request: 1,
+    let incoming = IncomingRequest {
+        id: 1,
         name: "r".to_owned(),
         class: "lookup".to_owned(),
         tenant: None,
-        key: None,
+        idempotency_key: None,
         statement: "SELECT 1".into(),
-        left: Micros(5_000_000),
+        time_budget: Micros(5_000_000),
     };
-    core.handle(Micros(10), Input::RequestReceived(arrival), &mut out);
+    core.handle(Micros(10), Input::RequestReceived(incoming), &mut out);
     (core, out)
 }
 
-fn news(core: &mut Core, at: i64, attempt: u32, news: AttemptEvent) -> Vec<Command> {
+fn attempt_event(core: &mut Core, at: i64, number: u32, event: AttemptEvent) -> Vec<Command> {
     let mut out = Vec::new();
-    core.handle(Micros(at), Input::Attempt { request: 1, attempt, news }, &mut out);
+    let attempt = AttemptId { request: 1, number };
+    core.handle(Micros(at), Input::Attempt { attempt, event }, &mut out);
     core.handle(Micros(at), Input::Tick, &mut out);
     out
 }
@@ -51,30 +52,30 @@
     commands.iter().filter(|command| matches!(command, Command::StartAttempt { .. })).count()
 }
 
-/// Guards against a second copy: an engine that stands still has not read the stop, so the next attempt
+/// Guards against two executions at once: an engine that is paused has not read the cancellation, so the next attempt
 /// waits until it has.
 #[test]
-fn the_next_attempt_waits_until_the_stop_was_read() {
+fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
     assert_eq!(launches(&out), 1);
     let hopeless = AttemptEvent::Note(AttemptNote::Progress(0.001));
-    let out = news(&mut core, 1_000_000, 0, hopeless);
+    let out = attempt_event(&mut core, 1_000_000, 0, hopeless);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
     core.handle(Micros(1_500_000), Input::Tick, &mut out);
     assert_eq!(launches(&out), 0, "{out:?}");
     let end = AttemptEvent::Ended { end: ConnectionEnd::Cancelled, report: None };
-    assert_eq!(launches(&news(&mut core, 1_600_000, 0, end)), 1);
+    assert_eq!(launches(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
 }
 
-/// A request has one answer: what comes of its attempts after that is not passed on.
+/// A request has one answer: what its attempts report after that is dropped.
 #[test]
 fn a_second_end_of_an_attempt_answers_nothing() {
     let (mut core, _) = core();
     let served = || AttemptEvent::Served { table: Table::default(), usage: None, report: None };
     let answers =
         |out: Vec<Command>| out.iter().filter(|command| matches!(command, Command::Answer { .. })).count();
-    assert_eq!(answers(news(&mut core, 20_000, 0, served())), 1);
-    assert_eq!(answers(news(&mut core, 30_000, 0, served())), 0);
+    assert_eq!(answers(attempt_event(&mut core, 20_000, 0, served())), 1);
+    assert_eq!(answers(attempt_event(&mut core, 30_000, 0, served())), 0);
     assert_eq!(core.open_requests(), 0);
 }
--- /dev/null
+++ b/src/core/types/attempt.rs
@@ -0,0 +1,147 @@
+//! An attempt to execute a request on an engine: what is sent, and how it ends.
+
+use super::Table;
+use crate::clock::Micros;
+use crate::decision::{AttemptNote, LoadReport, Outcome, Usage};
+use std::fmt;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+/// Identifies an attempt in this process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The id of its request.
+    pub request: u64,
+    /// Its number among the attempts of that request, from 0.
+    pub number: u32,
+}
+
+impl fmt::Display for AttemptId {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(out, "{}.{}", self.request, self.number)
+    }
+}
+
+/// Cancels an attempt before it is written to a connection. A command to cancel comes by a queue and may wait there
+/// behind a connection that is being opened; this is visible at once to the connection, which checks it right before
+/// it writes.
+#[derive(Debug, Clone, Default)]
+pub struct CancelToken {
+    cancelled: Arc<AtomicBool>,
+    /// From then on engines would no longer recognise the attempt as a repetition of one that was possibly executed.
+    deduplicated_until: Option<Micros>,
+}
+
+impl CancelToken {
+    /// A token of an attempt that may be written until then, or at any time.
+    pub fn until(deduplicated_until: Option<Micros>) -> CancelToken {
+        CancelToken { cancelled: Arc::default(), deduplicated_until }
+    }
+
+    /// Nothing of the attempt is to be written from now on.
+    pub fn cancel(&self) {
+        self.cancelled.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether the attempt was cancelled or is too late.
+    pub fn is_cancelled(&self, now: Micros) -> bool {
+        let too_late = || self.deduplicated_until.is_some_and(|until| now >= until);
+        self.cancelled.load(Ordering::Relaxed) || too_late()
+    }
+}
+
+/// What an engine is sent.
+#[derive(Debug, Clone)]
+pub struct Call {
+    /// Whether it may still be written once a connection is ready.
+    pub cancel_token: CancelToken,
+    /// The client's name for the request.
+    pub name: String,
+    /// Its class.
+    pub class: String,
+    /// Its idempotency key, in classes that need one.
+    pub idempotency_key: Option<String>,
+    /// The statement.
+    pub statement: Arc<str>,
+    /// How long the manager will wait for the result.
+    pub timeout: Micros,
+    /// Its priority, 0 to 3.
+    pub priority: u8,
+}
+
+/// Every way in which a connection, or what was sent on it, can end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ConnectionEnd {
+    /// The engine answered: served.
+    Answered,
+    /// The engine answered with an error.
+    AnsweredError,
+    /// The engine was full and did not execute it.
+    AnsweredFull,
+    /// The engine answered that the request's time is over and did not execute it.
+    AnsweredOver,
+    /// The connection was refused.
+    ConnectRefused,
+    /// The connection was not established in time, or there was no descriptor for it.
+    ConnectTimeout,
+    /// The connection was established but ended before this was written to it.
+    NeverWritten,
+    /// The engine closed the connection before it answered.
+    Closed,
+    /// The connection was reset before the engine answered.
+    Reset,
+    /// The engine's bytes can't be parsed.
+    Malformed,
+    /// The engine sent nothing for too long.
+    Silent,
+    /// The engine sent reports on other attempts, but no more on this one.
+    RequestSilent,
+    /// No answer within the timeout.
+    TimedOut,
+    /// The manager cancelled it.
+    Cancelled,
+}
+
+impl ConnectionEnd {
+    /// The outcome as the decision module counts it. This is the one place where ends become outcomes.
+    pub fn outcome(self) -> Outcome {
+        match self {
+            ConnectionEnd::Answered => Outcome::Served,
+            ConnectionEnd::AnsweredError => Outcome::ServerError,
+            ConnectionEnd::AnsweredFull => Outcome::Full,
+            ConnectionEnd::AnsweredOver => Outcome::NotSent,
+            ConnectionEnd::ConnectRefused | ConnectionEnd::ConnectTimeout | ConnectionEnd::NeverWritten => {
+                Outcome::NoConnection
+            }
+            // It was written, so it was possibly executed.
+            ConnectionEnd::Closed | ConnectionEnd::Reset | ConnectionEnd::Silent => Outcome::ConnectionLost,
+            // The engine reads and answers: the fault is the connection's, not the engine's.
+            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::Spoilt,
+            ConnectionEnd::TimedOut => Outcome::TimedOut,
+            ConnectionEnd::Cancelled => Outcome::Cancelled,
+        }
+    }
+}
+
+/// What an engine, or the connection to it, reports of an attempt.
+#[derive(Debug, Clone, PartialEq)]
+pub enum AttemptEvent {
+    /// It is being executed.
+    Note(AttemptNote),
+    /// It ended with a result.
+    Served {
+        /// The complete result.
+        table: Table,
+        /// The resources that it used, where reported.
+        usage: Option<Usage>,
+        /// The engine's load, where reported.
+        report: Option<LoadReport>,
+    },
+    /// It ended without a result.
+    Ended {
+        /// How it ended.
+        end: ConnectionEnd,
+        /// The engine's load, where reported.
+        report: Option<LoadReport>,
+    },
+}
--- /dev/null
+++ b/src/core/types/mod.rs
@@ -0,0 +1,17 @@
+//! What goes into the core and comes out of it: types that no wire shows in.
+
+mod attempt;
+mod command;
+mod engine;
+mod input;
+mod report;
+mod request;
+mod tenant;
+
+pub use attempt::{AttemptEvent, AttemptId, Call, CancelToken, ConnectionEnd};
+pub use command::Command;
+pub use engine::{Engine, EngineListUpdate, HealthCheckResult};
+pub use input::Input;
+pub use report::{EngineReport, Report, RequestReport, TenantReport};
+pub use request::{Answer, IncomingRequest, Row, Table};
+pub use tenant::TenantUpdate;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -254,7 +254,7 @@
             cell: text("cell").and_then(|told| told.parse().ok()),
             state: if service.priority == 0 { EngineState::Ready } else { EngineState::Draining },
             weight: f64::from(service.weight) / 10.0,
-            started: (since != 0).then(|| clock.from_unix_ms(since)),
+            started_at: (since != 0).then(|| clock.from_unix_ms(since)),
         });
     }
     let serial = answer.serial.ok_or(DiscoveryError::Missing("serial"))?;
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -11,7 +11,7 @@
         cell: None,
         state,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -211,13 +211,13 @@
         let statement = std::str::from_utf8(&request.body);
         let statement = statement.map_err(|_| unusable(400, "the statement must be UTF-8"))?;
         Ok(IncomingRequest {
-            request: 0,
+            id: 0,
             name: name.to_owned(),
             class: class.to_owned(),
             tenant: optional(request, "X-Merchant")?.map(str::to_owned),
-            key: optional(request, "X-Txn-Key")?.map(str::to_owned),
+            idempotency_key: optional(request, "X-Txn-Key")?.map(str::to_owned),
             statement: statement.into(),
-            left: Micros::from_ms(ttl as f64),
+            time_budget: Micros::from_ms(ttl as f64),
         })
     }
 
@@ -261,7 +261,7 @@
             Ok(Answer::Cancelled) => Response::json(500, r#"{"fault":"Cancelled"}"#.to_owned()),
             Ok(Answer::Invalid(why)) => {
                 let status = match why {
-                    Invalid::Class(_) => 404,
+                    Invalid::UnknownClass(_) => 404,
                     Invalid::Duplicate => 409,
                     _ => 400,
                 };
--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -292,13 +292,13 @@
         // Distinct for distinct numbers, and unlike those of another start.
         let name = (self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as u128;
         Ok(IncomingRequest {
-            request: 0,
+            id: 0,
             name: format!("{name:016x}"),
             class: hint("class").unwrap_or(&self.class).to_owned(),
             tenant: Some(tenant.to_owned()).filter(|tenant| !tenant.is_empty()),
-            key: hint("key").map(str::to_owned),
+            idempotency_key: hint("key").map(str::to_owned),
             statement: statement.into(),
-            left,
+            time_budget: left,
         })
     }
 }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -157,7 +157,7 @@
     }
     let mut core = Core::new(front, config.max_open, config.seed, clock.now());
     if has_store {
-        core = core.host();
+        core = core.with_tenant_store();
     }
     tokio::spawn(service::run(core, clock, messages, upstream));
     service
--- a/src/service.rs
+++ b/src/service.rs
@@ -77,8 +77,8 @@
     /// Hands a request over; its number is given here.
     pub async fn submit(&self, mut arrival: IncomingRequest) -> Result<PendingResponse, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
-        arrival.request = self.next.fetch_add(1, Ordering::Relaxed);
-        let request = arrival.request;
+        arrival.id = self.next.fetch_add(1, Ordering::Relaxed);
+        let request = arrival.id;
         self.send(Message::Submit(arrival, reply)).await?;
         Ok(PendingResponse { request, answer })
     }
@@ -144,7 +144,7 @@
                     core.handle(now, input, &mut commands);
                 }
                 Message::Submit(arrival, reply) => {
-                    replies.insert(arrival.request, reply);
+                    replies.insert(arrival.id, reply);
                     core.handle(now, Input::RequestReceived(arrival), &mut commands);
                 }
                 // Who asked may have left: nothing is owed then.
--- a/src/upstream/line_protocol/connection.rs
+++ b/src/upstream/line_protocol/connection.rs
@@ -2,10 +2,10 @@
 
 use super::parse::{self, Line, Word};
 use crate::clock::Micros;
-use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
+use crate::core::{AttemptEvent, AttemptId, Call, ConnectionEnd, Row, Table};
 use crate::decision::{LoadReport, Usage};
 use crate::service::ServiceEnded;
-use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, ResultBudget, failed_connect, failed_io};
+use crate::upstream::{EndpointCommand, EndpointContext, ResultBudget, failed_connect, failed_io};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
@@ -344,8 +344,8 @@
     }
 
     fn launch(&mut self, attempt: AttemptId, call: Call, now: Micros) {
-        let patience = parse::patience(call.patience.to_duration());
-        let key = call.key.map(|key| format!(",op={key}")).unwrap_or_default();
+        let patience = parse::patience(call.timeout.to_duration());
+        let key = call.idempotency_key.map(|key| format!(",op={key}")).unwrap_or_default();
         let Call { name, class, priority, statement, .. } = call;
         let length = statement.len();
         self.line(format_args!(
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -4,7 +4,7 @@
 pub mod tds;
 
 use crate::clock::{Clock, Micros};
-use crate::core::{AttemptEvent, Call, Command, ConnectionEnd, Input};
+use crate::core::{AttemptEvent, AttemptId, Call, Command, ConnectionEnd, HealthCheckResult, Input};
 use crate::decision::{EngineState, LoadReport};
 use crate::service::{ServiceEnded, ServiceHandle};
 use std::collections::HashMap;
@@ -20,9 +20,6 @@
 /// The longest result collected, in bytes.
 const MOST_RESULT: usize = 1 << 20;
 
-/// Names an attempt: its request's number and its own.
-pub type AttemptId = (u64, u32);
-
 /// What an engine's task is told.
 #[derive(Debug)]
 pub enum EndpointCommand {
@@ -115,7 +112,7 @@
 
     /// Word of an attempt.
     pub async fn news(&self, attempt: AttemptId, news: AttemptEvent) -> Result<(), ServiceEnded> {
-        self.handle.notify(Input::Attempt { request: attempt.0, attempt: attempt.1, news }).await
+        self.handle.notify(Input::Attempt { attempt, event: news }).await
     }
 
     /// The end of an attempt without a result.
@@ -130,7 +127,9 @@
         report: Option<LoadReport>,
         elapsed: Micros,
     ) -> Result<(), ServiceEnded> {
-        self.handle.notify(Input::HealthChecked { engine: self.engine, end, report, elapsed }).await
+        self.handle
+            .notify(Input::HealthChecked(HealthCheckResult { engine: self.engine, end, report, elapsed }))
+            .await
     }
 
     /// Tells of an command that was never written.
@@ -177,14 +176,14 @@
                 }
                 return None;
             }
-            Command::StartAttempt { request, attempt, engine, call } => {
-                (engine, EndpointCommand::Start((request, attempt), call))
+            Command::StartAttempt { attempt, engine, call } => {
+                (engine, EndpointCommand::Start(attempt, call))
             }
-            Command::CancelAttempt { request, attempt, engine, confirm } => {
-                (engine, EndpointCommand::Cancel((request, attempt), confirm))
+            Command::CancelAttempt { attempt, engine, confirm } => {
+                (engine, EndpointCommand::Cancel(attempt, confirm))
             }
-            Command::SetPriority { request, attempt, engine, priority } => {
-                (engine, EndpointCommand::SetPriority((request, attempt), priority))
+            Command::SetPriority { attempt, engine, priority } => {
+                (engine, EndpointCommand::SetPriority(attempt, priority))
             }
             Command::HealthCheck { engine } => (engine, EndpointCommand::HealthCheck),
             // Its task ends with the way to it, and so do its connections.
@@ -199,14 +198,15 @@
             None => Some(command),
         };
         match refused? {
-            EndpointCommand::Start((request, attempt), _) => {
+            EndpointCommand::Start(attempt, _) => {
                 log::warn!("an engine's queue is full: attempt not sent");
-                let news = AttemptEvent::Ended { end: ConnectionEnd::NeverWritten, report: None };
-                Some(Input::Attempt { request, attempt, news })
+                let event = AttemptEvent::Ended { end: ConnectionEnd::NeverWritten, report: None };
+                Some(Input::Attempt { attempt, event })
             }
             EndpointCommand::HealthCheck => {
                 let end = ConnectionEnd::NeverWritten;
-                Some(Input::HealthChecked { engine, end, report: None, elapsed: Micros(0) })
+                let elapsed = Micros(0);
+                Some(Input::HealthChecked(HealthCheckResult { engine, end, report: None, elapsed }))
             }
             _ => None,
         }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -2,14 +2,14 @@
 
 use super::{Free, Task};
 use crate::clock::Micros;
-use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
+use crate::core::{AttemptEvent, AttemptId, Call, ConnectionEnd, Row, Table};
 use crate::decision::{AttemptNote, LoadReport, Usage};
 use crate::tds::login::{self, Login};
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
 use crate::tds::value::Type;
 use crate::upstream::line_protocol::load_report;
-use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, failed_connect, failed_io};
+use crate::upstream::{EndpointCommand, EndpointContext, failed_connect, failed_io};
 use bytes::{Buf, BytesMut};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -205,13 +205,13 @@
 }
 
 fn statement(call: &Call) -> String {
-    let key = call.key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
+    let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
         "/*id='{}',class='{}',priority='{}',ttl_ms='{}'{key}*/ {}",
         call.name,
         call.class,
         call.priority,
-        (call.patience.0 / 1000).max(1),
+        (call.timeout.0 / 1000).max(1),
         call.statement
     )
 }
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -3,7 +3,8 @@
 
 mod connection;
 
-use super::{AttemptId, EndpointCommand, EndpointContext};
+use super::{EndpointCommand, EndpointContext};
+use crate::core::AttemptId;
 use crate::core::ConnectionEnd;
 use std::collections::HashMap;
 use std::net::SocketAddr;
