--- /dev/null
+++ b/src/service/mod.rs
@@ -0,0 +1,131 @@
+//! The service task: the one owner of the core. In each turn it reads the clock once, feeds the core the messages
+//! that have come by one bounded queue, and carries out the core's commands.
+
+mod handle;
+
+pub use handle::{Message, PendingResponse, Query, ServiceEnded, ServiceHandle};
+
+use crate::clock::{Clock, Micros};
+use crate::core::{Answer, Command, Core, Input};
+use crate::upstream::UpstreamPool;
+use std::collections::HashMap;
+use tokio::sync::{mpsc, oneshot};
+
+/// Time between two log lines on the state.
+const STATE_LOG_INTERVAL: Micros = Micros(1_000_000);
+/// Messages that are handled in one turn at most.
+const MAX_MESSAGES_PER_TURN: usize = 256;
+
+/// Runs the service until every handle is dropped.
+pub async fn run(core: Core, clock: Clock, mut queue: mpsc::Receiver<Message>, upstream: UpstreamPool) {
+    let mut service = Service::new(core, clock, upstream);
+    let mut messages = Vec::with_capacity(MAX_MESSAGES_PER_TURN);
+    loop {
+        let wake_at = service.core.next_wake().map(|at| clock.instant(at));
+        tokio::select! {
+            received = queue.recv_many(&mut messages, MAX_MESSAGES_PER_TURN) => if received == 0 { return },
+            () = sleep_until(wake_at) => {}
+        }
+        service.turn(&mut messages);
+    }
+}
+
+/// The state of the service task.
+struct Service {
+    core: Core,
+    clock: Clock,
+    upstream: UpstreamPool,
+    /// By request: where its answer is sent. These are the requests that are open in the core.
+    replies: HashMap<u64, oneshot::Sender<Answer>>,
+    /// Empty between two turns; it keeps its memory.
+    commands: Vec<Command>,
+    next_state_log: Micros,
+}
+
+impl Service {
+    fn new(core: Core, clock: Clock, upstream: UpstreamPool) -> Service {
+        Service {
+            core,
+            clock,
+            upstream,
+            replies: HashMap::new(),
+            commands: Vec::new(),
+            next_state_log: clock.now() + STATE_LOG_INTERVAL,
+        }
+    }
+
+    /// Handles messages and due timers, all at one point in time.
+    fn turn(&mut self, messages: &mut Vec<Message>) {
+        let now = self.clock.now();
+        for message in messages.drain(..) {
+            self.handle(now, message);
+        }
+        self.log_state(now);
+        self.core.handle(now, Input::Tick, &mut self.commands);
+        self.carry_out_commands(now);
+        debug_assert_eq!(self.replies.len(), self.core.open_requests(), "each open request has its reply");
+    }
+
+    fn handle(&mut self, now: Micros, message: Message) {
+        match message {
+            Message::Input(input) => {
+                if let Input::ClientDisconnected(request) = &input {
+                    self.replies.remove(request);
+                }
+                self.core.handle(now, input, &mut self.commands);
+            }
+            Message::Submit { incoming, reply } => {
+                self.replies.insert(incoming.id, reply);
+                self.core.handle(now, Input::RequestReceived(incoming), &mut self.commands);
+            }
+            Message::Query(query) => self.reply(now, query),
+        }
+    }
+
+    /// Answers a question. Whoever asked may no longer wait; then the reply is dropped.
+    fn reply(&self, now: Micros, query: Query) {
+        match query {
+            Query::Report(reply) => drop(reply.send(self.core.report(now))),
+            Query::Usage { tenants, reply } => drop(reply.send(self.core.usage(&tenants))),
+            Query::OpenRequests(reply) => drop(reply.send(self.core.open_requests())),
+            Query::EnginesChecked(reply) => drop(reply.send(self.core.engines_checked())),
+            Query::HandoverState(reply) => drop(reply.send(self.core.handover_state())),
+        }
+    }
+
+    fn log_state(&mut self, now: Micros) {
+        if now >= self.next_state_log {
+            self.next_state_log = now + STATE_LOG_INTERVAL;
+            log::info!("{}", self.core.state_line());
+        }
+    }
+
+    /// Carries out the core's commands, and those that follow where an engine's queue does not take one.
+    fn carry_out_commands(&mut self, now: Micros) {
+        while !self.commands.is_empty() {
+            let mut failures = Vec::new();
+            for command in self.commands.drain(..) {
+                match command {
+                    Command::Answer { request, answer } => {
+                        if let Some(reply) = self.replies.remove(&request) {
+                            drop(reply.send(answer)); // its client may have disconnected
+                        }
+                    }
+                    Command::Log(text) => log::info!("module: {text}"),
+                    other => failures.extend(self.upstream.carry_out(other)),
+                }
+            }
+            for input in failures {
+                self.core.handle(now, input, &mut self.commands);
+            }
+        }
+    }
+}
+
+/// Sleeps until `at`, or for ever.
+async fn sleep_until(at: Option<std::time::Instant>) {
+    match at {
+        Some(at) => tokio::time::sleep_until(at.into()).await,
+        None => std::future::pending().await,
+    }
+}
