--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,38 +1,39 @@
-//! Where a server stands in its life, as one state machine without I/O and clock. Doors, health checks and
-//! signals ask it and nothing else.
+//! The lifecycle of a server as one state machine without I/O and clock: the one source for accept loops, health
+//! checks and signal handlers.
 //!
 //! ```text
-//!              Listed + Heard            Quiesce
-//!   Starting ----------------> Ready <-----------> Drained
-//!       |                        |      Resume        |
-//!       +------------------------+--------------------+
-//!                                | Terminate
-//!               own socket       v        a socket that outlives it
-//!                Stopping <------+------> HandedOver
-//!                    |      LastAnswer        |
-//!                    +--------> Ended <-------+
+//!      EngineListLoaded + EnginesChecked     Quiesce
+//!   Starting -----------------> Ready <----------------> Drained
+//!       |                         |        Resume           |
+//!       +-------------------------+-------------------------+
+//!                                 | Terminate
+//!           exclusive socket      v      shared socket
+//!                Stopping <-------+-------> HandedOver
+//!                    |    LastResponseSent      |
+//!                    +--------> Ended <---------+
 //! ```
 //!
-//! What each event does in each phase (`=`: nothing, and that is well; a word: the phase that follows; `no`:
-//! refused, with the reason):
+//! What each event does in each phase (`=`: nothing, and that is no error; a phase: the one that follows; `error`:
+//! a [`TransitionError`] of this name, and nothing changes):
 //!
 //! | event | Starting | Ready | Drained | Stopping, HandedOver | Ended |
 //! | --- | --- | --- | --- | --- | --- |
-//! | `Listed`, `Heard` | Ready with the other | = | noted | = | = |
-//! | `Quiesce` | Drained | Drained | = | no: stopping | no: ended |
-//! | `Resume` | = | = | Ready, or Starting where one of the two is missing | no: stopping | no: ended |
+//! | `EngineListLoaded`, `EnginesChecked` | Ready after both | = | recorded | = | = |
+//! | `Quiesce` | Drained | Drained | = | error Stopping | error Ended |
+//! | `Resume` | = | = | Ready, or Starting where one of the two is missing | error Stopping | error Ended |
 //! | `Terminate` | Stopping or HandedOver | the same | the same | = | = |
-//! | `Reload` | = | = | = | no: stopping | no: ended |
-//! | `LastAnswer` | no: serving | no: serving | no: serving | Ended | = |
+//! | `Reload` | = | = | = | error Stopping | error Ended |
+//! | `LastResponseSent` | error Serving | error Serving | error Serving | Ended | = |
 //!
 //! ```
-//! use sanddyke_lifecycle::{Event, Lifecycle, Phase, ListenSocket};
+//! use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase};
 //!
-//! let mut life = Lifecycle::new(ListenSocket::Exclusive);
-//! life.apply(Event::EngineListLoaded)?;
-//! assert_eq!(life.apply(Event::EnginesChecked)?, Some(Phase::Ready));
-//! assert_eq!(life.apply(Event::Quiesce)?, Some(Phase::Drained));
-//! assert!(life.accepts_connections() && !life.keeps_idle_connections() && !life.is_ready());
+//! let mut lifecycle = Lifecycle::new(ListenSocket::Exclusive);
+//! lifecycle.apply(Event::EngineListLoaded)?;
+//! assert_eq!(lifecycle.apply(Event::EnginesChecked)?, Some(Phase::Ready));
+//! assert_eq!(lifecycle.apply(Event::Quiesce)?, Some(Phase::Drained));
+//! assert!(lifecycle.accepts_connections());
+//! assert!(!lifecycle.keeps_idle_connections() && !lifecycle.is_ready());
 //! # Ok::<(), sanddyke_lifecycle::TransitionError>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -41,36 +42,36 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Whose the socket is at which clients connect.
+/// Who accepts on the socket to which clients connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenSocket {
-    /// This process's: it closes with it, and clients come until they notice.
+    /// This process alone: the socket closes with it, and clients connect until they notice.
     Exclusive,
-    /// Another holds it too, and others accept on it: no client is turned away when this process no longer does.
+    /// Other processes too: no client is rejected when this one stops accepting.
     Shared,
 }
 
 /// What happens to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// It knows where its back ends are.
+    /// It has read the list of engines.
     EngineListLoaded,
-    /// It has heard enough of them to serve as well as one that has run for long.
+    /// Enough engines have answered a health check, or the wait for them is over.
     EnginesChecked,
-    /// Clients are to be sent away.
+    /// An operator drains it: clients are to go elsewhere.
     Quiesce,
-    /// Back to work.
+    /// An operator ends the drain.
     Resume,
-    /// It is to end once all is answered (SIGTERM).
+    /// It is to shut down gracefully (SIGTERM).
     Terminate,
-    /// Its configuration is to be read again (SIGHUP).
+    /// It is to read its configuration again (SIGHUP).
     Reload,
-    /// After [`Event::Terminate`], the last answer is given.
+    /// After [`Event::Terminate`], the last response is sent.
     LastResponseSent,
 }
 
 impl Event {
-    /// All of them.
+    /// All events.
     pub const ALL: [Event; 7] = [
         Event::EngineListLoaded,
         Event::EnginesChecked,
@@ -82,25 +83,25 @@
     ];
 }
 
-/// Where a server stands.
+/// The phase of a server's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It could not serve well yet.
+    /// It can't serve well yet.
     Starting,
-    /// It takes work.
+    /// It serves.
     Ready,
-    /// It sends clients away, and goes back to work when it is told.
+    /// It serves, and asks clients to go elsewhere, until it is resumed.
     Drained,
-    /// It ends once all is answered, and its socket with it.
+    /// It shuts down gracefully, and its socket closes with it.
     Stopping,
-    /// It ends once all is answered, and another process has its socket.
+    /// It shuts down gracefully, and another process accepts on its socket.
     HandedOver,
-    /// All is answered.
+    /// Everything is answered.
     Ended,
 }
 
 impl Phase {
-    /// In one word, as health checks and the log have it.
+    /// The name in health checks and the log.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -119,20 +120,21 @@
     }
 }
 
-/// Why an event can't happen in the phase that the server is in.
+/// Why an event is not allowed in the present phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TransitionError {
-    /// It ends already.
+    /// The server shuts down already.
     #[error("the program is stopping")]
     Stopping,
-    /// It has ended.
+    /// The server has ended.
     #[error("the program has ended")]
     Ended,
-    /// It has not been told to end.
+    /// The server was not terminated.
     #[error("the program is serving")]
     Serving,
 }
 
+/// How far a server's lifecycle has come; it never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Serving,
@@ -140,7 +142,7 @@
     Ended,
 }
 
-/// A server's life.
+/// The lifecycle of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lifecycle {
     socket: ListenSocket,
@@ -151,7 +153,7 @@
 }
 
 impl Lifecycle {
-    /// The life of a server that has just started.
+    /// The lifecycle of a server that has just started.
     pub fn new(socket: ListenSocket) -> Lifecycle {
         Lifecycle {
             socket,
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Where it stands.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         match (self.stage, self.socket) {
             (Stage::Ended, _) => Phase::Ended,
@@ -174,46 +176,63 @@
         }
     }
 
-    /// Takes an event, and gives the phase that follows where it is another; an event that is refused changes
-    /// nothing.
+    /// Applies an event, and gives the phase that follows where it is another.
+    ///
+    /// # Errors
+    /// Where the present phase does not allow the event; then nothing changes.
     pub fn apply(&mut self, event: Event) -> Result<Option<Phase>, TransitionError> {
         let before = self.phase();
-        match (event, self.stage) {
-            (Event::Quiesce | Event::Resume | Event::Reload, Stage::ShuttingDown) => {
-                return Err(TransitionError::Stopping);
-            }
-            (Event::Quiesce | Event::Resume | Event::Reload, Stage::Ended) => {
-                return Err(TransitionError::Ended);
-            }
-            (Event::LastResponseSent, Stage::Serving) => return Err(TransitionError::Serving),
-            (Event::EngineListLoaded, Stage::Serving) => self.engine_list_loaded = true,
-            (Event::EnginesChecked, Stage::Serving) => self.engines_checked = true,
-            (Event::Quiesce, Stage::Serving) => self.drained = true,
-            (Event::Resume, Stage::Serving) => self.drained = false,
-            (Event::Terminate, Stage::Serving) => self.stage = Stage::ShuttingDown,
-            (Event::LastResponseSent, Stage::ShuttingDown) => self.stage = Stage::Ended,
-            (Event::Reload, Stage::Serving)
-            | (
-                Event::EngineListLoaded | Event::EnginesChecked | Event::Terminate,
-                Stage::ShuttingDown | Stage::Ended,
-            )
-            | (Event::LastResponseSent, Stage::Ended) => {}
+        match self.stage {
+            Stage::Serving => self.apply_while_serving(event)?,
+            Stage::ShuttingDown => self.apply_while_shutting_down(event)?,
+            Stage::Ended => Lifecycle::apply_after_the_end(event)?,
         }
         let after = self.phase();
         Ok((after != before).then_some(after))
     }
 
+    fn apply_while_serving(&mut self, event: Event) -> Result<(), TransitionError> {
+        match event {
+            Event::EngineListLoaded => self.engine_list_loaded = true,
+            Event::EnginesChecked => self.engines_checked = true,
+            Event::Quiesce => self.drained = true,
+            Event::Resume => self.drained = false,
+            Event::Terminate => self.stage = Stage::ShuttingDown,
+            Event::Reload => {}
+            Event::LastResponseSent => return Err(TransitionError::Serving),
+        }
+        Ok(())
+    }
+
+    fn apply_while_shutting_down(&mut self, event: Event) -> Result<(), TransitionError> {
+        match event {
+            Event::LastResponseSent => self.stage = Stage::Ended,
+            Event::EngineListLoaded | Event::EnginesChecked | Event::Terminate => {}
+            Event::Quiesce | Event::Resume | Event::Reload => return Err(TransitionError::Stopping),
+        }
+        Ok(())
+    }
+
+    fn apply_after_the_end(event: Event) -> Result<(), TransitionError> {
+        match event {
+            Event::EngineListLoaded | Event::EnginesChecked | Event::Terminate | Event::LastResponseSent => {
+                Ok(())
+            }
+            Event::Quiesce | Event::Resume | Event::Reload => Err(TransitionError::Ended),
+        }
+    }
+
     /// Whether a health check finds it ready for new clients.
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
-    /// Whether it is about to end.
+    /// Whether it shuts down, or has ended.
     pub fn is_shutting_down(&self) -> bool {
         self.stage != Stage::Serving
     }
 
-    /// Whether new connections are accepted. A drained server goes on: clients come until they notice.
+    /// Whether it accepts new connections. A drained server does: clients connect until they notice.
     pub fn accepts_connections(&self) -> bool {
         !matches!(self.phase(), Phase::HandedOver | Phase::Ended)
     }
--- a/crates/lifecycle/tests/table.rs
+++ b/crates/lifecycle/tests/transitions.rs
@@ -1,19 +1,19 @@
-//! The table of `lib.rs`, held to the code: each event in each phase, each pair of events in either order, and
-//! what must hold whatever comes.
+//! The table in `lib.rs`, compared with the code: each event in each phase, each pair of events in either order, and
+//! the invariants under any order of events.
 
 use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 
 fn after(socket: ListenSocket, events: &[Event]) -> Lifecycle {
-    let mut life = Lifecycle::new(socket);
+    let mut lifecycle = Lifecycle::new(socket);
     for event in events {
-        let _refused = life.apply(*event);
+        let _rejected = lifecycle.apply(*event);
     }
-    life
+    lifecycle
 }
 
 const STARTED: [Event; 2] = [Event::EngineListLoaded, Event::EnginesChecked];
 
-/// A life in each phase.
+/// A lifecycle in each phase.
 fn phases() -> Vec<Lifecycle> {
     use Event::{LastResponseSent, Quiesce, Terminate};
     let with = |socket, more: &[Event]| after(socket, &[&STARTED[..], more].concat());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn every_event_in_every_phase_does_what_the_table_says() {
+fn every_event_in_every_phase_agrees_with_the_table() {
     use Phase::{Drained, Ended, HandedOver, Ready, Starting, Stopping};
     let stopping = Err(TransitionError::Stopping);
     let ended = Err(TransitionError::Ended);
@@ -47,12 +47,12 @@
     assert_eq!(at, [Starting, Ready, Drained, Stopping, HandedOver, Ended]);
     assert_eq!(table.len(), Event::ALL.len());
     for (event, expected) in table {
-        for (mut life, expected) in phases().into_iter().zip(expected) {
-            let before = life;
-            let found = life.apply(event);
+        for (mut lifecycle, expected) in phases().into_iter().zip(expected) {
+            let before = lifecycle;
+            let found = lifecycle.apply(event);
             assert_eq!(found, expected, "{event:?} when {}", before.phase());
             if found.is_err() {
-                assert_eq!(life, before, "{event:?} was refused and changed something");
+                assert_eq!(lifecycle, before, "{event:?} was rejected and changed something");
             }
         }
     }
@@ -60,16 +60,16 @@
 
 /// Pairs in either order that lead to one phase, and those in which the order counts.
 #[test]
-fn pairs_of_events_in_either_order() {
+fn every_pair_of_events_leads_to_its_phase() {
     use Event::{EngineListLoaded, EnginesChecked, LastResponseSent, Quiesce, Resume, Terminate};
     for socket in [ListenSocket::Exclusive, ListenSocket::Shared] {
         let pair = |first, second| after(socket, &[&STARTED[..], &[first, second]].concat()).phase();
-        let left = if socket == ListenSocket::Exclusive { Phase::Stopping } else { Phase::HandedOver };
+        let terminated = if socket == ListenSocket::Exclusive { Phase::Stopping } else { Phase::HandedOver };
         for first in Event::ALL {
             for second in Event::ALL {
                 let expected = match (first, second) {
                     (Terminate, LastResponseSent) => Phase::Ended,
-                    (Terminate, _) | (_, Terminate) => left,
+                    (Terminate, _) | (_, Terminate) => terminated,
                     (Quiesce, Resume) => Phase::Ready,
                     (Quiesce, _) | (_, Quiesce) => Phase::Drained,
                     _ => Phase::Ready,
@@ -77,32 +77,33 @@
                 assert_eq!(pair(first, second), expected, "{first:?} then {second:?}");
             }
         }
-        // Drained before it could serve: resumed, it has still to hear of its back ends.
+        // Drained before it could serve: once resumed, it still has to learn of its engines.
         assert_eq!(after(socket, &[Quiesce, EngineListLoaded, Resume]).phase(), Phase::Starting);
         assert_eq!(after(socket, &[Quiesce, EnginesChecked, EngineListLoaded, Resume]).phase(), Phase::Ready);
     }
 }
 
-/// Whatever comes, in whatever order: a server that leaves never says that it is ready again, one that is not
-/// ready never says so, and the phases after SIGTERM only go on.
+/// Under any order of events a terminated server is never ready again, one that is not ready never reports so, and
+/// the phases after SIGTERM never go back.
 #[test]
-fn no_order_of_events_brings_a_server_back() {
+fn no_order_of_events_makes_a_terminated_server_serve_again() {
     for number in 0..7usize.pow(5) {
         let order: Vec<Event> = (0..5).map(|at| Event::ALL[number / 7usize.pow(at) % 7]).collect();
-        let mut life =
+        let mut lifecycle =
             Lifecycle::new(if number % 2 == 0 { ListenSocket::Exclusive } else { ListenSocket::Shared });
-        let mut left = false;
-        let (mut drained, mut ended) = (false, false);
+        let mut terminated = false;
+        let mut drained = false;
+        let mut ended = false;
         for event in &order {
-            let taken = life.apply(*event).is_ok();
-            left |= *event == Event::Terminate;
-            drained = taken && *event == Event::Quiesce || drained && !(taken && *event == Event::Resume);
-            ended |= left && *event == Event::LastResponseSent;
-            assert_eq!(life.is_shutting_down(), left, "{order:?}");
-            assert!(!life.is_ready() || !left && !drained, "{order:?}");
-            assert_eq!(life.phase() == Phase::Ended, ended, "{order:?}");
-            assert!(life.keeps_idle_connections() <= life.accepts_connections(), "{order:?}");
-            assert_eq!(life.keeps_idle_connections(), !left && !drained, "{order:?}");
+            let applied = lifecycle.apply(*event).is_ok();
+            terminated |= *event == Event::Terminate;
+            drained = applied && *event == Event::Quiesce || drained && !(applied && *event == Event::Resume);
+            ended |= terminated && *event == Event::LastResponseSent;
+            assert_eq!(lifecycle.is_shutting_down(), terminated, "{order:?}");
+            assert!(!lifecycle.is_ready() || !terminated && !drained, "{order:?}");
+            assert_eq!(lifecycle.phase() == Phase::Ended, ended, "{order:?}");
+            assert!(lifecycle.keeps_idle_connections() <= lifecycle.accepts_connections(), "{order:?}");
+            assert_eq!(lifecycle.keeps_idle_connections(), !terminated && !drained, "{order:?}");
         }
     }
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -84,7 +84,7 @@
             }
         }
     };
-    frontend::accept(listener, MOST, "admin", admin.lifecycle.stop_accepting(), each).await;
+    frontend::accept(listener, MOST, "admin", admin.lifecycle.wait_for_accept_stop(), each).await;
 }
 
 async fn connection<S>(mut stream: S, permit: &ConnectionPermit, admin: &Admin) -> std::io::Result<()>
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -29,7 +29,7 @@
         at: clock.now().0.unsigned_abs(),
         ready: life.is_ready(),
         drained: life.phase() == Phase::Drained,
-        open: (life.unanswered() + life.connections()) as u64,
+        open: (life.unanswered_requests() + life.open_connections()) as u64,
     }
 }
 
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -52,7 +52,7 @@
         let front = front.clone();
         async move { connection(stream, &permit, &front).await }
     };
-    super::accept(listener, most, "client", front.lifecycle.stop_accepting(), each).await;
+    super::accept(listener, most, "client", front.lifecycle.wait_for_accept_stop(), each).await;
 }
 
 /// When the first request of a connection that has just come is due.
@@ -110,14 +110,14 @@
     stream.set_nodelay(true)?;
     let mut client = Client { stream, buffer: BytesMut::with_capacity(4096), flooded: false };
     let (mut by, mut wait) = (Some(first_by()), READ_TIME);
-    let present = front.lifecycle.connection();
+    let present = front.lifecycle.track_connection();
     while front.goes_on(&mut client, wait).await? {
         let Client { stream, buffer, .. } = &mut client;
         let read = read_request(stream, buffer, by, message::LONGEST_BODY).await?;
         let Some(read) = read else { break };
         (by, wait) = (None, IDLE_TIME);
         permit.busy();
-        let counted = front.lifecycle.request();
+        let counted = front.lifecycle.track_request();
         let (response, close) = match read {
             Ok(request) => match front.call(&mut client, &request).await {
                 Some(response) => (response, request.close),
@@ -164,7 +164,7 @@
             return Ok(true);
         }
         let close_idle = async {
-            self.lifecycle.close_idle().await;
+            self.lifecycle.wait_for_idle_close().await;
             // What the machine has received of a connection that has only just been accepted shows one turn later.
             tokio::task::yield_now().await;
         };
--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -70,7 +70,7 @@
         let front = front.clone();
         async move { serve_one(stream, &permit, &front).await }
     };
-    super::accept(listener, most, "TDS", front.lifecycle.stop_accepting(), each).await;
+    super::accept(listener, most, "TDS", front.lifecycle.wait_for_accept_stop(), each).await;
 }
 
 struct Connection<'a> {
@@ -110,7 +110,7 @@
 
 async fn serve_one(stream: TcpStream, permit: &ConnectionPermit, front: &Tds) -> Io<()> {
     stream.set_nodelay(true)?;
-    let _present = front.lifecycle.connection();
+    let _present = front.lifecycle.track_connection();
     let login = tokio::time::timeout(LOGIN_TIME, async {
         let Some(mut connection) = prelogin(stream, front).await? else { return Ok(None) };
         Ok::<_, std::io::Error>(connection.login().await?.map(|tenant| (connection, tenant)))
@@ -164,7 +164,7 @@
                             return Ok(());
                         }
                     }
-                    () = self.front.lifecycle.close_idle() => return Ok(()),
+                    () = self.front.lifecycle.wait_for_idle_close() => return Ok(()),
                 }
             }
             let next = tokio::time::timeout(MESSAGE_TIME, self.next()).await;
@@ -207,7 +207,7 @@
 
     /// Serves one request; false where the connection ends.
     async fn request(&mut self, message: Message, tenant: &str) -> Io<bool> {
-        let counted = self.front.lifecycle.request();
+        let counted = self.front.lifecycle.track_request();
         let (to, statement) = match message.kind {
             packet::SQL_BATCH => (To::Batch, token::read_batch(&message.data)),
             packet::RPC => (To::Call, token::read_call(&message.data)),
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The program's lifecycle ([`sanddyke_lifecycle`]) as all its tasks see it: doors and health checks read it, signals and
-//! the second address move it, and connections wait here to be told that they shall end.
+//! The program's lifecycle ([`sanddyke_lifecycle`]) as its tasks share it: accept loops and health checks read it,
+//! signals and the operations endpoint change it, and connections wait here until they are to close.
 
 use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 use std::sync::Arc;
@@ -8,45 +8,45 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// An open connection that says nothing is closed so long after clients were first sent away. Until then a
-/// request on it is answered, and the connection ends with its answer: fewer requests cross a close. Clients
-/// learn within 0.3 s that they should go elsewhere (they are asked ten times a second, and stop 0.2 s after).
-const PART_AFTER: Duration = Duration::from_millis(500);
-/// Where the socket ends with the process, clients still come for so long after SIGTERM: new connections for
-/// 0.4 s and requests on open ones for a further 0.2 s, as the platform has it, and some more.
-const STILL_COMING: Duration = Duration::from_millis(800);
+/// An idle connection is closed this long after clients were first asked to go elsewhere. Until then a request on it
+/// is answered, and the connection closes with the answer: fewer requests cross a close. Clients stop within 0.3 s
+/// (they check health ten times a second, and stop 0.2 s after).
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
+/// Where the socket closes with the process, clients still use it this long after SIGTERM: on the platform they open
+/// connections for 0.4 s and send requests on open ones for a further 0.2 s; the rest is a margin.
+const CLIENT_SWITCH_TIME: Duration = Duration::from_millis(800);
 
-/// Connections that a socket's queue holds (the `listen` of tokio's own sockets).
-const QUEUED: usize = 1024;
+/// Connections that the system queues for a listener (the backlog of tokio's own sockets).
+const LISTEN_BACKLOG: usize = 1024;
 
-/// The lifecycle, and since when it stands where it does.
+/// The lifecycle, and when its phase last changed.
 #[derive(Debug, Clone, Copy)]
-struct Moment {
+struct TimedLifecycle {
     lifecycle: Lifecycle,
-    since: Instant,
+    phase_since: Instant,
 }
 
-/// What a program knows of its own lifecycle. Clones are of one lifecycle.
+/// The lifecycle of the program, and what is still open in it. Clones share one lifecycle.
 #[derive(Debug, Clone)]
 pub struct LifecycleHandle {
-    now: Arc<watch::Sender<Moment>>,
-    unanswered: Arc<AtomicUsize>,
-    connections: Arc<AtomicUsize>,
+    current: Arc<watch::Sender<TimedLifecycle>>,
+    unanswered_requests: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 }
 
-/// Something of which the program waits for the last before it ends: a request that was read and not yet
-/// answered whole, or a connection that may still bring one.
+/// Counts something that must end before the program does: a request without its complete answer, or a connection
+/// that may still bring one. It counts until it is dropped.
 #[derive(Debug)]
-pub struct Counted(Arc<AtomicUsize>);
+pub struct OpenGuard(Arc<AtomicUsize>);
 
-impl Counted {
-    fn new(all: &Arc<AtomicUsize>) -> Counted {
-        all.fetch_add(1, Ordering::Relaxed);
-        Counted(all.clone())
+impl OpenGuard {
+    fn new(count: &Arc<AtomicUsize>) -> OpenGuard {
+        count.fetch_add(1, Ordering::Relaxed);
+        OpenGuard(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -55,23 +55,25 @@
 impl LifecycleHandle {
     /// The lifecycle of a program that has just started.
     pub fn new(socket: ListenSocket) -> LifecycleHandle {
-        let now = Moment { lifecycle: Lifecycle::new(socket), since: Instant::now() };
-        let counts = (Arc::default(), Arc::default());
+        let initial = TimedLifecycle { lifecycle: Lifecycle::new(socket), phase_since: Instant::now() };
         LifecycleHandle {
-            now: Arc::new(watch::Sender::new(now)),
-            unanswered: counts.0,
-            connections: counts.1,
+            current: Arc::new(watch::Sender::new(initial)),
+            unanswered_requests: Arc::default(),
+            open_connections: Arc::default(),
         }
     }
 
-    /// Tells what has happened; gives the phase that the program is in then, or why it can't be.
+    /// Applies an event, and gives the phase after it.
+    ///
+    /// # Errors
+    /// Where the present phase does not allow the event.
     pub fn apply(&self, event: Event) -> Result<Phase, TransitionError> {
         let mut result = Ok(None);
-        self.now.send_if_modified(|moment| {
-            result = moment.lifecycle.apply(event);
+        self.current.send_if_modified(|current| {
+            result = current.lifecycle.apply(event);
             let changed = matches!(result, Ok(Some(_)));
             if changed {
-                moment.since = Instant::now();
+                current.phase_since = Instant::now();
             }
             changed
         });
@@ -83,20 +85,20 @@
     }
 
     fn lifecycle(&self) -> Lifecycle {
-        self.now.borrow().lifecycle
+        self.current.borrow().lifecycle
     }
 
-    /// Where it stands.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.lifecycle().phase()
     }
 
-    /// Whether a health check finds the service well.
+    /// Whether a health check finds the service ready.
     pub fn is_ready(&self) -> bool {
         self.lifecycle().is_ready()
     }
 
-    /// Whether the program is about to end.
+    /// Whether the program shuts down.
     pub fn is_shutting_down(&self) -> bool {
         self.lifecycle().is_shutting_down()
     }
@@ -111,65 +113,67 @@
         self.lifecycle().keeps_idle_connections()
     }
 
-    /// Ends when an open connection that brings nothing shall be closed.
-    pub async fn close_idle(&self) {
-        self.after(|phase| match phase {
+    /// Waits until an idle connection is to be closed.
+    pub async fn wait_for_idle_close(&self) {
+        self.wait_for(|phase| match phase {
             Phase::Starting | Phase::Ready => None,
-            Phase::Stopping => Some(STILL_COMING),
-            Phase::Drained | Phase::HandedOver | Phase::Ended => Some(PART_AFTER),
+            Phase::Stopping => Some(CLIENT_SWITCH_TIME),
+            Phase::Drained | Phase::HandedOver | Phase::Ended => Some(IDLE_CLOSE_DELAY),
         })
         .await;
     }
 
-    /// Ends when no new connections are accepted any more: at once where others accept on the socket, and else once
-    /// nobody comes. Gives how many may stand in the socket's queue that nobody else takes.
-    pub async fn stop_accepting(&self) -> usize {
-        self.after(|phase| match phase {
+    /// Waits until no new connections are to be accepted: where others accept on the socket, until the shutdown
+    /// begins, else until clients have switched. Returns how many connections may still be in the socket's queue
+    /// that no other process accepts.
+    pub async fn wait_for_accept_stop(&self) -> usize {
+        self.wait_for(|phase| match phase {
             Phase::Starting | Phase::Ready | Phase::Drained => None,
-            Phase::Stopping => Some(STILL_COMING),
+            Phase::Stopping => Some(CLIENT_SWITCH_TIME),
             Phase::HandedOver | Phase::Ended => Some(Duration::ZERO),
         })
         .await;
-        if self.phase() == Phase::Stopping { QUEUED } else { 0 }
+        if self.phase() == Phase::Stopping { LISTEN_BACKLOG } else { 0 }
     }
 
-    /// Ends once the lifecycle has stood for so long in a phase that such a time is given for.
-    async fn after(&self, wait: impl Fn(Phase) -> Option<Duration>) {
-        let mut told = self.now.subscribe();
+    /// Waits until the phase has lasted for the time that `delay` gives for it; a phase without one never ends the
+    /// wait.
+    async fn wait_for(&self, delay: impl Fn(Phase) -> Option<Duration>) {
+        let mut changes = self.current.subscribe();
         loop {
-            let moment = *told.borrow_and_update();
-            let waited = async {
-                match wait(moment.lifecycle.phase()) {
-                    Some(wait) => tokio::time::sleep_until(moment.since + wait).await,
+            let current = *changes.borrow_and_update();
+            let delay_over = async {
+                match delay(current.lifecycle.phase()) {
+                    Some(delay) => tokio::time::sleep_until(current.phase_since + delay).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = waited => return,
-                // The sender is `self`'s: it outlives this.
-                _ = told.changed() => {}
+                () = delay_over => return,
+                // The sender is `self`'s, so it is not dropped before this ends.
+                _ = changes.changed() => {}
             }
         }
     }
 
-    /// Counts a request until the value is dropped.
-    pub fn request(&self) -> Counted {
-        Counted::new(&self.unanswered)
+    /// Counts a request as unanswered until the guard is dropped.
+    pub fn track_request(&self) -> OpenGuard {
+        OpenGuard::new(&self.unanswered_requests)
     }
 
-    /// Requests read and not yet answered whole.
-    pub fn unanswered(&self) -> usize {
-        self.unanswered.load(Ordering::Relaxed)
+    /// Requests that were read and have no complete answer yet.
+    pub fn unanswered_requests(&self) -> usize {
+        self.unanswered_requests.load(Ordering::Relaxed)
     }
 
-    /// Counts a connection that may bring a request, until the value is dropped.
-    pub fn connection(&self) -> Counted {
-        Counted::new(&self.connections)
+    /// Counts a connection that may bring a request, until the guard is dropped.
+    pub fn track_connection(&self) -> OpenGuard {
+        OpenGuard::new(&self.open_connections)
     }
 
     /// Connections that may bring a request.
-    pub fn connections(&self) -> usize {
-        self.connections.load(Ordering::Relaxed)
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.load(Ordering::Relaxed)
     }
 }
 
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,18 +1,21 @@
-//! When connections part.
+//! When idle connections are closed.
 
 use super::*;
 
-/// Guards against connections that are closed although the drain was taken back, or never told.
+/// Guards against connections that close although the drain has ended, or that never close.
 #[tokio::test(start_paused = true)]
-async fn connections_part_after_a_drain_and_not_after_it_is_taken_back() {
+async fn idle_connections_close_during_a_drain_and_not_after_it_has_ended() {
     let lifecycle = LifecycleHandle::new(ListenSocket::Exclusive);
     for event in [Event::EngineListLoaded, Event::EnginesChecked, Event::Quiesce] {
         lifecycle.apply(event).unwrap();
     }
     let short = Duration::from_millis(400);
-    assert!(tokio::time::timeout(short, lifecycle.close_idle()).await.is_err(), "too soon");
+    assert!(tokio::time::timeout(short, lifecycle.wait_for_idle_close()).await.is_err(), "too soon");
     lifecycle.apply(Event::Resume).unwrap();
-    assert!(tokio::time::timeout(10 * PART_AFTER, lifecycle.close_idle()).await.is_err(), "taken back");
+    assert!(
+        tokio::time::timeout(10 * IDLE_CLOSE_DELAY, lifecycle.wait_for_idle_close()).await.is_err(),
+        "the drain has ended"
+    );
     lifecycle.apply(Event::Quiesce).unwrap();
-    assert!(tokio::time::timeout(2 * PART_AFTER, lifecycle.close_idle()).await.is_ok());
+    assert!(tokio::time::timeout(2 * IDLE_CLOSE_DELAY, lifecycle.wait_for_idle_close()).await.is_ok());
 }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -78,12 +78,12 @@
         let deadline = self.clock.instant(deadline);
         let completed = tokio::time::timeout_at(deadline.into(), self.all_answered(frontends)).await;
         let Ok(completed) = completed else {
-            log::warn!("{} requests have no whole answer at the end", self.lifecycle.unanswered());
+            log::warn!("{} requests have no whole answer at the end", self.lifecycle.unanswered_requests());
             return Ok(());
         };
         completed?;
         debug_assert_eq!(
-            (self.lifecycle.unanswered(), self.lifecycle.connections()),
+            (self.lifecycle.unanswered_requests(), self.lifecycle.open_connections()),
             (0, 0),
             "counts are at zero at the end"
         );
@@ -111,6 +111,8 @@
     /// Whether no request is open and no connection may still bring one.
     async fn is_idle(&self) -> Result<bool, ServiceEnded> {
         let open_requests = self.service.open_requests().await?;
-        Ok(open_requests == 0 && self.lifecycle.unanswered() == 0 && self.lifecycle.connections() == 0)
+        Ok(open_requests == 0
+            && self.lifecycle.unanswered_requests() == 0
+            && self.lifecycle.open_connections() == 0)
     }
 }
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -54,7 +54,7 @@
 /// Publishes the number of clients' connections that this process still has, until it ends.
 pub async fn publish_connections(file: SnapshotFile, clock: Clock, lifecycle: LifecycleHandle) {
     loop {
-        let count = (lifecycle.connections() as u64).to_le_bytes();
+        let count = (lifecycle.open_connections() as u64).to_le_bytes();
         if let Err(error) = file.write(&count, clock.unix_ms()) {
             log::warn!("handover: the next process is not told of open connections: {error}");
             return;
