--- a/src/operations_endpoint.rs
+++ b/src/operations_endpoint.rs
@@ -1,7 +1,7 @@
-//! The second address, for those who run the program: whether it is ready, and the two calls of a drain.
+//! The operations endpoint: health and drain, for those who run the program. It is not the administration API and has
+//! no way to it.
 //!
-//! It has a thread, a runtime and descriptors of its own, so that its answers wait for no client, engine or
-//! queue. It is not the administration API and has no way to it.
+//! It has a thread, a runtime and descriptors of its own, so that its responses wait for no client, engine or queue.
 
 use crate::clock::{Clock, Micros};
 use crate::frontend::http::message::{Request, Response};
@@ -19,68 +19,67 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Calls carry nothing that is read.
-const LONGEST_BODY: usize = 4096;
-/// A caller that reads none of its answer for so long has left.
-const WRITE_TIME: Duration = Duration::from_secs(2);
-/// The service is asked so often whether it turns.
-const BEAT_EVERY: Duration = Duration::from_millis(250);
-/// One that has not turned for so long is stuck. A manager short of processor time turns late, but it turns:
-/// the platform's shortest wait of a client is above 1 s.
-const STUCK_AFTER: Micros = Micros(3_000_000);
+/// The longest body that is accepted; nothing in a body is used.
+const MAX_BODY_BYTES: usize = 4096;
+/// Room for a request; a longer one makes the buffer grow.
+const READ_BUFFER_BYTES: usize = 1024;
+/// A caller that has not read its response by then has disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between two heartbeats of the service.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// A service without a heartbeat for this long is stuck. One that is short of processor time is late, but not by so
+/// much: the platform's shortest timeout of a client is above 1 s.
+const STUCK_TIMEOUT: Micros = Micros(3_000_000);
 
-/// When the task that serves last turned, in microseconds of the program's clock.
+/// The health state of a service without a heartbeat.
+const STUCK: &str = "stuck";
+
+/// When the service task last completed a turn, in microseconds of the program's clock. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Heartbeat(Arc<AtomicI64>);
 
 impl Heartbeat {
-    /// Asks the service again and again for as long as it is there.
-    pub async fn run(self, handle: ServiceHandle, clock: Clock) {
-        // The answer comes by the same queue and the same turns as a request's.
-        while handle.open_requests().await.is_ok() {
+    /// Records heartbeats for as long as the service runs: a query passes the same queue and turns as a request.
+    pub async fn run(self, service: ServiceHandle, clock: Clock) {
+        while service.open_requests().await.is_ok() {
             self.0.store(clock.now().0, Ordering::Relaxed);
-            tokio::time::sleep(BEAT_EVERY).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    fn beats(&self, now: Micros) -> bool {
-        now - Micros(self.0.load(Ordering::Relaxed)) < STUCK_AFTER
+    fn is_alive(&self, now: Micros) -> bool {
+        let last = Micros(self.0.load(Ordering::Relaxed));
+        now - last < STUCK_TIMEOUT
     }
 }
 
-/// What a call at the second address knows.
+/// What every connection of the operations endpoint uses.
 #[derive(Debug, Clone)]
 pub struct OperationsEndpoint {
-    /// The lifecycle that it tells of and moves.
+    /// The lifecycle that it reports and changes.
     pub lifecycle: LifecycleHandle,
-    /// Whether the service turns.
+    /// Whether the service task makes progress.
     pub heartbeat: Heartbeat,
     /// The clock of the heartbeat.
     pub clock: Clock,
 }
 
-/// Serves the second address on a thread of its own until the program ends. At most so many callers are heard
-/// at once: the oldest who has said nothing whole gives way to a new one.
-pub fn start(address: SocketAddr, ops: OperationsEndpoint, most: usize) -> std::io::Result<()> {
+/// Serves the operations endpoint on a thread of its own until the program ends. With `max_connections` open, the
+/// oldest one that has sent no complete request gives way to a new one.
+///
+/// # Errors
+/// Where the address can't be bound, or the thread or its runtime can't be started.
+pub fn start(
+    address: SocketAddr,
+    endpoint: OperationsEndpoint,
+    max_connections: usize,
+) -> std::io::Result<()> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let serve = async move {
-        match tokio::net::TcpListener::from_std(listener) {
-            Ok(listener) => {
-                frontend::accept(
-                    listener,
-                    most,
-                    "second address",
-                    std::future::pending(),
-                    |stream, permit| {
-                        let ops = ops.clone();
-                        async move { ops.connection(stream, &permit).await }
-                    },
-                )
-                .await;
-            }
-            Err(error) => log::error!("ops: {error}"),
+        if let Err(error) = endpoint.serve(listener, max_connections).await {
+            log::error!("ops: {error}");
         }
     };
     std::thread::Builder::new().name("ops".to_owned()).spawn(move || runtime.block_on(serve))?;
@@ -88,52 +87,69 @@
 }
 
 impl OperationsEndpoint {
-    /// One call, one answer: what else comes on the connection is dropped.
-    async fn connection(&self, mut stream: TcpStream, permit: &ConnectionPermit) -> std::io::Result<()> {
-        stream.set_nodelay(true)?;
-        let mut buffer = BytesMut::with_capacity(1024);
-        let Some(read) = read_request(&mut stream, &mut buffer, Some(first_by()), LONGEST_BODY).await? else {
-            return Ok(());
+    async fn serve(self, listener: TcpListener, max_connections: usize) -> std::io::Result<()> {
+        let listener = tokio::net::TcpListener::from_std(listener)?;
+        let serve_connection = |stream, permit| {
+            let endpoint = self.clone();
+            async move { endpoint.serve_connection(stream, &permit).await }
         };
+        let never = std::future::pending();
+        frontend::accept(listener, max_connections, "second address", never, serve_connection).await;
+        Ok(())
+    }
+
+    /// Answers one request; what else comes on the connection is dropped.
+    async fn serve_connection(
+        &self,
+        mut stream: TcpStream,
+        permit: &ConnectionPermit,
+    ) -> std::io::Result<()> {
+        stream.set_nodelay(true)?;
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
+        let read = read_request(&mut stream, &mut buffer, Some(first_by()), MAX_BODY_BYTES).await?;
+        let Some(request) = read else { return Ok(()) };
         permit.busy();
-        let response = match read {
-            Ok(request) => self.call(&request),
+        let response = match request {
+            Ok(request) => self.respond(&request),
             Err(error) => Response::json(error.status(), json!({ "error": error.to_string() }).to_string()),
         };
-        tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(true))).await??;
+        tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&response.bytes(true))).await??;
         permit.ending();
         frontend::linger(&mut stream, &mut buffer).await
     }
 
-    fn call(&self, request: &Request) -> Response {
-        let path = request.target.split_once('?').map_or(request.target.as_str(), |(path, _)| path);
+    fn respond(&self, request: &Request) -> Response {
+        let target = request.target.as_str();
+        let path = target.split_once('?').map_or(target, |(path, _query)| path);
         match (path, request.method.as_str()) {
             ("/admin/health", "GET") => self.health(),
-            ("/admin/quiesce", "POST") => self.tell(Event::Quiesce),
-            ("/admin/resume", "POST") => self.tell(Event::Resume),
-            ("/admin/health" | "/admin/quiesce" | "/admin/resume", _) => {
-                let allowed = if path == "/admin/health" { "GET" } else { "POST" };
-                let why = json!({ "error": format!("{path} is called by {allowed}") });
-                Response::json(405, why.to_string()).with("Allow", allowed.to_owned())
-            }
+            ("/admin/quiesce", "POST") => self.apply(Event::Quiesce),
+            ("/admin/resume", "POST") => self.apply(Event::Resume),
+            ("/admin/health", _) => method_not_allowed(path, "GET"),
+            ("/admin/quiesce" | "/admin/resume", _) => method_not_allowed(path, "POST"),
             _ => Response::json(404, json!({ "error": "no such path" }).to_string()),
         }
     }
 
     fn health(&self) -> Response {
-        let phase = self.lifecycle.phase();
-        let state = if self.heartbeat.beats(self.clock.now()) { phase.name() } else { "stuck" };
+        let is_alive = self.heartbeat.is_alive(self.clock.now());
+        let state = if is_alive { self.lifecycle.phase().name() } else { STUCK };
         let status = if state == Phase::Ready.name() { 200 } else { 503 };
         Response::json(status, json!({ "state": state }).to_string())
     }
 
-    fn tell(&self, event: Event) -> Response {
+    fn apply(&self, event: Event) -> Response {
         match self.lifecycle.apply(event) {
             Ok(phase) => Response::json(200, json!({ "state": phase.name() }).to_string()),
-            Err(why) => {
-                let told = json!({ "state": self.lifecycle.phase().name(), "error": why.to_string() });
-                Response::json(409, told.to_string())
+            Err(error) => {
+                let state = self.lifecycle.phase().name();
+                Response::json(409, json!({ "state": state, "error": error.to_string() }).to_string())
             }
         }
     }
 }
+
+fn method_not_allowed(path: &str, allowed: &str) -> Response {
+    let body = json!({ "error": format!("{path} is called by {allowed}") });
+    Response::json(405, body.to_string()).with("Allow", allowed.to_owned())
+}
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -82,12 +82,12 @@
         loop {
             tokio::select! {
                 _ = self.signals.terminate.recv() => {
-                    log::info!("SIGTERM: finishing what is open");
+                    log::info!("SIGTERM: graceful shutdown begins");
                     return;
                 }
                 // The service manager starts the process again.
                 () = self.restart.notified() => {
-                    log::info!("roll: finishing what is open, to be started again");
+                    log::info!("roll: graceful shutdown begins, to be started again");
                     return;
                 }
                 _ = self.signals.reload.recv() => match self.lifecycle.apply(Event::Reload) {
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -40,7 +40,7 @@
         let config = match Config::from(&self.source, &self.clock) {
             Ok(config) => config,
             Err(error) => {
-                log::error!("SIGHUP: the configuration stays as it was: {error}");
+                log::error!("SIGHUP: the configuration is not changed: {error}");
                 return;
             }
         };
@@ -52,7 +52,7 @@
             listed: config.listed,
         });
         self.renew_admin_certificate(config.admin);
-        log::info!("SIGHUP: the configuration is read again");
+        log::info!("SIGHUP: the configuration is reloaded");
     }
 
     /// Says of each changed key whether it takes effect now or at the next start.
@@ -61,7 +61,7 @@
             if RELOADABLE_KEYS.contains(&key.as_str()) {
                 log::info!("SIGHUP: {key} has changed");
             } else {
-                log::warn!("SIGHUP: {key} has changed, which counts from the next start only");
+                log::warn!("SIGHUP: {key} has changed, which takes effect at the next start only");
             }
         }
     }
@@ -73,7 +73,7 @@
         let tls = admin.and_then(|admin| admin.tls);
         if let Some(tls) = tls.filter(|_| encrypted) {
             self.admin_tls.send_replace(Some(tls));
-            log::info!("SIGHUP: the administration API's certificate is read again");
+            log::info!("SIGHUP: the administration API's certificate is reloaded");
         }
     }
 }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -68,7 +68,7 @@
         }
         tokio::time::sleep(FLUSH_TIME).await;
         self.lifecycle.apply(Event::LastResponseSent)?;
-        log::info!("all is answered");
+        log::info!("graceful shutdown is complete");
         Ok(())
     }
 
@@ -78,7 +78,8 @@
         let deadline = self.clock.instant(deadline);
         let completed = tokio::time::timeout_at(deadline.into(), self.all_answered(frontends)).await;
         let Ok(completed) = completed else {
-            log::warn!("{} requests have no whole answer at the end", self.lifecycle.unanswered_requests());
+            let unanswered_requests = self.lifecycle.unanswered_requests();
+            log::warn!(unanswered_requests; "graceful shutdown ends with requests that have no complete answer");
             return Ok(());
         };
         completed?;
@@ -96,7 +97,7 @@
         for frontend in frontends {
             // It ends by itself once no client connects any more, and has then accepted all that the system had queued.
             if let Err(error) = frontend.await {
-                log::error!("a frontend ended before its time: {error}");
+                log::error!("an accept loop has panicked: {error}");
             }
         }
         if self.socket == ListenSocket::Exclusive {
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -56,7 +56,7 @@
     loop {
         let count = (lifecycle.open_connections() as u64).to_le_bytes();
         if let Err(error) = file.write(&count, clock.unix_ms()) {
-            log::warn!("handover: the next process is not told of open connections: {error}");
+            log::warn!("handover: publishing the open connections failed: {error}");
             return;
         }
         tokio::time::sleep(CONNECTIONS_INTERVAL).await;
@@ -100,7 +100,7 @@
     clock: &Clock,
 ) -> Result<(), ServiceEnded> {
     if let Err(error) = file.remove_stale_parts() {
-        log::warn!("handover: what was left aside stays: {error}");
+        log::warn!("handover: removing stale temporary files failed: {error}");
     }
     let (state, age) = match read_snapshot(file, clock) {
         Ok(Some(found)) => found,
@@ -146,8 +146,8 @@
         let result = write_snapshot(file.clone(), state, clock).await;
         // Only a change is logged: a full disk would fill the log once a second.
         match &result {
-            Err(error) if last_write_succeeded => log::warn!("handover: no snapshot is left: {error}"),
-            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are left again"),
+            Err(error) if last_write_succeeded => log::warn!("handover: writing a snapshot failed: {error}"),
+            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are written again"),
             _ => {}
         }
         last_write_succeeded = result.is_ok();
@@ -169,7 +169,7 @@
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
         if clock.now() >= give_up_at {
-            log::warn!("most engines have said nothing yet: ready without their word");
+            log::warn!("handover: too few engines have answered a health check: ready without them");
             break;
         }
         tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
