--- a/src/admin/v1/json.rs
+++ b/src/admin/v1/json.rs
@@ -79,7 +79,9 @@
     let mut value = serde_json::to_value(tenant).unwrap_or_default();
     value["share"] = json!(share);
     value["usage"] = match usage {
-        Some(usage) => json!({ "open": usage.open, "attempts": usage.attempts, "refused": usage.refused }),
+        Some(usage) => json!({
+            "open": usage.open_requests, "attempts": usage.attempts_in_flight, "refused": usage.rejected,
+        }),
         None => Value::Null,
     };
     value
--- a/src/config/initial_list.rs
+++ b/src/config/initial_list.rs
@@ -31,6 +31,6 @@
             Status::Gone => EngineState::Removed,
         },
         weight: endpoint.weight,
-        started: (endpoint.since_ms != 0.0).then(|| clock.from_unix_ms(endpoint.since_ms as i64)),
+        started_at: (endpoint.since_ms != 0.0).then(|| clock.from_unix_ms(endpoint.since_ms as i64)),
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -224,7 +224,7 @@
         cell: text("cell").and_then(|value| value.parse().ok()),
         state: if service.priority == 0 { EngineState::Ready } else { EngineState::Draining },
         weight: f64::from(service.weight) / SRV_WEIGHT_UNIT,
-        started: (started_unix_ms != 0).then(|| clock.from_unix_ms(started_unix_ms)),
+        started_at: (started_unix_ms != 0).then(|| clock.from_unix_ms(started_unix_ms)),
     })
 }
 
--- a/src/upstream/line_protocol/connection/commands.rs
+++ b/src/upstream/line_protocol/connection/commands.rs
@@ -4,9 +4,10 @@
 use super::output::{QueuedRequest, Withdrawn};
 use super::{Connection, Stop};
 use crate::clock::Micros;
+use crate::core::AttemptId;
 use crate::core::{Call, ConnectionEnd};
+use crate::upstream::EndpointCommand;
 use crate::upstream::line_protocol::parse;
-use crate::upstream::{AttemptId, EndpointCommand};
 use tokio::sync::mpsc;
 
 impl Connection {
@@ -55,8 +56,8 @@
     }
 
     fn begin(&mut self, attempt: AttemptId, call: Call, now: Micros) {
-        let patience = parse::remaining_ms(call.patience.to_duration());
-        let key = call.key.map(|key| format!(",op={key}")).unwrap_or_default();
+        let patience = parse::remaining_ms(call.timeout.to_duration());
+        let key = call.idempotency_key.map(|key| format!(",op={key}")).unwrap_or_default();
         let Call { name, class, priority, statement, .. } = call;
         let length = statement.len();
         self.output.begin(
--- a/src/upstream/line_protocol/connection/in_flight.rs
+++ b/src/upstream/line_protocol/connection/in_flight.rs
@@ -1,10 +1,11 @@
 //! An attempt that the engine has, and the pages of its result so far.
 
 use crate::clock::Micros;
+use crate::core::AttemptId;
 use crate::core::Row;
 use crate::decision::{LoadReport, Usage};
+use crate::upstream::ResultBudget;
 use crate::upstream::line_protocol::parse::{self, ParseError, Response, ResponseKind};
-use crate::upstream::{AttemptId, ResultBudget};
 use bytes::Bytes;
 
 /// An attempt in flight. No row goes to the client before all pages are here, so that an engine that dies between
--- a/src/upstream/line_protocol/connection/mod.rs
+++ b/src/upstream/line_protocol/connection/mod.rs
@@ -15,9 +15,10 @@
 mod timeouts;
 
 use crate::clock::Micros;
+use crate::core::AttemptId;
 use crate::core::ConnectionEnd;
 use crate::service::ServiceEnded;
-use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, failed_connect, failed_io};
+use crate::upstream::{EndpointCommand, EndpointContext, failed_connect, failed_io};
 use bytes::BytesMut;
 use in_flight::InFlight;
 use output::Output;
--- a/src/upstream/line_protocol/connection/output.rs
+++ b/src/upstream/line_protocol/connection/output.rs
@@ -1,8 +1,8 @@
 //! What waits to be written to an engine.
 
 use crate::clock::Micros;
+use crate::core::AttemptId;
 use crate::core::Call;
-use crate::upstream::AttemptId;
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
 use std::io::Write;
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -11,7 +11,7 @@
 pub use pool::UpstreamPool;
 
 use crate::clock::{Clock, Micros};
-use crate::core::{AttemptEvent, Call, ConnectionEnd, Input};
+use crate::core::{AttemptEvent, AttemptId, Call, ConnectionEnd, HealthCheckResult, Input};
 use crate::decision::LoadReport;
 use crate::service::{ServiceEnded, ServiceHandle};
 use std::net::SocketAddr;
@@ -22,9 +22,6 @@
 /// The longest result that is collected, in bytes.
 const MAX_RESULT_BYTES: usize = 1 << 20;
 
-/// Names an attempt: its request's number and its own.
-pub type AttemptId = (u64, u32);
-
 /// A command for an engine's task.
 #[derive(Debug)]
 pub enum EndpointCommand {
@@ -135,7 +132,7 @@
     /// # Errors
     /// The service has ended.
     pub async fn news(&self, attempt: AttemptId, event: AttemptEvent) -> Result<(), ServiceEnded> {
-        self.handle.notify(Input::Attempt { request: attempt.0, attempt: attempt.1, news: event }).await
+        self.handle.notify(Input::Attempt { attempt, event }).await
     }
 
     /// Reports the end of an attempt without a result.
@@ -156,7 +153,8 @@
         report: Option<LoadReport>,
         elapsed: Micros,
     ) -> Result<(), ServiceEnded> {
-        self.handle.notify(Input::HealthChecked { engine: self.engine, end, report, elapsed }).await
+        let result = HealthCheckResult { engine: self.engine, end, report, elapsed };
+        self.handle.notify(Input::HealthChecked(result)).await
     }
 
     /// Reports a command that was never written to the engine.
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -2,7 +2,7 @@
 
 use super::{EndpointCommand, EndpointContext, UpstreamLimits, UpstreamProtocol, line_protocol, tds};
 use crate::clock::{Clock, Micros};
-use crate::core::{AttemptEvent, Command, ConnectionEnd, Input};
+use crate::core::{AttemptEvent, Command, ConnectionEnd, HealthCheckResult, Input};
 use crate::decision::EngineState;
 use crate::service::ServiceHandle;
 use std::collections::HashMap;
@@ -57,14 +57,14 @@
     /// The command for an engine's task; commands for the pool itself are carried out here.
     fn addressed(&mut self, command: Command) -> Option<Addressed> {
         let (engine, command) = match command {
-            Command::StartAttempt { request, attempt, engine, call } => {
-                (engine, EndpointCommand::Start { attempt: (request, attempt), call })
+            Command::StartAttempt { attempt, engine, call } => {
+                (engine, EndpointCommand::Start { attempt, call })
             }
-            Command::CancelAttempt { request, attempt, engine, confirm } => {
-                (engine, EndpointCommand::Cancel { attempt: (request, attempt), confirm })
+            Command::CancelAttempt { attempt, engine, confirm } => {
+                (engine, EndpointCommand::Cancel { attempt, confirm })
             }
-            Command::SetPriority { request, attempt, engine, priority } => {
-                (engine, EndpointCommand::SetPriority { attempt: (request, attempt), priority })
+            Command::SetPriority { attempt, engine, priority } => {
+                (engine, EndpointCommand::SetPriority { attempt, priority })
             }
             Command::HealthCheck { engine } => (engine, EndpointCommand::HealthCheck),
             Command::UpdateEngine { engine, name, address, state } => {
@@ -111,12 +111,13 @@
 fn never_written(engine: u64, command: EndpointCommand) -> Option<Input> {
     let end = ConnectionEnd::NeverWritten;
     match command {
-        EndpointCommand::Start { attempt: (request, attempt), .. } => {
+        EndpointCommand::Start { attempt, .. } => {
             log::warn!("an engine's queue is full: attempt not sent");
-            Some(Input::Attempt { request, attempt, news: AttemptEvent::Ended { end, report: None } })
+            Some(Input::Attempt { attempt, event: AttemptEvent::Ended { end, report: None } })
         }
         EndpointCommand::HealthCheck => {
-            Some(Input::HealthChecked { engine, end, report: None, elapsed: Micros(0) })
+            let elapsed = Micros(0);
+            Some(Input::HealthChecked(HealthCheckResult { engine, end, report: None, elapsed }))
         }
         EndpointCommand::Cancel { .. }
         | EndpointCommand::SetPriority { .. }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -2,13 +2,14 @@
 
 use super::session::Session;
 use super::{ConnectionNumber, Idle, Login, Task};
+use crate::core::AttemptId;
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
 use crate::decision::{AttemptNote, LoadReport, Usage};
 use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
 use crate::upstream::line_protocol::load_report;
-use crate::upstream::{AttemptId, EndpointCommand, EndpointContext, ResultBudget};
+use crate::upstream::{EndpointCommand, EndpointContext, ResultBudget};
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
@@ -240,13 +241,13 @@
 
 /// The statement with the request's fields in its first comment.
 fn statement(call: &Call) -> String {
-    let key = call.key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
+    let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
         "/*id='{}',class='{}',priority='{}',ttl_ms='{}'{key}*/ {}",
         call.name,
         call.class,
         call.priority,
-        (call.patience.0 / 1000).max(1),
+        (call.timeout.0 / 1000).max(1),
         call.statement
     )
 }
