--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -1,359 +1,468 @@
-//! A manager's side of the leases: when it asks for a duty, and for how long it may act on what it was granted.
+//! A manager's side of the leases: when it requests a lease, and for how long it may act on a grant.
 //!
-//! Why there are never two holders at one moment, with clocks that each run at most [`DRIFT`] off true time and are
-//! never set back (monotonic ones are not):
+//! Why no two managers hold one lease at the same moment, given clocks that each run at most [`CLOCK_DRIFT`] off true
+//! time and are never set back (monotonic clocks are not):
 //!
-//! - A holder counts its lease L from *before* it asked, on its own clock, and acts no more once that is over. In true
-//!   time that is at most L / (1 - d) after the asking.
-//! - Whoever takes a held duty has seen one version of its row unchanged for [`wait_us`] = L (1 + d) / (1 - d), by its
-//!   own clock; in true time at least L / (1 - d), counted from *after* it saw that version. It asks with that version.
-//! - A renewal that the voters took before the taking has changed the version, and the taking is refused; one that they
-//!   get after it is refused. So the last renewal that counts was asked for before its version could be seen, and its
-//!   lease is over by the time that the taking is asked for.
+//! - A holder counts its lease L from *before* it sent the request, on its own clock, and stops acting once L is over.
+//!   In true time that is at most L / (1 - d) after sending.
+//! - A manager that acquires a held lease has seen one version of its record unchanged for [`expiry_wait_us`] =
+//!   L (1 + d) / (1 - d) on its own clock; in true time at least L / (1 - d), counted from *after* it saw that version.
+//!   Its request names that version.
+//! - A renewal that the voters applied before the acquisition has changed the version, so the acquisition is rejected;
+//!   one that is applied after it is rejected. So the last renewal that counts was sent before its version could be
+//!   seen, and its lease is over by the time that the acquisition is requested.
 //!
-//! No clock of the voters and no message's time enters into it. Where time fails all the same (a holder that is
-//! stopped between its look at the clock and its act), the fencing number decides: each act carries it, and whoever
-//! receives acts refuses a number below the highest that it has seen.
+//! Neither the voters' clocks nor transmission times enter into this. If a holder is suspended between its check of the
+//! clock and its act, the fencing token decides: each act carries it, and the resource rejects a token below the highest
+//! that it has seen.
 
-use crate::lease::{Ask, Life, Table, Verdict};
+mod effect;
+
+pub use effect::{LeaseEffect, LeaseEndReason};
+
+use crate::lease::{Incarnation, LeaseOutcome, LeaseRecord, LeaseRequest, LeaseTable};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
 /// Microseconds of a manager's own monotonic clock.
 pub type Micros = u64;
 
-/// How far a clock's rate may be off: 1 %. (Crystals are within 0.02 %; a wall clock may jump, which is not read.)
-pub const DRIFT: f64 = 0.01;
-/// A holder renews when this part of its lease is over, so that two renewals may be lost.
-const RENEW_AFTER: f64 = 1.0 / 3.0;
-/// A question that has no answer by then is asked anew, in microseconds.
-const ANSWER_WITHIN: Micros = 500_000;
-/// Managers ask for what is free one after another, in the order of their rank, so far apart, in microseconds: some
-/// rounds of the voters, so that the first has it before the second asks.
-const RANK_STEP: Micros = 200_000;
-/// The last of a long row need not wait for all before it.
-const MOST_RANK: u64 = 20;
-/// How long the named successor of a duty has before all others, in microseconds.
-const SUCCESSOR_FIRST: Micros = 1_000_000;
-/// Questions out at once.
-const MOST_ASKED: usize = 256;
-
-/// For how long a version must stand still before its duty may be taken: see the module's proof.
-pub fn wait_us(lease_us: u64) -> Micros {
-    (lease_us as f64 * (1.0 + DRIFT) / (1.0 - DRIFT)).ceil() as Micros
+/// Assumed bound of a clock's rate error: 1 %. Crystals stay within 0.02 %; wall clocks, which may jump, are not read.
+pub const CLOCK_DRIFT: f64 = 0.01;
+/// A holder renews after this fraction of its lease, so that two renewals may be lost.
+const RENEW_AFTER_FRACTION: f64 = 1.0 / 3.0;
+/// A request without a response by then is sent again.
+const RESPONSE_TIMEOUT_US: Micros = 500_000;
+/// Requests other than an acquisition are forgotten after this many response timeouts.
+const FORGET_AFTER_TIMEOUTS: Micros = 4;
+/// A renewal is sent again after this fraction of the lease, where that is shorter than [`RESPONSE_TIMEOUT_US`].
+const RENEW_RETRIES_PER_LEASE: u64 = 6;
+/// Delay between the acquisition requests of managers of successive rank: some round trips of the voters, so that the
+/// first has the lease before the second requests it.
+const RANK_DELAY_US: Micros = 200_000;
+/// Ranks above this one wait no longer than it.
+const MAX_RANK: u64 = 20;
+/// How long the designated successor of a lease may acquire it before all others.
+const SUCCESSOR_HEAD_START_US: Micros = 1_000_000;
+/// Maximum number of requests without a response.
+const MAX_PENDING_REQUESTS: usize = 256;
+
+/// How long a version must stay unchanged before its lease counts as expired: see the module's proof.
+pub fn expiry_wait_us(lease_us: u64) -> Micros {
+    (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
 }
 
-/// A duty that this manager would hold.
+/// The moment at which a lease that was requested at `requested_at_us` is renewed.
+fn renewal_time_us(requested_at_us: Micros, lease_us: u64) -> Micros {
+    requested_at_us + (lease_us as f64 * RENEW_AFTER_FRACTION) as Micros
+}
+
+/// A lease that this manager wants to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wish {
-    /// For how long each lease is, in microseconds.
+pub struct DesiredLease {
+    /// Duration of each renewal, in microseconds.
     pub lease_us: u64,
-    /// Its place among the managers that would hold it: 0 asks first.
+    /// Position among the managers that want to hold it: rank 0 requests it first.
     pub rank: u64,
 }
 
-/// What a holder wants done.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Deed {
-    /// Ask the voters this, under this number.
-    Ask(u64, Ask),
-    /// The duty is this manager's under this fencing number, until then at least.
-    Began {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-        /// By this manager's clock, in microseconds.
-        until: Micros,
-    },
-    /// What was to be noted of a duty is noted, and whoever holds it next goes on from there.
-    Noted {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-    },
-    /// It is held for longer.
-    Extended {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-        /// By this manager's clock, in microseconds.
-        until: Micros,
-    },
-    /// Finish what was begun under this number, begin nothing more, and tell when that is done.
-    Finish {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-    },
-    /// The duty is not this manager's any more: nothing may be done under this number from now on.
-    Ended {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-        /// Why.
-        why: Why,
-    },
-}
-
-/// Why a duty ended.
+/// A lease that this manager holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
-    /// Its lease ran out: the voters were not reached in time.
-    Lapsed,
-    /// The voters say that it is another's.
-    Lost,
-    /// It was handed over.
-    HandedOver,
+pub struct HeldLease<'a> {
+    /// Name of the lease.
+    pub lease: &'a str,
+    /// Fencing token of the grant.
+    pub fencing_token: u64,
+    /// When it expires, by this manager's clock.
+    pub expires_at_us: Micros,
 }
 
 #[derive(Debug)]
-struct Held {
-    fence: u64,
+struct HeldState {
+    fencing_token: u64,
     lease_us: u64,
-    until: Micros,
-    renew_at: Micros,
-    finishing: bool,
+    expires_at_us: Micros,
+    renew_at_us: Micros,
+    /// It is being handed over: no further act may begin.
+    is_finishing: bool,
 }
 
 #[derive(Debug)]
-struct Asked {
-    ask: Ask,
-    /// When it was asked: the lease counts from here.
-    at: Micros,
+struct PendingRequest {
+    request: LeaseRequest,
+    /// When it was sent: the lease counts from here.
+    sent_at_us: Micros,
+}
+
+/// A version of a lease's record, and when this manager first saw it.
+#[derive(Debug, Clone, Copy)]
+struct ObservedVersion {
+    version: u64,
+    first_seen_us: Micros,
 }
 
 /// The leases of one manager.
 #[derive(Debug)]
-pub struct Holder {
-    me: Life,
+pub struct LeaseHolder {
+    own: Incarnation,
     rng: Rand64,
-    wishes: BTreeMap<String, Wish>,
-    /// Each duty's version, and when it was first seen here.
-    seen: BTreeMap<String, (u64, Micros)>,
-    table: Table,
-    held: BTreeMap<String, Held>,
-    asked: BTreeMap<u64, Asked>,
-    draining: bool,
-    /// What the proof rests on; tests take it away to see that it is missed.
-    careful: bool,
+    desired: BTreeMap<String, DesiredLease>,
+    observed: BTreeMap<String, ObservedVersion>,
+    table: LeaseTable,
+    held: BTreeMap<String, HeldState>,
+    /// Requests without a response, by nonce.
+    pending: BTreeMap<u64, PendingRequest>,
+    is_draining: bool,
+    /// Whether leases are counted as the proof demands. Simulations clear it to see that the mistake is found.
+    has_safety_margin: bool,
 }
 
-impl Holder {
-    /// A manager that holds nothing.
-    pub fn new(me: Life, seed: u64) -> Holder {
-        Holder {
-            me,
+impl LeaseHolder {
+    /// A manager that holds no lease.
+    pub fn new(own: Incarnation, seed: u64) -> LeaseHolder {
+        LeaseHolder {
+            own,
             rng: Rand64::new(u128::from(seed)),
-            wishes: BTreeMap::new(),
-            seen: BTreeMap::new(),
-            table: Table::default(),
+            desired: BTreeMap::new(),
+            observed: BTreeMap::new(),
+            table: LeaseTable::default(),
             held: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            draining: false,
-            careful: true,
+            pending: BTreeMap::new(),
+            is_draining: false,
+            has_safety_margin: true,
         }
     }
 
-    /// One that counts its leases from the answer and waits no longer than a lease: it is wrong, and a simulation
-    /// that does not find out is no proof of the right one.
+    /// A holder that is wrong on purpose: it counts its leases from the response, and waits no longer than the lease of
+    /// another. A simulation that does not detect it proves nothing about the correct one.
     #[doc(hidden)]
-    pub fn careless(me: Life, seed: u64) -> Holder {
-        Holder { careful: false, ..Holder::new(me, seed) }
+    pub fn without_safety_margin(own: Incarnation, seed: u64) -> LeaseHolder {
+        LeaseHolder { has_safety_margin: false, ..LeaseHolder::new(own, seed) }
     }
 
-    /// The duties that this manager would hold from now on. What it holds already it keeps, whatever its rank.
-    pub fn wish(&mut self, wishes: BTreeMap<String, Wish>) {
-        self.wishes = wishes;
+    /// Sets the leases that this manager wants to hold. Leases that it holds stay, whatever their rank.
+    pub fn set_desired(&mut self, desired: BTreeMap<String, DesiredLease>) {
+        self.desired = desired;
     }
 
-    /// The table as it was last seen here.
-    pub fn table(&self) -> &Table {
+    /// The latest table that this manager has seen.
+    pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// What is held now, with its fencing number and its end by this manager's clock.
-    pub fn held(&self, now: Micros) -> impl Iterator<Item = (&str, u64, Micros)> {
-        self.held
-            .iter()
-            .filter(move |(_, held)| now < held.until)
-            .map(|(duty, held)| (duty.as_str(), held.fence, held.until))
+    /// The leases that are held now.
+    pub fn held(&self, now: Micros) -> impl Iterator<Item = HeldLease<'_>> {
+        let unexpired = self.held.iter().filter(move |(_, held)| now < held.expires_at_us);
+        unexpired.map(|(lease, held)| HeldLease {
+            lease,
+            fencing_token: held.fencing_token,
+            expires_at_us: held.expires_at_us,
+        })
     }
 
-    /// Whether an act of a duty may begin now: look right before each, and give its number along.
-    pub fn may_act(&self, duty: &str, now: Micros) -> Option<u64> {
-        self.held.get(duty).filter(|held| now < held.until && !held.finishing).map(|held| held.fence)
+    /// The fencing token to act under, if an act of the lease may begin now. To be checked right before each act.
+    pub fn may_act(&self, lease: &str, now: Micros) -> Option<u64> {
+        let held = self.held.get(lease)?;
+        (now < held.expires_at_us && !held.is_finishing).then_some(held.fencing_token)
     }
 
-    /// A newer table; an older one is passed over.
-    pub fn see(&mut self, now: Micros, table: Table, out: &mut Vec<Deed>) {
+    /// Takes a table of the voters over, unless it is older than the known one.
+    pub fn update_table(&mut self, now: Micros, table: LeaseTable, out: &mut Vec<LeaseEffect>) {
         if table.index < self.table.index {
             return;
         }
-        for (duty, row) in &table.rows {
-            let first = (row.version, now);
-            let seen = self.seen.entry(duty.clone()).or_insert(first);
-            if seen.0 != row.version {
-                *seen = first;
+        self.observe_versions(now, &table);
+        self.table = table;
+        self.adopt_own_grants(now, out);
+        self.end_lost_leases(out);
+    }
+
+    fn observe_versions(&mut self, now: Micros, table: &LeaseTable) {
+        for (lease, record) in &table.leases {
+            let current = ObservedVersion { version: record.version, first_seen_us: now };
+            let observed = self.observed.entry(lease.clone()).or_insert(current);
+            if observed.version != record.version {
+                *observed = current;
             }
         }
-        self.seen.retain(|duty, _| table.rows.contains_key(duty));
-        self.table = table;
-        // An answer may be lost where what it grants was seen: the question's number tells that it is ours.
-        let mine = self.table.rows.values().filter_map(|row| row.grant.as_ref());
-        let mine: Vec<(u64, u64)> =
-            mine.filter(|grant| grant.holder == self.me).map(|grant| (grant.nonce, grant.fence)).collect();
-        for (nonce, fence) in mine {
-            self.answered(now, nonce, Verdict::Granted(fence), out);
+        self.observed.retain(|lease, _| table.leases.contains_key(lease));
+    }
+
+    /// The response to a request may be lost while its grant is in the table: the nonce identifies the request.
+    fn adopt_own_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
+        let grants = self.table.leases.values().filter_map(|record| record.grant.as_ref());
+        let own_grants: Vec<(u64, u64)> = grants
+            .filter(|grant| grant.holder == self.own)
+            .map(|grant| (grant.nonce, grant.fencing_token))
+            .collect();
+        for (nonce, fencing_token) in own_grants {
+            self.handle_outcome(now, nonce, LeaseOutcome::Granted { fencing_token }, out);
         }
+    }
+
+    fn end_lost_leases(&mut self, out: &mut Vec<LeaseEffect>) {
         let table = &self.table;
-        let holds = |duty: &String, held: &Held| {
-            let grant = table.rows.get(duty).and_then(|row| row.grant.as_ref());
+        let is_lost = |lease: &String, held: &HeldState| {
             // A grant that is newer than the table is not in it yet.
-            held.fence > table.index || grant.is_some_and(|grant| grant.fence == held.fence)
+            if held.fencing_token > table.index {
+                return false;
+            }
+            let grant = table.leases.get(lease).and_then(|record| record.grant.as_ref());
+            grant.is_none_or(|grant| grant.fencing_token != held.fencing_token)
         };
-        let lost = self.held.iter().filter(|(duty, held)| !holds(duty, held)).map(|(duty, _)| duty.clone());
-        for duty in lost.collect::<Vec<_>>() {
-            self.end(&duty, Why::Lost, out);
+        let lost: Vec<String> = self
+            .held
+            .iter()
+            .filter(|(lease, held)| is_lost(lease, held))
+            .map(|(lease, _)| lease.clone())
+            .collect();
+        for lease in lost {
+            self.end(&lease, LeaseEndReason::Lost, out);
         }
     }
 
-    /// What the voters say to a question.
-    pub fn answered(&mut self, now: Micros, nonce: u64, verdict: Verdict, out: &mut Vec<Deed>) {
-        let Some(asked) = self.asked.remove(&nonce) else { return };
-        let from = if self.careful { asked.at } else { now };
-        match (&asked.ask, verdict) {
-            (Ask::Take { duty, lease_us, .. }, Verdict::Granted(fence)) => {
-                let until = from + lease_us;
-                // Too late an answer: others may be waiting for its end already.
-                if now >= until || self.draining {
-                    let release = Ask::Release { duty: duty.clone(), fence, successor: None };
-                    return self.ask(now, release, out);
-                }
-                let renew_at = asked.at + (*lease_us as f64 * RENEW_AFTER) as Micros;
-                let held = Held { fence, lease_us: *lease_us, until, renew_at, finishing: false };
-                self.held.insert(duty.clone(), held);
-                out.push(Deed::Began { duty: duty.clone(), fence, until });
+    /// Handles the voters' response to a request.
+    pub fn handle_outcome(
+        &mut self,
+        now: Micros,
+        nonce: u64,
+        outcome: LeaseOutcome,
+        out: &mut Vec<LeaseEffect>,
+    ) {
+        let Some(pending) = self.pending.remove(&nonce) else { return };
+        match (pending.request, outcome) {
+            (LeaseRequest::Acquire { lease, lease_us, .. }, LeaseOutcome::Granted { fencing_token }) => {
+                self.handle_grant(now, pending.sent_at_us, lease, lease_us, fencing_token, out);
             }
-            (Ask::Renew { duty, fence }, Verdict::Renewed) => {
-                let Some(held) = self.held.get_mut(duty).filter(|held| held.fence == *fence) else { return };
-                // What has run out has ended, though this renewal came in time for the voters.
-                if now >= held.until {
-                    return self.end(&duty.clone(), Why::Lapsed, out);
-                }
-                if from + held.lease_us > held.until {
-                    held.until = from + held.lease_us;
-                    held.renew_at = asked.at + (held.lease_us as f64 * RENEW_AFTER) as Micros;
-                    out.push(Deed::Extended { duty: duty.clone(), fence: *fence, until: held.until });
-                }
+            (LeaseRequest::Renew { lease, fencing_token }, LeaseOutcome::Renewed) => {
+                self.handle_renewal(now, pending.sent_at_us, &lease, fencing_token, out);
             }
-            (Ask::Note { duty, fence, .. }, Verdict::Noted) => {
-                out.push(Deed::Noted { duty: duty.clone(), fence: *fence });
+            (LeaseRequest::Checkpoint { lease, fencing_token, .. }, LeaseOutcome::CheckpointSaved) => {
+                out.push(LeaseEffect::CheckpointSaved { lease, fencing_token });
             }
-            (Ask::Renew { duty, fence } | Ask::Note { duty, fence, .. }, Verdict::NotHolder)
-                if self.held.get(duty).is_some_and(|held| held.fence == *fence) =>
-            {
-                self.end(&duty.clone(), Why::Lost, out);
+            (
+                LeaseRequest::Renew { lease, fencing_token }
+                | LeaseRequest::Checkpoint { lease, fencing_token, .. },
+                LeaseOutcome::NotHolder,
+            ) if self.held.get(&lease).is_some_and(|held| held.fencing_token == fencing_token) => {
+                self.end(&lease, LeaseEndReason::Lost, out);
             }
             _ => {}
         }
     }
 
-    /// Time has passed: ends what has run out, renews, and asks for what may be taken.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Deed>) {
-        let over: Vec<String> =
-            self.held.iter().filter(|(_, held)| now >= held.until).map(|(duty, _)| duty.clone()).collect();
-        over.iter().for_each(|duty| self.end(duty, Why::Lapsed, out));
-        // What may still be answered is kept for as long as the answer could count.
-        self.asked.retain(|_, asked| match &asked.ask {
-            Ask::Take { lease_us, .. } => now < asked.at + lease_us,
-            _ => now < asked.at + 4 * ANSWER_WITHIN,
-        });
-        let due = self.held.iter_mut().filter(|(_, held)| now >= held.renew_at);
-        let mut asks = Vec::new();
-        for (duty, held) in due {
-            held.renew_at = now + ANSWER_WITHIN.min(held.lease_us / 6);
-            asks.push(Ask::Renew { duty: duty.clone(), fence: held.fence });
+    /// The moment from which a lease is counted.
+    fn counted_from(&self, now: Micros, sent_at_us: Micros) -> Micros {
+        if self.has_safety_margin { sent_at_us } else { now }
+    }
+
+    fn handle_grant(
+        &mut self,
+        now: Micros,
+        sent_at_us: Micros,
+        lease: String,
+        lease_us: u64,
+        fencing_token: u64,
+        out: &mut Vec<LeaseEffect>,
+    ) {
+        let expires_at_us = self.counted_from(now, sent_at_us) + lease_us;
+        // After a late response others may be waiting for the lease's expiry already.
+        if now >= expires_at_us || self.is_draining {
+            let release = LeaseRequest::Release { lease, fencing_token, successor: None };
+            return self.submit(now, release, out);
+        }
+        let held = HeldState {
+            fencing_token,
+            lease_us,
+            expires_at_us,
+            renew_at_us: renewal_time_us(sent_at_us, lease_us),
+            is_finishing: false,
+        };
+        self.held.insert(lease.clone(), held);
+        out.push(LeaseEffect::Acquired { lease, fencing_token, expires_at_us });
+    }
+
+    fn handle_renewal(
+        &mut self,
+        now: Micros,
+        sent_at_us: Micros,
+        lease: &str,
+        fencing_token: u64,
+        out: &mut Vec<LeaseEffect>,
+    ) {
+        let counted_from = self.counted_from(now, sent_at_us);
+        let Some(held) = self.held.get_mut(lease) else { return };
+        if held.fencing_token != fencing_token {
+            return;
+        }
+        // An expired lease has ended, even if the renewal reached the voters in time.
+        if now >= held.expires_at_us {
+            return self.end(lease, LeaseEndReason::Expired, out);
         }
-        if !self.draining {
-            asks.extend(self.wishes.iter().filter_map(|(duty, wish)| self.take(now, duty, wish)));
+        let expires_at_us = counted_from + held.lease_us;
+        if expires_at_us > held.expires_at_us {
+            held.expires_at_us = expires_at_us;
+            held.renew_at_us = renewal_time_us(sent_at_us, held.lease_us);
+            out.push(LeaseEffect::Extended { lease: lease.to_owned(), fencing_token, expires_at_us });
         }
-        asks.into_iter().for_each(|ask| self.ask(now, ask, out));
     }
 
-    /// The question for a duty that this manager would hold, where it may be taken by now.
-    fn take(&self, now: Micros, duty: &str, wish: &Wish) -> Option<Ask> {
-        let is_out = |asked: &&Asked| matches!(asked.ask, Ask::Take { .. }) && asked.ask.duty() == duty;
-        let out = self.asked.values().filter(is_out).map(|asked| asked.at).max();
-        if self.held.contains_key(duty) || out.is_some_and(|at| now < at + ANSWER_WITHIN) {
+    /// Time has passed: ends expired leases, renews, and requests desired leases that may be acquired.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
+        self.end_expired_leases(now, out);
+        self.forget_stale_requests(now);
+        let mut requests = self.due_renewals(now);
+        if !self.is_draining {
+            let acquisitions =
+                self.desired.iter().filter_map(|(lease, desired)| self.acquire_request(now, lease, desired));
+            requests.extend(acquisitions);
+        }
+        for request in requests {
+            self.submit(now, request, out);
+        }
+    }
+
+    fn end_expired_leases(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
+        let expired: Vec<String> = self
+            .held
+            .iter()
+            .filter(|(_, held)| now >= held.expires_at_us)
+            .map(|(lease, _)| lease.clone())
+            .collect();
+        for lease in expired {
+            self.end(&lease, LeaseEndReason::Expired, out);
+        }
+    }
+
+    /// Forgets requests whose response would no longer count.
+    fn forget_stale_requests(&mut self, now: Micros) {
+        self.pending.retain(|_, pending| {
+            let relevant_us = match &pending.request {
+                LeaseRequest::Acquire { lease_us, .. } => *lease_us,
+                _ => FORGET_AFTER_TIMEOUTS * RESPONSE_TIMEOUT_US,
+            };
+            now < pending.sent_at_us + relevant_us
+        });
+    }
+
+    fn due_renewals(&mut self, now: Micros) -> Vec<LeaseRequest> {
+        let mut requests = Vec::new();
+        for (lease, held) in &mut self.held {
+            if now >= held.renew_at_us {
+                held.renew_at_us = now + RESPONSE_TIMEOUT_US.min(held.lease_us / RENEW_RETRIES_PER_LEASE);
+                let fencing_token = held.fencing_token;
+                requests.push(LeaseRequest::Renew { lease: lease.clone(), fencing_token });
+            }
+        }
+        requests
+    }
+
+    /// The request for a desired lease, if it may be acquired by now.
+    fn acquire_request(&self, now: Micros, lease: &str, desired: &DesiredLease) -> Option<LeaseRequest> {
+        if self.held.contains_key(lease) || self.has_recent_acquire(now, lease) {
             return None;
         }
-        let behind = wish.rank.min(MOST_RANK) * RANK_STEP;
-        let (version, from) = match (self.table.rows.get(duty), self.seen.get(duty)) {
-            (Some(row), Some((version, since))) => {
-                let wait = match &row.grant {
-                    Some(grant) if self.careful => wait_us(grant.lease_us) + behind,
-                    Some(grant) => grant.lease_us + behind,
-                    None if row.successor.as_ref() == Some(&self.me.name) => 0,
-                    None if row.successor.is_some() => SUCCESSOR_FIRST + behind,
-                    None => behind,
-                };
-                (*version, since + wait)
+        let rank_delay_us = desired.rank.min(MAX_RANK) * RANK_DELAY_US;
+        let (version, acquire_at_us) = match (self.table.leases.get(lease), self.observed.get(lease)) {
+            (Some(record), Some(observed)) => {
+                let wait_us = self.wait_before_acquire_us(record, rank_delay_us);
+                (observed.version, observed.first_seen_us + wait_us)
             }
-            // One that nobody ever held: in the order of the ranks too, as far as managers start together.
-            _ => (0, behind),
+            // A lease that was never held: in the order of ranks too, as far as managers start together.
+            _ => (0, rank_delay_us),
         };
-        (now >= from).then(|| Ask::Take { duty: duty.to_owned(), version, lease_us: wish.lease_us })
+        let request =
+            || LeaseRequest::Acquire { lease: lease.to_owned(), version, lease_us: desired.lease_us };
+        (now >= acquire_at_us).then(request)
     }
 
-    /// What was begun under a duty that is to be handed over is done.
-    pub fn finished(&mut self, now: Micros, duty: &str, successor: Option<String>, out: &mut Vec<Deed>) {
-        if let Some(fence) = self.held.get(duty).map(|held| held.fence) {
-            self.end(duty, Why::HandedOver, out);
-            self.ask(now, Ask::Release { duty: duty.to_owned(), fence, successor }, out);
+    fn has_recent_acquire(&self, now: Micros, lease: &str) -> bool {
+        self.pending.values().any(|pending| {
+            matches!(pending.request, LeaseRequest::Acquire { .. })
+                && pending.request.lease() == lease
+                && now < pending.sent_at_us + RESPONSE_TIMEOUT_US
+        })
+    }
+
+    /// How long a record's version must be unchanged before this manager requests the lease.
+    fn wait_before_acquire_us(&self, record: &LeaseRecord, rank_delay_us: Micros) -> Micros {
+        match (&record.grant, &record.successor) {
+            (Some(grant), _) if self.has_safety_margin => expiry_wait_us(grant.lease_us) + rank_delay_us,
+            (Some(grant), _) => grant.lease_us + rank_delay_us,
+            (None, Some(successor)) if *successor == self.own.name => 0,
+            (None, Some(_)) => SUCCESSOR_HEAD_START_US + rank_delay_us,
+            (None, None) => rank_delay_us,
+        }
+    }
+
+    /// The work of a lease that is being handed over is finished: releases it.
+    pub fn work_finished(
+        &mut self,
+        now: Micros,
+        lease: &str,
+        successor: Option<String>,
+        out: &mut Vec<LeaseEffect>,
+    ) {
+        if let Some(fencing_token) = self.held.get(lease).map(|held| held.fencing_token) {
+            self.end(lease, LeaseEndReason::HandedOver, out);
+            self.submit(
+                now,
+                LeaseRequest::Release { lease: lease.to_owned(), fencing_token, successor },
+                out,
+            );
         }
     }
 
-    /// Notes how far a duty's work has come; [`Deed::Noted`] tells when it is. It is asked for again by whoever needs it.
-    pub fn note(&mut self, now: Micros, duty: &str, on: u64, note: String, out: &mut Vec<Deed>) {
-        if let Some(fence) = self.held.get(duty).map(|held| held.fence) {
-            self.ask(now, Ask::Note { duty: duty.to_owned(), fence, on, note }, out);
+    /// Requests that a checkpoint be saved. [`LeaseEffect::CheckpointSaved`] follows once it is; the caller retries.
+    pub fn save_checkpoint(
+        &mut self,
+        now: Micros,
+        lease: &str,
+        based_on: u64,
+        checkpoint: String,
+        out: &mut Vec<LeaseEffect>,
+    ) {
+        if let Some(fencing_token) = self.held.get(lease).map(|held| held.fencing_token) {
+            let lease = lease.to_owned();
+            self.submit(now, LeaseRequest::Checkpoint { lease, fencing_token, based_on, checkpoint }, out);
         }
     }
 
-    /// Hands one duty over: its act is finished first.
-    pub fn hand_over(&mut self, duty: &str, out: &mut Vec<Deed>) {
-        if let Some(held) = self.held.get_mut(duty).filter(|held| !held.finishing) {
-            held.finishing = true;
-            out.push(Deed::Finish { duty: duty.to_owned(), fence: held.fence });
+    /// Begins to hand a lease over: its work is finished first.
+    pub fn hand_over(&mut self, lease: &str, out: &mut Vec<LeaseEffect>) {
+        if let Some(held) = self.held.get_mut(lease)
+            && !held.is_finishing
+        {
+            held.is_finishing = true;
+            let fencing_token = held.fencing_token;
+            out.push(LeaseEffect::FinishWork { lease: lease.to_owned(), fencing_token });
         }
     }
 
-    /// Hands all over, and takes nothing more; or takes again.
-    pub fn drain(&mut self, draining: bool, out: &mut Vec<Deed>) {
-        self.draining = draining;
-        if draining {
-            let all: Vec<String> = self.held.keys().cloned().collect();
-            all.iter().for_each(|duty| self.hand_over(duty, out));
+    /// Hands all leases over and requests none (`true`), or requests leases again (`false`).
+    pub fn set_draining(&mut self, is_draining: bool, out: &mut Vec<LeaseEffect>) {
+        self.is_draining = is_draining;
+        if is_draining {
+            let held: Vec<String> = self.held.keys().cloned().collect();
+            for lease in held {
+                self.hand_over(&lease, out);
+            }
         }
     }
 
-    fn end(&mut self, duty: &str, why: Why, out: &mut Vec<Deed>) {
-        if let Some(held) = self.held.remove(duty) {
-            out.push(Deed::Ended { duty: duty.to_owned(), fence: held.fence, why });
+    fn end(&mut self, lease: &str, reason: LeaseEndReason, out: &mut Vec<LeaseEffect>) {
+        if let Some(held) = self.held.remove(lease) {
+            let fencing_token = held.fencing_token;
+            out.push(LeaseEffect::Ended { lease: lease.to_owned(), fencing_token, reason });
         }
     }
 
-    fn ask(&mut self, now: Micros, ask: Ask, out: &mut Vec<Deed>) {
-        if self.asked.len() >= MOST_ASKED {
+    fn submit(&mut self, now: Micros, request: LeaseRequest, out: &mut Vec<LeaseEffect>) {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             return;
         }
         let nonce = self.rng.rand_u64();
-        self.asked.insert(nonce, Asked { ask: ask.clone(), at: now });
-        out.push(Deed::Ask(nonce, ask));
+        self.pending.insert(nonce, PendingRequest { request: request.clone(), sent_at_us: now });
+        out.push(LeaseEffect::Submit { nonce, request });
     }
 }
--- /dev/null
+++ b/crates/cluster/src/node/inbound.rs
@@ -0,0 +1,103 @@
+//! Messages of other managers: checks of their sender, and what follows from each.
+
+use super::message::{self, Envelope, MessageRejection, PeerMessage};
+use super::{Node, Output, VoterState};
+use crate::lease::Incarnation;
+use crate::lease_holder::Micros;
+use crate::rolling_restart::{self, ReportedStatus, RestartStep};
+
+impl Node {
+    /// Handles a received message.
+    pub(super) fn handle_message(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) -> Result<(), MessageRejection> {
+        let Envelope { cluster, from, message, .. } = message::decode(bytes)?;
+        if cluster != self.config.cluster {
+            return Err(MessageRejection::OtherCluster);
+        }
+        let is_member = self.check_sender(&from)?;
+        match message {
+            PeerMessage::Gossip(packet) => self
+                .membership
+                .handle_gossip(now, &packet, &mut self.membership_events)
+                .map_err(|_| MessageRejection::InvalidGossip)?,
+            PeerMessage::Raft(bytes) => match &mut self.voter_state {
+                VoterState::Active(voter) => {
+                    voter.step(&bytes).map_err(|_| MessageRejection::NotAVoter)?;
+                }
+                _ => return Err(MessageRejection::NotAVoter),
+            },
+            PeerMessage::Discovery { id, voters } => self.handle_discovery(&from, id, voters, out)?,
+            PeerMessage::LeaseRequest(routed) => self.route_request(routed, out),
+            PeerMessage::LeaseResponse { nonce, outcome } => {
+                self.holder.handle_outcome(now, nonce, outcome, &mut self.lease_effects);
+            }
+            PeerMessage::TablePoll { index } => self.send_newer_table(&from, index, out),
+            PeerMessage::RestartStep { fencing_token, step } => {
+                self.handle_restart_step(&from, fencing_token, step, out)?;
+            }
+            // Of members only: the names of others are not bounded.
+            PeerMessage::MemberStatus(_) if !is_member => return Err(MessageRejection::StaleIncarnation),
+            PeerMessage::MemberStatus(status) => {
+                out.push(Output::MemberStatus(ReportedStatus { incarnation: from, status }));
+            }
+            PeerMessage::LeaseTable(table) => {
+                if self.voter_state.active().is_none() {
+                    self.holder.update_table(now, table, &mut self.lease_effects);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Rejects messages of incarnations that have ended. Gives whether the sender is a member.
+    fn check_sender(&mut self, from: &Incarnation) -> Result<bool, MessageRejection> {
+        let member = self.membership.by_name(&from.name);
+        let member_number = member.map_or(0, |member| member.incarnation.number);
+        let latest = self.latest_incarnations.get(&from.name).copied().unwrap_or(0).max(member_number);
+        let own = self.own_incarnation();
+        let is_other_own = from.name == own.name && from != own;
+        if from.number < latest || is_other_own {
+            return Err(MessageRejection::StaleIncarnation);
+        }
+        // Only the names of members are remembered: those of others are not bounded.
+        let is_member = member_number > 0;
+        if is_member {
+            self.latest_incarnations.insert(from.name.clone(), from.number);
+        }
+        Ok(is_member)
+    }
+
+    fn send_newer_table(&self, from: &Incarnation, index: u64, out: &mut Vec<Output>) {
+        let table = self.table();
+        if table.index <= index {
+            return;
+        }
+        if let Some(to) = self.membership.address_of(&from.name) {
+            self.send(to, PeerMessage::LeaseTable(table.clone()), out);
+        }
+    }
+
+    /// The table outlives this manager: one that has just started does not know the controller's fencing token yet, and
+    /// rejects each step until it has seen the table.
+    fn handle_restart_step(
+        &self,
+        from: &Incarnation,
+        fencing_token: u64,
+        step: RestartStep,
+        out: &mut Vec<Output>,
+    ) -> Result<(), MessageRejection> {
+        let record = self.table().leases.get(rolling_restart::LEASE_NAME);
+        let grant = record.and_then(|record| record.grant.as_ref());
+        if !grant.is_some_and(|grant| grant.fencing_token == fencing_token && grant.holder == *from) {
+            return Err(MessageRejection::StaleFencingToken);
+        }
+        if let Some(reply_to) = self.membership.address_of(&from.name) {
+            out.push(Output::RestartStep { reply_to, step });
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/simulation/manager.rs
@@ -0,0 +1,125 @@
+//! A simulated manager: its node, disk and clock.
+
+use super::LEASES;
+use super::world::Event;
+use crate::lease_holder::Micros;
+use crate::node::{Input, Node, Output, VoterDisk, VoterIdentity};
+use crate::voter::{Disk, PersistBatch, PersistedState};
+
+/// A voter's disk in memory.
+#[derive(Debug, Clone)]
+pub(super) struct MemoryDisk {
+    identity: VoterIdentity,
+    state: Option<PersistedState>,
+    /// The state before the last write, which a disk without durability returns to.
+    previous_state: Option<PersistedState>,
+    /// Writes fail until the manager restarts.
+    is_full: bool,
+}
+
+impl MemoryDisk {
+    pub(super) fn new(id: u64) -> MemoryDisk {
+        MemoryDisk {
+            identity: VoterIdentity { id, founded: false },
+            state: None,
+            previous_state: None,
+            is_full: false,
+        }
+    }
+
+    pub(super) fn is_initialized(&self) -> bool {
+        self.state.is_some()
+    }
+
+    pub(super) fn set_full(&mut self, is_full: bool) {
+        self.is_full = is_full;
+    }
+
+    /// Loses the last write.
+    pub(super) fn revert_last_write(&mut self) {
+        if self.previous_state.is_some() {
+            self.state = self.previous_state.take();
+        }
+    }
+}
+
+impl Disk for MemoryDisk {
+    fn persist(&mut self, batch: &PersistBatch) -> Result<(), String> {
+        if self.is_full {
+            return Err("no space is left".to_owned());
+        }
+        self.previous_state.clone_from(&self.state);
+        let state = self.state.as_mut().ok_or("nothing is founded")?;
+        state.apply(batch).map_err(|error| error.to_string())
+    }
+}
+
+impl VoterDisk for MemoryDisk {
+    fn identity(&self) -> VoterIdentity {
+        self.identity.clone()
+    }
+
+    fn initialize(&mut self, state: &PersistedState) -> Result<(), String> {
+        self.state = Some(state.clone());
+        self.identity.founded = true;
+        Ok(())
+    }
+
+    fn load(&self) -> Result<PersistedState, String> {
+        self.state.clone().ok_or("nothing is founded".to_owned())
+    }
+}
+
+/// The monotonic clock of a manager: local time = true time * rate + offset.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct LocalClock {
+    pub(super) rate: f64,
+    pub(super) offset_us: u64,
+}
+
+impl LocalClock {
+    pub(super) fn local_time(self, true_time: Micros) -> Micros {
+        (true_time as f64 * self.rate) as Micros + self.offset_us
+    }
+
+    /// The first moment of true time at which the clock shows this.
+    pub(super) fn true_time(self, local_time: Micros) -> Micros {
+        (local_time.saturating_sub(self.offset_us) as f64 / self.rate) as Micros
+    }
+}
+
+/// A manager; without a node while it is down.
+pub(super) struct Manager {
+    pub(super) node: Option<Node>,
+    pub(super) disk: Option<MemoryDisk>,
+    pub(super) clock: LocalClock,
+    /// Number of its last incarnation.
+    pub(super) incarnation: u64,
+    pub(super) suspended_until: Micros,
+    /// Events that arrived while it was suspended.
+    pub(super) deferred_events: Vec<Event>,
+}
+
+impl Manager {
+    pub(super) fn new(disk: Option<MemoryDisk>, clock: LocalClock) -> Manager {
+        Manager { node: None, disk, clock, incarnation: 0, suspended_until: 0, deferred_events: Vec::new() }
+    }
+
+    /// Passes an input to the node, if the manager is up.
+    pub(super) fn handle(&mut self, now: Micros, input: Input<'_>) -> Vec<Output> {
+        let mut outputs = Vec::new();
+        if let Some(node) = &mut self.node {
+            let disk = self.disk.as_mut().map(|disk| disk as &mut dyn VoterDisk);
+            node.handle(self.clock.local_time(now), input, disk, &mut outputs);
+        }
+        outputs
+    }
+
+    /// The leases, by position, of which an act may begin now, with their fencing tokens.
+    pub(super) fn permitted_acts(&self, now: Micros) -> Vec<(usize, u64)> {
+        let Some(node) = &self.node else { return Vec::new() };
+        let local_time = self.clock.local_time(now);
+        let permitted = |lease: usize| Some((lease, node.holder().may_act(LEASES[lease], local_time)?));
+        (0..LEASES.len()).filter_map(permitted).collect()
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/simulation/world.rs
@@ -0,0 +1,243 @@
+//! The simulated fleet: events in order of virtual time.
+
+use super::checks::HolderTracker;
+use super::manager::{LocalClock, Manager, MemoryDisk};
+use super::network::Network;
+use super::{DisabledSafeguard, LEASE_US, LEASES, SimulationPlan, SimulationSummary, Violation};
+use crate::lease::{Incarnation, LeaseTable};
+use crate::lease_holder::{CLOCK_DRIFT, Micros};
+use crate::membership::Member;
+use crate::node::{Input, Node, NodeConfig, VoterDisk};
+use crate::voter::TICK_US;
+use oorandom::Rand64;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use std::net::SocketAddr;
+
+/// Managers start within this time.
+const START_WITHIN_US: Micros = 500_000;
+/// Clocks start at a value below this one: some 13 days.
+const MAX_CLOCK_OFFSET_US: u64 = 1 << 40;
+/// The probability of losing a message at the start is below this one.
+const MAX_INITIAL_LOSS: f64 = 0.05;
+/// Port of the first manager.
+const FIRST_PORT: u16 = 20_000;
+/// Number of zones.
+const ZONES: usize = 3;
+/// Probability that a manager is suspended between its check of the clock and its act.
+const SLOW_ACT_PROBABILITY: f64 = 0.01;
+/// Maximum duration of an act, in microseconds.
+const MAX_ACT_US: Micros = 20_000;
+
+/// An event. Managers and leases are given by their position.
+#[derive(Debug, Clone)]
+pub(super) enum Event {
+    Tick { manager: usize },
+    Message { from: usize, to: usize, bytes: Vec<u8> },
+    Act { lease: usize, fencing_token: u64 },
+    Fault,
+    Resume { manager: usize },
+    Restart { manager: usize },
+    RepairLink { from: usize, to: usize },
+}
+
+/// Events by their time, and in the order of scheduling where times are equal.
+#[derive(Default)]
+struct EventQueue {
+    order: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: HashMap<u64, Event>,
+    last_id: u64,
+}
+
+impl EventQueue {
+    fn push(&mut self, at: Micros, event: Event) {
+        self.last_id += 1;
+        self.order.push(Reverse((at, self.last_id)));
+        self.events.insert(self.last_id, event);
+    }
+
+    fn pop(&mut self) -> Option<(Micros, Event)> {
+        let Reverse((at, id)) = self.order.pop()?;
+        Some((at, self.events.remove(&id)?))
+    }
+}
+
+/// The simulated fleet.
+pub(super) struct World {
+    pub(super) plan: SimulationPlan,
+    pub(super) rng: Rand64,
+    /// True time.
+    pub(super) now: Micros,
+    queue: EventQueue,
+    pub(super) managers: Vec<Manager>,
+    pub(super) network: Network,
+    pub(super) holders: HolderTracker,
+    /// The highest fencing token that the resource of each lease has accepted.
+    pub(super) highest_tokens: Vec<u64>,
+    /// Recent tables of leaders, by log index.
+    pub(super) tables: BTreeMap<u64, LeaseTable>,
+    pub(super) summary: SimulationSummary,
+}
+
+fn address(manager: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + manager as u16))
+}
+
+/// The manager at an address.
+pub(super) fn manager_at(address: SocketAddr) -> usize {
+    usize::from(address.port() - FIRST_PORT)
+}
+
+impl World {
+    pub(super) fn new(plan: SimulationPlan) -> World {
+        let mut rng = Rand64::new(u128::from(plan.seed));
+        let network = Network::new(rng.rand_float() * MAX_INITIAL_LOSS);
+        let mut world = World {
+            plan,
+            rng,
+            now: 0,
+            queue: EventQueue::default(),
+            managers: Vec::new(),
+            network,
+            holders: HolderTracker::new(),
+            highest_tokens: vec![0; LEASES.len()],
+            tables: BTreeMap::new(),
+            summary: SimulationSummary::default(),
+        };
+        for number in 0..plan.managers {
+            world.add_manager(number);
+        }
+        world.schedule_first_fault();
+        world
+    }
+
+    fn add_manager(&mut self, number: usize) {
+        // Drawn for each manager, so that the number of voters does not change what is drawn after it.
+        let voter_id = self.rng.rand_u64() | 1;
+        let disk = (number < self.plan.voters).then(|| MemoryDisk::new(voter_id));
+        let rate = 1.0 + CLOCK_DRIFT * (2.0 * self.rng.rand_float() - 1.0);
+        let offset_us = self.rng.rand_range(0..MAX_CLOCK_OFFSET_US);
+        self.managers.push(Manager::new(disk, LocalClock { rate, offset_us }));
+        let start_at = self.rng.rand_range(0..START_WITHIN_US);
+        self.schedule_at(start_at, Event::Restart { manager: number });
+    }
+
+    /// Advances the time to the next event.
+    pub(super) fn next_event(&mut self) -> Option<Event> {
+        let (at, event) = self.queue.pop()?;
+        self.now = at;
+        Some(event)
+    }
+
+    pub(super) fn schedule_at(&mut self, at: Micros, event: Event) {
+        self.queue.push(at.max(self.now), event);
+    }
+
+    /// Schedules an event after a random time in `min..max`.
+    pub(super) fn schedule_after(&mut self, min: Micros, max: Micros, event: Event) {
+        let after = self.rng.rand_range(min..max.max(min + 1));
+        self.schedule_at(self.now + after, event);
+    }
+
+    /// Handles an event.
+    pub(super) fn handle(&mut self, event: Event) -> Result<(), Violation> {
+        match event {
+            Event::Tick { manager } | Event::Message { to: manager, .. }
+                if self.now < self.managers[manager].suspended_until =>
+            {
+                self.managers[manager].deferred_events.push(event);
+            }
+            Event::Tick { manager } => self.tick(manager)?,
+            Event::Message { from, to, bytes } => {
+                if !self.network.is_cut(from, to) {
+                    self.input(to, Input::Message(&bytes))?;
+                }
+            }
+            Event::Act { lease, fencing_token } => self.accept_act(lease, fencing_token)?,
+            Event::Resume { manager } => self.resume(manager)?,
+            Event::Restart { manager } => {
+                if self.managers[manager].node.is_some() {
+                    self.crash(manager);
+                }
+                self.restart(manager);
+            }
+            Event::RepairLink { from, to } => self.network.repair(from, to),
+            Event::Fault => self.inject_fault(),
+        }
+        Ok(())
+    }
+
+    fn tick(&mut self, manager: usize) -> Result<(), Violation> {
+        if self.managers[manager].node.is_none() {
+            return Ok(());
+        }
+        self.input(manager, Input::Tick)?;
+        self.begin_acts(manager);
+        self.schedule_after(TICK_US * 9 / 10, TICK_US, Event::Tick { manager });
+        Ok(())
+    }
+
+    /// A holder checks whether it may act, and acts: the act arrives later, after whatever happens in between.
+    fn begin_acts(&mut self, manager: usize) {
+        for (lease, fencing_token) in self.managers[manager].permitted_acts(self.now) {
+            let is_slow = self.rng.rand_float() < SLOW_ACT_PROBABILITY;
+            let max_us = if is_slow { 4 * LEASE_US } else { MAX_ACT_US };
+            self.schedule_after(0, max_us, Event::Act { lease, fencing_token });
+        }
+    }
+
+    fn resume(&mut self, manager: usize) -> Result<(), Violation> {
+        if self.now >= self.managers[manager].suspended_until {
+            for event in std::mem::take(&mut self.managers[manager].deferred_events) {
+                self.handle(event)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn restart(&mut self, number: usize) {
+        let seed = self.rng.rand_u64();
+        let manager = &mut self.managers[number];
+        manager.incarnation += 1;
+        if let Some(disk) = &mut manager.disk {
+            disk.set_full(false);
+        }
+        let own = Member {
+            incarnation: Incarnation { name: format!("m{number}"), number: manager.incarnation },
+            address: address(number),
+            zone: format!("z{}", number % ZONES),
+            rejoin_count: 0,
+        };
+        let config = NodeConfig {
+            cluster: "simulated".to_owned(),
+            own,
+            seeds: (0..self.plan.voters).map(address).collect(),
+            voters: (0..self.plan.voters).map(|voter| format!("m{voter}")).collect(),
+            leases: LEASES.iter().map(|lease| ((*lease).to_owned(), LEASE_US)).collect(),
+            seed,
+        };
+        let disk = manager.disk.as_ref().map(|disk| disk as &dyn VoterDisk);
+        let node = Node::start(config, manager.clock.local_time(self.now), disk);
+        manager.node = Some(match self.plan.disabled {
+            DisabledSafeguard::Margin => node.without_safety_margin(),
+            _ => node,
+        });
+        manager.suspended_until = 0;
+        manager.deferred_events.clear();
+        self.schedule_after(0, TICK_US, Event::Tick { manager: number });
+    }
+
+    pub(super) fn crash(&mut self, number: usize) {
+        let manager = &mut self.managers[number];
+        manager.node = None;
+        manager.deferred_events.clear();
+        if self.plan.disabled == DisabledSafeguard::Disk
+            && let Some(disk) = &mut manager.disk
+        {
+            disk.revert_last_write();
+        }
+        // A manager that is down can't continue what it began.
+        self.holders.remove_manager(number);
+        self.update_holder_gaps();
+    }
+}
--- a/crates/cluster/src/voter/tests.rs
+++ b/crates/cluster/src/voter/tests.rs
@@ -1,48 +1,48 @@
 use super::*;
 use std::collections::BTreeMap;
 
-/// A disk that is memory alone.
-struct Memory(Kept);
+/// A disk in memory.
+struct MemoryDisk(PersistedState);
 
-impl Disk for Memory {
-    fn keep(&mut self, batch: &Batch) -> Result<(), String> {
-        self.0.take(batch).map_err(|error| error.to_string())
+impl Disk for MemoryDisk {
+    fn persist(&mut self, batch: &PersistBatch) -> Result<(), String> {
+        self.0.apply(batch).map_err(|error| error.to_string())
     }
 }
 
-/// Voters whose ticks fall together, and whose messages take one tick.
+/// Voters whose ticks coincide, and whose messages take one tick.
 #[derive(Default)]
 struct Group {
-    voters: BTreeMap<u64, (Voter, Memory)>,
-    on_the_way: Vec<(u64, Vec<u8>)>,
+    voters: BTreeMap<u64, (Voter, MemoryDisk)>,
+    in_flight: Vec<VoterMessage>,
 }
 
 impl Group {
-    fn join(&mut self, id: u64, of: &[u64]) {
-        let voters = of.iter().map(|id| (*id, format!("m{id}"))).collect();
-        let kept = Kept::first(&Table { voters, ..Table::default() }).unwrap();
-        self.voters.insert(id, (Voter::start(id, &kept, true).unwrap(), Memory(kept)));
+    fn join(&mut self, id: u64, group: &[u64]) {
+        let voters = group.iter().map(|id| (*id, format!("m{id}"))).collect();
+        let state = PersistedState::initial(&LeaseTable { voters, ..LeaseTable::default() }).unwrap();
+        self.voters.insert(id, (Voter::start(id, &state).unwrap(), MemoryDisk(state)));
     }
 
     fn tick(&mut self) {
-        for (to, message) in std::mem::take(&mut self.on_the_way) {
-            if let Some((voter, _)) = self.voters.get_mut(&to) {
-                let _refused = voter.step(&message);
+        for message in std::mem::take(&mut self.in_flight) {
+            if let Some((voter, _)) = self.voters.get_mut(&message.to) {
+                let _rejected = voter.step(&message.bytes);
             }
         }
         for (voter, disk) in self.voters.values_mut() {
             voter.tick();
-            self.on_the_way.extend(voter.turn(disk).unwrap().messages);
+            self.in_flight.extend(voter.process_ready(disk).unwrap().messages);
         }
     }
 
-    /// Ticks until it holds; how many there were.
-    fn until(&mut self, what: &str, holds: impl Fn(&Group) -> bool) -> usize {
+    /// Ticks until the condition holds; gives the number of ticks.
+    fn tick_until(&mut self, condition: &str, holds: impl Fn(&Group) -> bool) -> usize {
         let ticks = (0..1000).find(|_| {
             self.tick();
             holds(self)
         });
-        ticks.unwrap_or_else(|| panic!("1000 ticks, and not: {what}"))
+        ticks.unwrap_or_else(|| panic!("1000 ticks, and not: {condition}"))
     }
 
     fn voter(&mut self, id: u64) -> &mut Voter {
@@ -50,32 +50,34 @@
     }
 
     fn leader(&self) -> Option<u64> {
-        self.voters.iter().find(|(_, (voter, _))| voter.leads()).map(|(id, _)| *id)
+        self.voters.iter().find(|(_, (voter, _))| voter.is_leader()).map(|(id, _)| *id)
     }
 }
 
-/// Guards against two voters that stand for election at the same tick for ever: one waits by the place that it had in
-/// the group of its start, the other was let in since.
+/// Guards against two voters that stand for election at the same tick for ever: one waits by its position in the group
+/// at its start, the other was admitted since.
 #[test]
-fn one_that_was_let_in_and_another_do_not_stand_for_election_at_once() {
+fn an_admitted_voter_and_another_do_not_stand_for_election_at_once() {
     let mut group = Group::default();
     let (lost, leader, other, new) = (10, 20, 30, 5);
     [lost, leader, other].into_iter().for_each(|id| group.join(id, &[lost, leader, other]));
-    group.until("somebody leads", |group| group.leader().is_some());
-    let first = group.leader().unwrap();
-    group.voter(first).hand_lead_to(leader);
-    group.until("the one that is to go leads", |group| group.leader() == Some(leader));
+    group.tick_until("there is a leader", |group| group.leader().is_some());
+    let first_leader = group.leader().unwrap();
+    group.voter(first_leader).transfer_leadership(leader);
+    group.tick_until("the voter that is to fail leads", |group| group.leader() == Some(leader));
     group.voters.remove(&lost);
-    group.voter(leader).change_voters(lost, None).unwrap();
-    group.until("the lost one is out", |group| !group.voters[&other].0.table().voters.contains_key(&lost));
-    group.voter(leader).change_voters(new, Some("m0")).unwrap();
+    group.voter(leader).remove_voter(lost).unwrap();
+    group.tick_until("the lost voter is removed", |group| {
+        !group.voters[&other].0.table().voters.contains_key(&lost)
+    });
+    group.voter(leader).add_voter(new, "m0").unwrap();
     group.join(new, &[leader, other]);
-    assert!(!group.voters[&new].0.is_member(), "it knows nothing of the group that let it in");
-    group.until("all know the new one", |group| {
+    assert!(!group.voters[&new].0.is_member(), "its log does not have its admission yet");
+    group.tick_until("all know the new voter", |group| {
         group.voters.values().all(|(voter, _)| voter.table().voters.contains_key(&new))
     });
     assert!(group.voters[&new].0.is_member());
     group.voters.remove(&leader);
-    let ticks = group.until("one of two leads", |group| group.leader().is_some());
-    assert!(ticks <= TICKS.0 + 3 * APART + 4, "{ticks} ticks: one election");
+    let ticks = group.tick_until("one of the remaining two leads", |group| group.leader().is_some());
+    assert!(ticks <= ELECTION_TICKS + 3 * ELECTION_STAGGER_TICKS + 4, "{ticks} ticks: one election");
 }
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/tests/input.rs
@@ -1,98 +1,109 @@
-//! What comes from elsewhere: refused and counted by reason, and nothing changes by it.
+//! Messages that can't be used: rejected and counted by reason, without any other effect.
 
 use oorandom::Rand64;
-use sanddyke_cluster::node::{Body, Envelope, FORM, LONGEST_MESSAGE};
-use sanddyke_cluster::{Input, Life, Member, Node, Output, Refused, Setup, Table};
+use sanddyke_cluster::node::{Envelope, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, PeerMessage};
+use sanddyke_cluster::rolling_restart::RestartStep;
+use sanddyke_cluster::{Incarnation, Input, LeaseTable, Member, MessageRejection, Node, NodeConfig, Output};
 use std::collections::BTreeMap;
 
 fn node() -> Node {
-    let life = Life { name: "m0".to_owned(), number: 7 };
-    let setup = Setup {
+    let own = Member {
+        incarnation: Incarnation { name: "m0".to_owned(), number: 7 },
+        address: "127.0.0.1:1".parse().unwrap(),
+        zone: String::new(),
+        rejoin_count: 0,
+    };
+    let config = NodeConfig {
         cluster: "here".to_owned(),
-        me: Member { life, address: "127.0.0.1:1".parse().unwrap(), zone: String::new(), returns: 0 },
+        own,
         seeds: Vec::new(),
         voters: vec!["m1".to_owned()],
-        duties: BTreeMap::from([("backup".to_owned(), 1_000_000)]),
+        leases: BTreeMap::from([("backup".to_owned(), 1_000_000)]),
         seed: 1,
     };
-    Node::start(setup, 0, None)
+    Node::start(config, 0, None)
+}
+
+fn encode(version: u16, cluster: &str, name: &str, number: u64, message: PeerMessage) -> Vec<u8> {
+    let from = Incarnation { name: name.to_owned(), number };
+    let envelope = Envelope { version, cluster: cluster.to_owned(), from, message };
+    with_checksum(postcard::to_stdvec(&envelope).unwrap())
 }
 
-fn message(form: u16, cluster: &str, name: &str, number: u64, body: Body) -> Vec<u8> {
-    let from = Life { name: name.to_owned(), number };
-    let told = postcard::to_stdvec(&Envelope { form, cluster: cluster.to_owned(), from, body }).unwrap();
-    [crc32fast::hash(&told).to_le_bytes().to_vec(), told].concat()
+fn with_checksum(payload: Vec<u8>) -> Vec<u8> {
+    [crc32fast::hash(&payload).to_le_bytes().to_vec(), payload].concat()
 }
 
-fn hear(node: &mut Node, bytes: &[u8]) -> Vec<Output> {
+fn receive(node: &mut Node, bytes: &[u8]) -> Vec<Output> {
     let mut out = Vec::new();
     node.handle(1, Input::Message(bytes), None, &mut out);
     out
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_by_its_reason() {
-    let look = || Body::Look { index: 0 };
-    let good = message(FORM, "here", "m1", 3, look());
-    let mut spoilt = good.clone();
-    spoilt[9] ^= 1;
-    let cases: [(Vec<u8>, Refused); 9] = [
-        (vec![0; LONGEST_MESSAGE + 1], Refused::TooLong),
-        (good[..good.len() - 1].to_vec(), Refused::Unreadable),
-        (spoilt, Refused::Unreadable),
-        (Vec::new(), Refused::Unreadable),
-        (message(FORM + 1, "here", "m1", 3, look()), Refused::LaterForm),
-        (message(FORM, "there", "m1", 3, look()), Refused::OtherCluster),
-        (message(FORM, "here", "m0", 9, look()), Refused::OldLife),
-        (message(FORM, "here", "m1", 3, Body::Vote(vec![1, 2, 3])), Refused::NoVote),
-        (message(FORM, "here", "m1", 3, Body::Gossip(vec![0xff; 40])), Refused::Gossip),
+fn messages_that_cannot_be_used_are_rejected_and_counted_by_reason() {
+    let poll = || PeerMessage::TablePoll { index: 0 };
+    let good = encode(PROTOCOL_VERSION, "here", "m1", 3, poll());
+    let mut corrupt = good.clone();
+    corrupt[9] ^= 1;
+    let from_m1 = |message| encode(PROTOCOL_VERSION, "here", "m1", 3, message);
+    let cases: [(Vec<u8>, MessageRejection); 9] = [
+        (vec![0; MAX_MESSAGE_BYTES + 1], MessageRejection::TooLong),
+        (good[..good.len() - 1].to_vec(), MessageRejection::Malformed),
+        (corrupt, MessageRejection::Malformed),
+        (Vec::new(), MessageRejection::Malformed),
+        (encode(PROTOCOL_VERSION + 1, "here", "m1", 3, poll()), MessageRejection::UnsupportedVersion),
+        (encode(PROTOCOL_VERSION, "there", "m1", 3, poll()), MessageRejection::OtherCluster),
+        (encode(PROTOCOL_VERSION, "here", "m0", 9, poll()), MessageRejection::StaleIncarnation),
+        (from_m1(PeerMessage::Raft(vec![1, 2, 3])), MessageRejection::NotAVoter),
+        (from_m1(PeerMessage::Gossip(vec![0xff; 40])), MessageRejection::InvalidGossip),
     ];
     let mut node = node();
-    for (bytes, why) in cases {
-        let before = node.refused().get(&why).copied().unwrap_or(0);
-        assert_eq!(hear(&mut node, &bytes), [], "{why:?}");
-        assert_eq!(node.refused().get(&why), Some(&(before + 1)), "{why:?}");
+    for (bytes, reason) in cases {
+        let before = node.rejections().get(&reason).copied().unwrap_or(0);
+        assert_eq!(receive(&mut node, &bytes), [], "{reason:?}");
+        assert_eq!(node.rejections().get(&reason), Some(&(before + 1)), "{reason:?}");
     }
-    assert_eq!(node.table(), &Table::default());
+    assert_eq!(node.table(), &LeaseTable::default());
     assert!(
-        hear(&mut node, &good).is_empty() && node.refused().values().sum::<u64>() == 9,
-        "a good one is not refused"
+        receive(&mut node, &good).is_empty() && node.rejections().values().sum::<u64>() == 9,
+        "a good one is not rejected"
     );
 }
 
-/// A step of a roll by somebody who does not hold the duty is no step.
+/// A step of a rolling restart by a manager that does not hold the lease has no effect.
 #[test]
-fn a_step_under_no_number_is_refused() {
+fn a_restart_step_without_the_lease_is_rejected() {
     let mut node = node();
-    let body = Body::Turn { fence: 4, step: sanddyke_cluster::rolling_restart::Step::Quiesce(7) };
-    assert_eq!(hear(&mut node, &message(FORM, "here", "m1", 3, body)), []);
-    assert_eq!(node.refused().get(&Refused::OldNumber), Some(&1));
+    let message =
+        PeerMessage::RestartStep { fencing_token: 4, step: RestartStep::Quiesce { incarnation: 7 } };
+    assert_eq!(receive(&mut node, &encode(PROTOCOL_VERSION, "here", "m1", 3, message)), []);
+    assert_eq!(node.rejections().get(&MessageRejection::StaleFencingToken), Some(&1));
 }
 
-/// Noise of any length, and good messages with any part changed behind a right checksum, end nothing.
+/// Noise of any length, and good messages with any byte changed behind a correct checksum, do not end the program.
 #[test]
-fn noise_ends_nothing() {
+fn noise_does_not_end_the_program() {
     let seed = 20_261_202;
     let (mut rng, mut node) = (Rand64::new(seed), node());
     for _ in 0..200_000 {
         let length = rng.rand_range(0..64) as usize;
-        let mut told: Vec<u8> = (0..length).map(|_| rng.rand_u64() as u8).collect();
+        let mut payload: Vec<u8> = (0..length).map(|_| rng.rand_u64() as u8).collect();
         if rng.rand_float() < 0.5 {
-            let body = match rng.rand_range(0..4) {
-                0 => Body::Vote(told),
-                1 => Body::Gossip(told),
-                2 => Body::Hello {
+            let message = match rng.rand_range(0..4) {
+                0 => PeerMessage::Raft(payload),
+                1 => PeerMessage::Gossip(payload),
+                2 => PeerMessage::Discovery {
                     id: rng.rand_u64(),
                     voters: Some(BTreeMap::from([(rng.rand_u64(), "m1".to_owned())])),
                 },
-                _ => Body::Table(Table { index: rng.rand_u64(), ..Table::default() }),
+                _ => PeerMessage::LeaseTable(LeaseTable { index: rng.rand_u64(), ..LeaseTable::default() }),
             };
-            told = message(FORM, "here", "m1", rng.rand_range(0..5), body).split_off(4);
-            let at = rng.rand_range(0..told.len() as u64) as usize;
-            told[at] = rng.rand_u64() as u8;
+            payload = encode(PROTOCOL_VERSION, "here", "m1", rng.rand_range(0..5), message).split_off(4);
+            let position = rng.rand_range(0..payload.len() as u64) as usize;
+            payload[position] = rng.rand_u64() as u8;
         }
-        let bytes = [crc32fast::hash(&told).to_le_bytes().to_vec(), told].concat();
-        hear(&mut node, &bytes);
+        receive(&mut node, &with_checksum(payload));
     }
-    assert!(node.refused().values().sum::<u64>() > 100_000);
+    assert!(node.rejections().values().sum::<u64>() > 100_000);
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -102,10 +102,10 @@
 }
 
 fn simulate() -> ExitCode {
-    use sanddyke_cluster::simulation::{Play, Seen, Without, play};
+    use sanddyke_cluster::simulation::{DisabledSafeguard, SimulationPlan, SimulationSummary, run};
     let seeds = seeds("SANDDYKE_SIM_SEED", "SANDDYKE_SIM_RUNS", 300);
     let (next, runs) = (std::sync::atomic::AtomicU64::new(seeds.start), seeds.end - seeds.start);
-    let results = std::sync::Mutex::new((Vec::new(), Vec::<Seen>::new()));
+    let results = std::sync::Mutex::new((Vec::new(), Vec::<SimulationSummary>::new()));
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -115,24 +115,24 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    let seen = play(Play::of(seed, Without::Nothing));
+                    let result = run(SimulationPlan::from_seed(seed, DisabledSafeguard::None));
                     let mut results = results.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                    match seen {
-                        Ok(seen) => results.1.push(seen),
-                        Err(why) => results.0.push((seed, why)),
+                    match result {
+                        Ok(summary) => results.1.push(summary),
+                        Err(error) => results.0.push((seed, error.to_string())),
                     }
                 }
             });
         }
     });
-    let (mut failed, seen) = results.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let (mut failed, summaries) = results.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     failed.sort();
-    let sum = |of: fn(&Seen) -> u64| seen.iter().map(of).sum::<u64>();
-    let (acts, fenced, grants) = (sum(|one| one.acts), sum(|one| one.fenced), sum(|one| one.grants));
+    let sum = |figure: fn(&SimulationSummary) -> u64| summaries.iter().map(figure).sum::<u64>();
+    let (acts, fenced, grants) = (sum(|one| one.acts), sum(|one| one.fenced_acts), sum(|one| one.grants));
     println!(
         "{acts} acts, {fenced} kept out by their number, {grants} grants; after the last fault a holder within:"
     );
-    let mut after: Vec<u64> = seen.iter().map(|one| one.settled_after / 1000).collect();
+    let mut after: Vec<u64> = summaries.iter().map(|one| one.settled_after_us / 1000).collect();
     after.sort_unstable();
     let at = |part: f64| {
         after.get(((after.len() as f64 * part) as usize).min(after.len().saturating_sub(1))).copied()
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,6 +1,6 @@
 //! The state in Prometheus' text format. Labels are bounded: past so many tenants the rest are one.
 
-use crate::cluster::View;
+use crate::cluster::{ClusterView, MessageCounters};
 use crate::core::{Report, Tally};
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::Write;
@@ -28,7 +28,7 @@
 }
 
 /// What is seen of the fleet.
-pub fn fleet(view: &View) -> String {
+pub fn fleet(view: &ClusterView) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
     let _ = writeln!(
@@ -37,16 +37,16 @@
         view.members.len() + 1
     );
     let _ = writeln!(text, "# TYPE sanddyke_duty_held gauge");
-    for duty in &view.duties {
-        let held = u8::from(duty.left_ms.is_some());
-        let _ = writeln!(text, "sanddyke_duty_held{{duty=\"{}\"}} {held}", label(&duty.name));
+    for lease in &view.leases {
+        let held = u8::from(lease.left_ms.is_some());
+        let _ = writeln!(text, "sanddyke_duty_held{{duty=\"{}\"}} {held}", label(&lease.name));
     }
     let _ = writeln!(text, "# TYPE sanddyke_fleet_refused_total counter");
-    for (reason, count) in &view.refused {
+    for (reason, count) in &view.rejections {
         let _ = writeln!(text, "sanddyke_fleet_refused_total{{reason=\"{reason}\"}} {count}");
     }
-    let (messages, bytes, unsent) = view.sent;
-    for (name, count) in [("sent_messages", messages), ("sent_bytes", bytes), ("unsent_messages", unsent)] {
+    let MessageCounters { messages, bytes, dropped } = view.sent;
+    for (name, count) in [("sent_messages", messages), ("sent_bytes", bytes), ("unsent_messages", dropped)] {
         let _ =
             writeln!(text, "# TYPE sanddyke_fleet_{name}_total counter\nsanddyke_fleet_{name}_total {count}");
     }
--- a/src/admin/v1.rs
+++ b/src/admin/v1.rs
@@ -373,7 +373,7 @@
                     Call::HandOver => fleet.hand_over(name).await,
                     _ => fleet.admit(name).await,
                 };
-                done.map_err(|why| Problem::new(409, "fleet", why))?;
+                done.map_err(|error| Problem::new(409, "fleet", error.to_string()))?;
                 log::info!(who = caller.id.as_str(); "admin: {} of the fleet: {name}", route.path);
                 Ok(Response::json(202, json!({ "accepted": name }).to_string()))
             }
@@ -383,23 +383,25 @@
     /// An operator's word on a roll.
     #[cfg(feature = "cluster")]
     async fn roll(&self, call: Call, request: &Request, word: &str) -> Result<(), Problem> {
-        use crate::cluster::restart_controller::{self, Word};
-        use sanddyke_cluster::rolling_restart::{How, State};
-        let word = match (call, word) {
+        use crate::cluster::restart_controller::{self, OperatorCommand};
+        use sanddyke_cluster::rolling_restart::{RestartMode, RestartState};
+        let command = match (call, word) {
             (Call::Roll, _) => {
                 let told: NewRoll = parse(&request.body)?;
-                let how = match told.how {
-                    RollHow::Drain => How::Drain,
-                    RollHow::Restart => How::Restart,
+                let mode = match told.how {
+                    RollHow::Drain => RestartMode::Drain,
+                    RollHow::Restart => RestartMode::Restart,
                 };
-                Word::Begin(how, told.most.unwrap_or(1))
+                OperatorCommand::Start { mode, max_active: told.most.unwrap_or(1) }
             }
-            (_, "pause") => Word::Turn(State::Paused),
-            (_, "resume") => Word::Turn(State::Running),
-            (_, "take-back") => Word::Turn(State::TakenBack),
+            (_, "pause") => OperatorCommand::SetState(RestartState::Paused),
+            (_, "resume") => OperatorCommand::SetState(RestartState::Running),
+            (_, "take-back") => OperatorCommand::SetState(RestartState::Cancelling),
             _ => return Err(Problem::new(404, "no_path", "no such path")),
         };
-        restart_controller::order(self.fleet()?, word).await.map_err(|why| Problem::new(409, "fleet", why))
+        restart_controller::execute(self.fleet()?, command)
+            .await
+            .map_err(|error| Problem::new(409, "fleet", error.to_string()))
     }
 
     #[cfg(not(feature = "cluster"))]
--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -1,62 +1,68 @@
-//! The duty of scheduled backups: one copy of the store each period, whoever holds it.
+//! The lease of scheduled backups: one backup of the store in each period, whichever manager holds the lease.
 //!
-//! A period is a whole number of its length since the Unix epoch, the same for every manager. The copy's name is the
-//! period's, and it appears under it only once it is whole and where there is none (`Store::backup`); the voters' note
-//! says the last period that is done. So a holder that dies before its note leaves a file that the next one finds, and
-//! one that was stopped in the middle and goes on later finds the name taken: neither makes a second.
+//! Periods are counted from the Unix epoch, so that they are the same for every manager. A backup is named after its
+//! period, and appears under that name only once it is complete and if there is none (`Store::backup`); the lease's
+//! checkpoint is the last completed period. So if a holder crashes before its checkpoint is saved, the next one finds
+//! the file; if a holder is suspended in the middle, it finds the name taken when it resumes. Neither makes a second one.
 
-use super::{Cluster, DutyNews};
+use super::{Cluster, LeaseEvent};
 use crate::clock::Clock;
 use crate::tenants::TenantService;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The duty's name.
-pub const DUTY: &str = "backup";
-/// How often a holder looks whether a period has begun.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Name of the lease.
+pub const LEASE_NAME: &str = "backup";
+/// How often a holder checks whether a period has begun.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a holder waits after a failed backup.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Does the duty's work for as long as the program runs.
+/// Does the work of the lease as long as the program runs.
 pub async fn run(
     cluster: Cluster,
-    mut news: mpsc::Receiver<DutyNews>,
+    mut events: mpsc::Receiver<LeaseEvent>,
     tenant_service: Arc<TenantService>,
     clock: Clock,
-    every_ms: u64,
+    period_ms: u64,
 ) {
-    let mut looks = tokio::time::interval(LOOK_EVERY);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut polls = tokio::time::interval(POLL_INTERVAL);
+    polls.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            told = news.recv() => match told {
-                // Between two looks nothing is begun.
-                Some(DutyNews::Finish) => cluster.finished(DUTY).await,
-                Some(DutyNews::Began | DutyNews::Noted | DutyNews::Ended) => {}
+            event = events.recv() => match event {
+                // No backup is in progress between two polls.
+                Some(LeaseEvent::FinishWork) => cluster.work_finished(LEASE_NAME).await,
+                Some(LeaseEvent::Acquired | LeaseEvent::CheckpointSaved | LeaseEvent::Ended) => {}
                 None => return,
             },
-            _ = looks.tick() => {
-                let period = clock.unix_ms() / every_ms;
-                let (on, note) = cluster.note_of(DUTY);
-                let done = note.parse().ok();
-                if done.is_some_and(|done: u64| done >= period) {
-                    continue;
-                }
-                let Some(fence) = cluster.may_act(DUTY) else { continue };
-                match tenant_service.backup_as(&format!("period-{period}.redb"), fence).await {
-                    Ok(made) => {
-                        let how = if made { "written" } else { "there already" };
-                        log::info!("duty {DUTY}: period {period} fence={fence} at_us={}: {how}", clock.unix_us());
-                        cluster.note(DUTY, on, period.to_string()).await;
-                        // The note is seen within some rounds of the voters; until then the look above finds the file.
-                        tokio::time::sleep(LOOK_EVERY).await;
-                    }
-                    Err(error) => {
-                        log::error!("duty {DUTY}: period {period} fence={fence}: {error}");
-                        tokio::time::sleep(5 * LOOK_EVERY).await;
-                    }
-                }
-            }
+            _ = polls.tick() => back_up_if_due(&cluster, &tenant_service, &clock, period_ms).await,
+        }
+    }
+}
+
+/// Makes the backup of the current period, if this manager holds the lease and there is none.
+async fn back_up_if_due(cluster: &Cluster, tenant_service: &TenantService, clock: &Clock, period_ms: u64) {
+    let period = clock.unix_ms() / period_ms;
+    let checkpoint = cluster.checkpoint(LEASE_NAME);
+    let last_period: Option<u64> = checkpoint.text.parse().ok();
+    if last_period.is_some_and(|last_period| last_period >= period) {
+        return;
+    }
+    let Some(fencing_token) = cluster.may_act(LEASE_NAME) else { return };
+    match tenant_service.backup_as(&format!("period-{period}.redb"), fencing_token).await {
+        Ok(is_written) => {
+            let result = if is_written { "written" } else { "there already" };
+            let at_us = clock.unix_us();
+            log::info!("duty {LEASE_NAME}: period {period} fence={fencing_token} at_us={at_us}: {result}");
+            cluster.save_checkpoint(LEASE_NAME, checkpoint.index, period.to_string()).await;
+            // The checkpoint is seen after some round trips of the voters; until then the next poll finds the file.
+            tokio::time::sleep(POLL_INTERVAL).await;
+        }
+        Err(error) => {
+            log::error!("duty {LEASE_NAME}: period {period} fence={fencing_token}: {error}");
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -1,218 +1,201 @@
-//! The node on its thread: the time, messages, orders and the voter's file go in; what is to be done is seen to.
+//! The driver of the node, on a thread of its own: it passes time, messages and commands to the node, and carries out
+//! the node's outputs.
 
-use super::peer_transport::{Arrived, Links};
-use super::{Cluster, DutyNews, DutyView, Held, MemberView, Order, Stands, View, restart_controller};
+use super::handle::{Cluster, NodeCommand};
+use super::peer_transport::PeerTransport;
+use super::voter_disk::FileVoterDisk;
+use super::{
+    ClusterView, CommandError, HeldLease, HeldLeases, LeaseEvent, LeaseView, MemberView, MessageCounters,
+    ProcessControl,
+};
 use crate::clock::{Clock, Micros};
 use crate::config::Fleet;
-use crate::lifecycle::LifecycleHandle;
+use sanddyke_cluster::rolling_restart::{MemberStatuses, ReportedStatus};
 use sanddyke_cluster::{
-    Ballot, Batch, Deed, Disk, Input, Kept, Life, Member, Node, Output, Setup, TICK_US, VoterDisk,
-    rolling_restart,
+    Incarnation, Input, LeaseEffect, Member, Node, NodeConfig, Output, TICK_US, VoterDisk,
 };
-use sanddyke_store::StoreError;
-use sanddyke_store::voter_file::{VoterFile, VoterState, VoterUpdate};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{Notify, mpsc, oneshot, watch};
-
-/// Orders and messages that may wait for the node.
-const QUEUE: usize = 1024;
-/// The node is told of the time so often: half a voter's tick.
-const TELL_EVERY: Duration = Duration::from_micros(TICK_US / 2);
-/// What is shown of the fleet is made anew so often, and at each change of a duty.
-const SHOW_EVERY: Duration = Duration::from_millis(200);
+use tokio::sync::{mpsc, oneshot, watch};
 
-/// The voter's file as the node knows it.
-struct File(VoterFile);
+/// Commands and messages that may wait for the node.
+const QUEUE_CAPACITY: usize = 1024;
+/// Events that may wait for the task that does a lease's work.
+const EVENT_QUEUE_CAPACITY: usize = 16;
+/// How often the node is told the time: half a voter's tick.
+const TICK_INTERVAL: Duration = Duration::from_micros(TICK_US / 2);
+/// How often the view of the fleet is updated; it is also updated at each change of a lease.
+const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
-impl Disk for File {
-    fn keep(&mut self, batch: &Batch) -> Result<(), String> {
-        let more = VoterUpdate {
-            hard_state: batch.hard_state.as_deref(),
-            entries: &batch.entries,
-            snapshot: batch.snapshot.as_ref().map(|(index, snapshot)| (*index, snapshot.as_slice())),
-        };
-        self.0.keep(&more).map_err(|error| error.to_string())
-    }
+/// The fleet that this manager has joined.
+#[derive(Debug)]
+pub struct JoinedCluster {
+    /// Handle to the fleet.
+    pub cluster: Cluster,
+    /// Events for the tasks that do the work of the leases, by name of the lease.
+    pub lease_events: BTreeMap<String, mpsc::Receiver<LeaseEvent>>,
 }
 
-impl VoterDisk for File {
-    fn ballot(&self) -> Ballot {
-        let (id, founded) = self.0.standing();
-        Ballot { id, founded }
-    }
-
-    fn found(&mut self, kept: &Kept) -> Result<(), String> {
-        let Kept { hard_state, entries, snapshot } = kept.clone();
-        self.0.begin(&VoterState { hard_state, entries, snapshot }).map_err(|error| error.to_string())
-    }
-
-    fn kept(&self) -> Result<Kept, String> {
-        let VoterState { hard_state, entries, snapshot } =
-            self.0.state().map_err(|error| error.to_string())?;
-        Ok(Kept { hard_state, entries, snapshot })
-    }
-}
-
-/// Joins the fleet. Gives the way to it, and for each duty the news for whoever does its work.
+/// Joins the fleet.
 ///
 /// # Errors
-/// Where the address can't be listened on. A voter's file that can't be used is no error: the manager serves without a
-/// vote, and says so.
+/// If the address can't be listened on, or the thread can't be started. A voter's file that can't be used is no error:
+/// the manager serves without a vote, and logs why.
 pub fn start(
     fleet: Fleet,
     name: &str,
     clock: Clock,
     seed: u64,
-    own: (LifecycleHandle, Arc<Notify>),
-) -> std::io::Result<(Cluster, BTreeMap<String, mpsc::Receiver<DutyNews>>)> {
+    process: ProcessControl,
+) -> std::io::Result<JoinedCluster> {
     let listener = std::net::TcpListener::bind(fleet.listen)?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    // A start at the same moment under one name would be one life: no process manager does that.
-    let life = Life { name: name.to_owned(), number: clock.unix_ms() };
-    let me = Member { life, address: fleet.advertise, zone: fleet.zone.clone(), returns: 0 };
-    let disk =
-        fleet.path.as_ref().filter(|_| fleet.voters.iter().any(|voter| voter == name)).and_then(|path| {
-            let mut id = [0; 8];
-            let drawn = getrandom::fill(&mut id).map_err(|error| StoreError::Write(error.to_string()));
-            // 0 is nobody's number.
-            match drawn.and_then(|()| VoterFile::open(path, u64::from_le_bytes(id) | 1)) {
-                Ok(file) => Some(File(file)),
-                Err(error) => {
-                    log::error!("cluster: no vote: {error}");
-                    None
-                }
-            }
-        });
-    let setup = Setup {
-        cluster: fleet.name.clone(),
-        me,
-        seeds: fleet.seeds.clone(),
-        voters: fleet.voters.clone(),
-        duties: fleet.duties.iter().map(|duty| (duty.clone(), fleet.lease_us)).collect(),
-        seed,
-    };
-    let (orders, inbox) = mpsc::channel(QUEUE);
-    let (view_sender, view) = watch::channel(Arc::new(View::default()));
-    let (held_sender, held) = watch::channel(Held::new());
-    let (stands_sender, stands) = watch::channel(Stands::new());
-    let mut workers = BTreeMap::new();
-    let mut news = BTreeMap::new();
-    for duty in &fleet.duties {
-        let (sender, receiver) = mpsc::channel(16);
-        workers.insert(duty.clone(), sender);
-        news.insert(duty.clone(), receiver);
+    let disk = open_voter_disk(&fleet, name);
+    let config = node_config(&fleet, name, &clock, seed);
+    let (commands, command_queue) = mpsc::channel(QUEUE_CAPACITY);
+    let (view_sender, view) = watch::channel(Arc::default());
+    let (held_sender, held) = watch::channel(HeldLeases::new());
+    let (statuses_sender, statuses) = watch::channel(MemberStatuses::default());
+    let mut event_senders = BTreeMap::new();
+    let mut lease_events = BTreeMap::new();
+    for lease in &fleet.duties {
+        let (sender, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        event_senders.insert(lease.clone(), sender);
+        lease_events.insert(lease.clone(), receiver);
     }
-    let (ended_by, own) = (own, fleet.listen);
+    let published = PublishedState { view: view_sender, held: held_sender, statuses: statuses_sender };
+    let listen = fleet.listen;
     std::thread::Builder::new().name("cluster".to_owned()).spawn(move || {
         runtime.block_on(async move {
-            let (arrive, arrived) = mpsc::channel(QUEUE);
-            let links = match tokio::net::TcpListener::from_std(listener) {
-                Ok(listener) => Links::start(listener, own, arrive),
+            let listener = match tokio::net::TcpListener::from_std(listener) {
+                Ok(listener) => listener,
                 Err(error) => return log::error!("cluster: {error}"),
             };
-
-            let shown = (view_sender, held_sender, stands_sender);
-            let shell = Shell::new(setup, clock, disk, links, workers, shown, ended_by);
-            shell.run(inbox, arrived).await;
+            let (inbox_sender, inbox) = mpsc::channel(QUEUE_CAPACITY);
+            let transport = PeerTransport::start(listener, listen, inbox_sender);
+            let node = start_node(config, &clock, disk.as_ref());
+            let driver = NodeDriver {
+                node,
+                disk,
+                clock,
+                transport,
+                event_senders,
+                published,
+                process,
+                sent: MessageCounters::default(),
+                pending_leaves: Vec::new(),
+            };
+            driver.run(command_queue, inbox).await;
         });
     })?;
-    Ok((Cluster { orders, view, held, stands, name: name.into(), clock }, news))
+    let cluster = Cluster { commands, view, held, statuses, name: name.into(), clock };
+    Ok(JoinedCluster { cluster, lease_events })
 }
 
-struct Shell {
-    node: Node,
-    disk: Option<File>,
-    clock: Clock,
-    links: Links,
-    workers: BTreeMap<String, mpsc::Sender<DutyNews>>,
-    duties: Vec<String>,
-    view: watch::Sender<Arc<View>>,
-    held: watch::Sender<Held>,
-    stands: watch::Sender<Stands>,
-    /// The program's life, and the way to end it for a restart.
-    own: (LifecycleHandle, Arc<Notify>),
-    sent: (u64, u64, u64),
-    /// Who waits until this manager holds nothing and has said that it goes.
-    leaving: Vec<oneshot::Sender<()>>,
-    out: Vec<Output>,
+/// The voter's file, if this manager is a voter and the file can be used.
+fn open_voter_disk(fleet: &Fleet, name: &str) -> Option<FileVoterDisk> {
+    if !fleet.voters.iter().any(|voter| voter == name) {
+        return None;
+    }
+    match FileVoterDisk::open(fleet.path.as_ref()?) {
+        Ok(disk) => Some(disk),
+        Err(error) => {
+            log::error!("cluster: no vote: {error}");
+            None
+        }
+    }
 }
 
-impl Shell {
-    fn new(
-        setup: Setup,
-        clock: Clock,
-        disk: Option<File>,
-        links: Links,
-        workers: BTreeMap<String, mpsc::Sender<DutyNews>>,
-        (view, held, stands): (watch::Sender<Arc<View>>, watch::Sender<Held>, watch::Sender<Stands>),
-        own: (LifecycleHandle, Arc<Notify>),
-    ) -> Shell {
-        let duties = setup.duties.keys().cloned().collect();
-        let node = Node::start(
-            setup,
-            clock.now().0.unsigned_abs(),
-            disk.as_ref().map(|disk| disk as &dyn VoterDisk),
-        );
-        log::info!("cluster: {} {}", node.members().me().life, node.standing());
-        Shell {
-            node,
-            disk,
-            clock,
-            links,
-            workers,
-            duties,
-            view,
-            held,
-            stands,
-            own,
-            sent: (0, 0, 0),
-            leaving: Vec::new(),
-            out: Vec::new(),
-        }
+fn node_config(fleet: &Fleet, name: &str, clock: &Clock, seed: u64) -> NodeConfig {
+    // Two starts under one name in the same millisecond would be one incarnation: no process manager does that.
+    let incarnation = Incarnation { name: name.to_owned(), number: clock.unix_ms() };
+    NodeConfig {
+        cluster: fleet.name.clone(),
+        own: Member { incarnation, address: fleet.advertise, zone: fleet.zone.clone(), rejoin_count: 0 },
+        seeds: fleet.seeds.clone(),
+        voters: fleet.voters.clone(),
+        leases: fleet.duties.iter().map(|lease| (lease.clone(), fleet.lease_us)).collect(),
+        seed,
     }
+}
+
+fn start_node(config: NodeConfig, clock: &Clock, disk: Option<&FileVoterDisk>) -> Node {
+    let disk = disk.map(|disk| disk as &dyn VoterDisk);
+    let node = Node::start(config, clock.now().0.unsigned_abs(), disk);
+    log::info!("cluster: {} {}", node.membership().own().incarnation, node.voter_status());
+    node
+}
 
-    async fn run(mut self, mut orders: mpsc::Receiver<Order>, mut arrived: mpsc::Receiver<Arrived>) {
-        let mut ticks = tokio::time::interval(TELL_EVERY);
+/// State that the handles read.
+struct PublishedState {
+    view: watch::Sender<Arc<ClusterView>>,
+    held: watch::Sender<HeldLeases>,
+    statuses: watch::Sender<MemberStatuses>,
+}
+
+struct NodeDriver {
+    node: Node,
+    disk: Option<FileVoterDisk>,
+    clock: Clock,
+    transport: PeerTransport,
+    event_senders: BTreeMap<String, mpsc::Sender<LeaseEvent>>,
+    published: PublishedState,
+    process: ProcessControl,
+    sent: MessageCounters,
+    /// Callers that wait until this manager holds no lease and has left.
+    pending_leaves: Vec<oneshot::Sender<()>>,
+}
+
+impl NodeDriver {
+    async fn run(mut self, mut commands: mpsc::Receiver<NodeCommand>, mut inbox: mpsc::Receiver<Vec<u8>>) {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut shown = tokio::time::interval(SHOW_EVERY);
+        let mut view_updates = tokio::time::interval(VIEW_INTERVAL);
         loop {
             tokio::select! {
-                order = orders.recv() => match order {
-                    Some(order) => self.order(order).await,
+                command = commands.recv() => match command {
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                frame = arrived.recv() => match frame {
-                    Some(bytes) => self.tell(Input::Message(&bytes)),
+                message = inbox.recv() => match message {
+                    Some(bytes) => self.input(Input::Message(&bytes)),
                     None => return,
                 },
-                _ = ticks.tick() => self.tell(Input::Tick),
-                _ = shown.tick() => self.show(),
+                _ = ticks.tick() => self.input(Input::Tick),
+                _ = view_updates.tick() => self.publish_view(),
             }
         }
     }
 
-    async fn order(&mut self, order: Order) {
-        match order {
-            Order::Note(duty, on, note) => self.tell(Input::Note(&duty, on, note)),
-            Order::Turn(name, step) => self.tell(Input::Turn(&name, step)),
-            Order::Finished(duty) => self.tell(Input::Finished(&duty)),
-            Order::HandOver(duty, reply) => {
-                let now = self.clock.now().0.unsigned_abs();
-                let is_held = self.node.holder().held(now).any(|(held, ..)| held == duty);
-                self.tell(Input::HandOver(&duty));
-                let answer = if is_held { Ok(()) } else { Err(format!("{duty} is not held here")) };
-                drop(reply.send(answer)); // who asked may have left
+    fn now_us(&self) -> u64 {
+        self.clock.now().0.unsigned_abs()
+    }
+
+    fn handle_command(&mut self, command: NodeCommand) {
+        match command {
+            NodeCommand::SaveCheckpoint { lease, based_on, checkpoint } => {
+                self.input(Input::SaveCheckpoint { lease: &lease, based_on, checkpoint });
+            }
+            NodeCommand::SendRestartStep { member, step } => {
+                self.input(Input::SendRestartStep { member: &member, step });
             }
-            Order::Admit(name, reply) => drop(reply.send(self.node.admit(&name))),
-            Order::Drain(draining) => self.tell(Input::Drain(draining)),
-            Order::Leave(reply) => {
-                // Its duties first: their work says when it is done.
-                let now = self.clock.now().0.unsigned_abs();
-                if self.node.holder().held(now).next().is_some() {
-                    self.leaving.push(reply);
+            NodeCommand::WorkFinished { lease } => self.input(Input::WorkFinished { lease: &lease }),
+            NodeCommand::HandOver { lease, reply } => {
+                let result = self.hand_over(lease);
+                let _caller_left = reply.send(result);
+            }
+            NodeCommand::Admit { voter, reply } => {
+                let result = self.node.admit(&voter);
+                let rejected = |reason: String| CommandError::AdmissionRejected { reason };
+                let _caller_left = reply.send(result.map_err(|error| rejected(error.to_string())));
+            }
+            NodeCommand::SetDraining(is_draining) => self.input(Input::SetDraining(is_draining)),
+            NodeCommand::Leave { reply } => {
+                // The leases first: the tasks that do their work report when it is finished.
+                if self.node.holder().held(self.now_us()).next().is_some() {
+                    self.pending_leaves.push(reply);
                 } else {
                     self.leave(reply);
                 }
@@ -220,145 +203,183 @@
         }
     }
 
+    fn hand_over(&mut self, lease: String) -> Result<(), CommandError> {
+        let is_held = self.node.holder().held(self.now_us()).any(|held| held.lease == lease);
+        self.input(Input::HandOver { lease: &lease });
+        if is_held { Ok(()) } else { Err(CommandError::NotHeld { lease }) }
+    }
+
     fn leave(&mut self, reply: oneshot::Sender<()>) {
-        self.tell(Input::Leave);
-        // The words go out by tasks of their own, within a turn or two.
-        let _left = reply.send(());
+        self.input(Input::Leave);
+        // The messages are sent by other tasks of this thread, right after this one yields.
+        let _caller_left = reply.send(());
     }
 
-    fn tell(&mut self, input: Input<'_>) {
-        let now = self.clock.now().0.unsigned_abs();
-        let (mut out, mut told) = (std::mem::take(&mut self.out), Vec::new());
+    /// Passes an input to the node, and carries out its outputs.
+    fn input(&mut self, input: Input<'_>) {
+        let now_us = self.now_us();
+        let mut outputs = Vec::new();
+        let mut replies = Vec::new();
         let disk = self.disk.as_mut().map(|disk| disk as &mut dyn VoterDisk);
-        self.node.handle(now, input, disk, &mut out);
-        for one in out.drain(..) {
-            match one {
-                Output::Send(to, bytes) => {
-                    self.sent.0 += 1;
-                    self.sent.1 += bytes.len() as u64;
-                    self.sent.2 += u64::from(!self.links.send(to, bytes));
+        self.node.handle(now_us, input, disk, &mut outputs);
+        for output in outputs {
+            match output {
+                Output::Send { to, bytes } => {
+                    self.sent.messages += 1;
+                    self.sent.bytes += bytes.len() as u64;
+                    let is_queued = self.transport.send(to, bytes);
+                    self.sent.dropped += u64::from(!is_queued);
                 }
-                Output::Duty(deed) => self.deed(now, deed),
-                Output::Member(member, true) => {
-                    log::info!("cluster: {} came, at {}", member.life, member.address)
+                Output::Lease(effect) => self.handle_effect(now_us, effect),
+                Output::MemberUp(member) => {
+                    log::info!("cluster: {} came, at {}", member.incarnation, member.address);
                 }
-                Output::Member(member, false) => {
-                    log::info!("cluster: {} is gone", member.life);
-                    self.stands.send_modify(|all| {
-                        all.remove(&member.life.name);
-                    });
+                Output::MemberDown(member) => {
+                    log::info!("cluster: {} is gone", member.incarnation);
+                    let name = &member.incarnation.name;
+                    self.published.statuses.send_modify(|statuses| statuses.remove(name));
                 }
-                Output::Note(note) => log::info!("cluster: {note}"),
-                Output::Turn(back, step) => {
-                    let this = self.node.members().me().life.number;
-                    restart_controller::carry_out(step, this, &self.own.0, &self.own.1);
-                    told.push((back, restart_controller::stand(&self.own.0, &self.clock)));
+                Output::Notice(notice) => log::info!("cluster: {notice}"),
+                Output::RestartStep { reply_to, step } => {
+                    let own_incarnation = self.node.membership().own().incarnation.number;
+                    self.process.take_step(step, own_incarnation);
+                    replies
+                        .push(Input::SendStatus { to: reply_to, status: self.process.status(&self.clock) });
                 }
-                Output::Stand(life, stand) => {
-                    self.stands.send_modify(|all| rolling_restart::hear(all, life, stand));
+                Output::MemberStatus(ReportedStatus { incarnation, status }) => {
+                    self.published.statuses.send_modify(|statuses| statuses.update(incarnation, status));
                 }
             }
         }
-        self.out = out;
-        told.into_iter().for_each(|(back, stand)| self.tell(Input::Stand(back, stand)));
+        for reply in replies {
+            self.input(reply);
+        }
     }
 
-    /// Each line has the Unix time in microseconds: what a fleet did is put together from its logs.
-    fn deed(&mut self, now: u64, deed: Deed) {
-        // Of the moment that the node was told: what came of it may have waited for the disk.
-        let unix = self.clock.unix_us_of(Micros(now as i64));
-        let (duty, news) = match deed {
-            Deed::Began { duty, fence, until } => {
-                log::info!(
-                    "duty {duty}: begun fence={fence} at_us={unix} for_us={}",
-                    until.saturating_sub(now)
-                );
-                (duty, Some(DutyNews::Began))
-            }
-            Deed::Extended { duty, fence, until } => {
-                log::debug!(
-                    "duty {duty}: held fence={fence} at_us={unix} for_us={}",
-                    until.saturating_sub(now)
-                );
-                (duty, None)
+    /// Publishes a change of a lease. `now_us` is the time of the input that it follows from: the change itself may have
+    /// waited for the disk.
+    fn handle_effect(&mut self, now_us: u64, effect: LeaseEffect) {
+        self.log_effect(now_us, &effect);
+        let (lease, event) = match effect {
+            LeaseEffect::Acquired { lease, .. } => (lease, Some(LeaseEvent::Acquired)),
+            LeaseEffect::Extended { lease, .. } => (lease, None),
+            LeaseEffect::CheckpointSaved { lease, .. } => (lease, Some(LeaseEvent::CheckpointSaved)),
+            LeaseEffect::FinishWork { lease, .. } => (lease, Some(LeaseEvent::FinishWork)),
+            LeaseEffect::Ended { lease, .. } => (lease, Some(LeaseEvent::Ended)),
+            LeaseEffect::Submit { .. } => return,
+        };
+        self.publish_held_leases(now_us);
+        if let (Some(event), Some(events)) = (event, self.event_senders.get(&lease))
+            // A task that misses the event finds out by `Cluster::may_act`.
+            && events.try_send(event).is_err()
+        {
+            log::warn!("duty {lease}: its worker does not keep up");
+        }
+        self.publish_view();
+    }
+
+    /// Each line has the Unix time in microseconds: the history of a fleet is reconstructed from its logs.
+    fn log_effect(&self, now_us: u64, effect: &LeaseEffect) {
+        let at_us = self.clock.unix_us_of(Micros(now_us as i64));
+        match effect {
+            LeaseEffect::Acquired { lease, fencing_token, expires_at_us } => {
+                let for_us = expires_at_us.saturating_sub(now_us);
+                log::info!("duty {lease}: begun fence={fencing_token} at_us={at_us} for_us={for_us}");
             }
-            Deed::Noted { duty, .. } => (duty, Some(DutyNews::Noted)),
-            Deed::Finish { duty, fence } => {
-                log::info!("duty {duty}: to be handed over fence={fence} at_us={unix}");
-                (duty, Some(DutyNews::Finish))
+            LeaseEffect::Extended { lease, fencing_token, expires_at_us } => {
+                let for_us = expires_at_us.saturating_sub(now_us);
+                log::debug!("duty {lease}: held fence={fencing_token} at_us={at_us} for_us={for_us}");
             }
-            Deed::Ended { duty, fence, why } => {
-                let why = sanddyke_cluster::node::word(why);
-                log::info!("duty {duty}: ended fence={fence} at_us={unix}: {why}");
-                (duty, Some(DutyNews::Ended))
+            LeaseEffect::FinishWork { lease, fencing_token } => {
+                log::info!("duty {lease}: to be handed over fence={fencing_token} at_us={at_us}");
             }
-            Deed::Ask(..) => return,
-        };
-        let held = self.node.holder().held(now);
-        let held: Held = held
-            .map(|(duty, fence, until)| {
-                (duty.to_owned(), (fence, until, self.node.holder().may_act(duty, now).is_none()))
-            })
-            .collect();
-        self.held.send_replace(held);
-        if let (Some(news), Some(worker)) = (news, self.workers.get(&duty)) {
-            // One that does not keep up finds out by `may_act`.
-            let full = worker.try_send(news).is_err();
-            if full {
-                log::warn!("duty {duty}: its worker does not keep up");
+            LeaseEffect::Ended { lease, fencing_token, reason } => {
+                log::info!("duty {lease}: ended fence={fencing_token} at_us={at_us}: {reason}");
             }
+            LeaseEffect::CheckpointSaved { .. } | LeaseEffect::Submit { .. } => {}
         }
-        self.show();
     }
 
-    fn show(&mut self) {
-        let (now, table) = (self.clock.now().0.unsigned_abs(), self.node.table());
-        let mut names: Vec<&String> = self.duties.iter().chain(table.rows.keys()).collect();
-        names.sort();
-        names.dedup();
-        let duties = names.into_iter().map(|name| {
-            let row = table.rows.get(name);
-            let grant = row.and_then(|row| row.grant.as_ref());
-            let held = self.node.holder().held(now).find(|(duty, ..)| *duty == name.as_str());
-            DutyView {
-                name: name.clone(),
-                holder: grant.map(|grant| grant.holder.name.clone()),
-                fence: grant.map(|grant| grant.fence),
-                left_ms: held.map(|(_, _, until)| (until - now) / 1000),
-                note: row.map_or(String::new(), |row| row.note.clone()),
-                noted: row.map_or(0, |row| row.noted),
+    fn publish_held_leases(&self, now_us: u64) {
+        let holder = self.node.holder();
+        let held = holder.held(now_us).map(|held| {
+            let state = HeldLease {
+                fencing_token: held.fencing_token,
+                expires_at_us: held.expires_at_us,
+                is_finishing: holder.may_act(held.lease, now_us).is_none(),
+            };
+            (held.lease.to_owned(), state)
+        });
+        self.published.held.send_replace(held.collect());
+    }
+
+    fn publish_view(&mut self) {
+        let view = self.view();
+        if view.leases.iter().all(|lease| lease.left_ms.is_none()) {
+            for reply in std::mem::take(&mut self.pending_leaves) {
+                self.leave(reply);
             }
+        }
+        self.published.view.send_if_modified(|published| {
+            let has_changed = **published != view;
+            if has_changed {
+                *published = Arc::new(view);
+            }
+            has_changed
         });
-        let member = |member: &Member| MemberView {
-            name: member.life.name.clone(),
-            life: member.life.to_string(),
+    }
+
+    fn view(&self) -> ClusterView {
+        let table = self.node.table();
+        let own = self.node.membership().own();
+        let voters = table.voters.iter().map(|(id, name)| (format!("{id:x}"), name.clone()));
+        let rejections = self.node.rejections().iter();
+        ClusterView {
+            own_incarnation: own.incarnation.to_string(),
+            zone: own.zone.clone(),
+            voter_status: self.node.voter_status(),
+            voter_id: self.node.voter_identity().map(|identity| format!("{:x}", identity.id)),
+            table_index: table.index,
+            voters: voters.collect(),
+            waiting_voters: self.node.waiting_voters().cloned().collect(),
+            members: self.member_views(),
+            leases: self.lease_views(),
+            rejections: rejections.map(|(reason, count)| (reason.code().to_owned(), *count)).collect(),
+            sent: self.sent,
+        }
+    }
+
+    fn member_views(&self) -> Vec<MemberView> {
+        let view = |member: &Member| MemberView {
+            name: member.incarnation.name.clone(),
+            incarnation: member.incarnation.to_string(),
             address: member.address.to_string(),
             zone: member.zone.clone(),
         };
-        let mut members: Vec<MemberView> = self.node.members().others().map(member).collect();
+        let mut members: Vec<MemberView> = self.node.membership().others().map(view).collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let view = View {
-            me: self.node.members().me().life.to_string(),
-            zone: self.node.members().me().zone.clone(),
-            vote: self.node.standing(),
-            ballot: self.node.ballot().map(|ballot| format!("{:x}", ballot.id)),
-            index: table.index,
-            voters: table.voters.iter().map(|(id, name)| (format!("{id:x}"), name.clone())).collect(),
-            waiting: self.node.waiting().cloned().collect(),
-            members,
-            duties: duties.collect(),
-            refused: self.node.refused().iter().map(|(why, count)| (why.code().to_owned(), *count)).collect(),
-            sent: self.sent,
-        };
-        if view.duties.iter().all(|duty| duty.left_ms.is_none()) {
-            std::mem::take(&mut self.leaving).into_iter().for_each(|reply| self.leave(reply));
+        members
+    }
+
+    /// The leases that are configured here, and those of the table, by name.
+    fn lease_views(&self) -> Vec<LeaseView> {
+        let table = self.node.table();
+        let names: BTreeSet<&String> = self.event_senders.keys().chain(table.leases.keys()).collect();
+        names.into_iter().map(|name| self.lease_view(name)).collect()
+    }
+
+    fn lease_view(&self, name: &str) -> LeaseView {
+        let now_us = self.now_us();
+        let record = self.node.table().leases.get(name);
+        let grant = record.and_then(|record| record.grant.as_ref());
+        let held = self.node.holder().held(now_us).find(|held| held.lease == name);
+        LeaseView {
+            name: name.to_owned(),
+            holder: grant.map(|grant| grant.holder.name.clone()),
+            fencing_token: grant.map(|grant| grant.fencing_token),
+            left_ms: held.map(|held| (held.expires_at_us - now_us) / 1000),
+            checkpoint: record.map(|record| record.checkpoint.clone()).unwrap_or_default(),
+            checkpoint_index: record.map_or(0, |record| record.checkpoint_index),
         }
-        self.view.send_if_modified(|shown| {
-            let changed = **shown != view;
-            if changed {
-                *shown = Arc::new(view);
-            }
-            changed
-        });
     }
 }
--- a/src/cluster/peer_transport.rs
+++ b/src/cluster/peer_transport.rs
@@ -1,119 +1,124 @@
-//! Connections between managers: one for each direction, each used one way, with messages behind their length. What
-//! can't be sent is lost; whoever needs it says it again.
+//! Connections between managers: one for each direction, each used one way, with length-delimited messages. A message
+//! that can't be sent is dropped; the sender repeats what it needs.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use sanddyke_cluster::node::LONGEST_MESSAGE;
+use sanddyke_cluster::node::MAX_MESSAGE_BYTES;
 use std::collections::HashMap;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::sync::mpsc;
+use tokio::sync::{Semaphore, mpsc};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Messages that wait for one manager; what comes on top is lost.
-const QUEUE: usize = 256;
-/// Managers to which this one has a connection at once, and that have one to it.
-const MOST: usize = 1024;
-/// A connection that is not up by then is none, nor is one that takes no more for so long.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-const WRITE_TIME: Duration = Duration::from_secs(2);
-/// One that nothing was said on for so long is closed: members speak to each other about once a round of all.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+/// Messages that are queued for one manager; further ones are dropped.
+const QUEUE_CAPACITY: usize = 256;
+/// Maximum number of connections, in each direction.
+const MAX_CONNECTIONS: usize = 1024;
+/// A connection that is not established within this time is given up.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection on which a message can't be written within this time is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection without messages for this time is closed: members send to each other about once a round of all.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after an error of `accept`, which is often a lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A message that came.
-pub type Arrived = Vec<u8>;
-
-/// The ways to other managers.
-pub struct Links {
+/// The connections to other managers.
+pub struct PeerTransport {
     own: SocketAddr,
-    ways: HashMap<SocketAddr, mpsc::Sender<Bytes>>,
+    queues: HashMap<SocketAddr, mpsc::Sender<Bytes>>,
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST_MESSAGE).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
 }
 
-impl Links {
-    /// Hears others on a listener from now on.
-    pub fn start(listener: TcpListener, own: SocketAddr, arrive: mpsc::Sender<Arrived>) -> Links {
-        tokio::spawn(hear(listener, arrive));
-        Links { own, ways: HashMap::new() }
+impl PeerTransport {
+    /// Accepts connections from now on; received messages go to `inbox`.
+    pub fn start(listener: TcpListener, own: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) -> PeerTransport {
+        tokio::spawn(accept(listener, inbox));
+        PeerTransport { own, queues: HashMap::new() }
     }
 
-    /// Sends a message, or gives it up: false where it is lost already.
+    /// Queues a message; `false` if it is dropped.
     pub fn send(&mut self, to: SocketAddr, message: Vec<u8>) -> bool {
-        self.ways.retain(|_, way| !way.is_closed());
-        if !self.ways.contains_key(&to) && self.ways.len() >= MOST {
+        self.queues.retain(|_, queue| !queue.is_closed());
+        if !self.queues.contains_key(&to) && self.queues.len() >= MAX_CONNECTIONS {
             return false;
         }
-        let way = self.ways.entry(to).or_insert_with(|| {
-            let (way, messages) = mpsc::channel(QUEUE);
-            tokio::spawn(speak(self.own, to, messages));
-            way
+        let queue = self.queues.entry(to).or_insert_with(|| {
+            let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
+            tokio::spawn(send_all(self.own, to, messages));
+            queue
         });
-        way.try_send(message.into()).is_ok()
+        queue.try_send(message.into()).is_ok()
     }
 }
 
 async fn connect(own: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
-    // From the address that it listens at: others see by it who speaks.
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    // From the address that this manager listens on, by which others recognise it.
     if own.is_ipv4() == to.is_ipv4() {
         socket.bind(SocketAddr::new(own.ip(), 0))?;
     }
-    let stream = tokio::time::timeout(CONNECT_TIME, socket.connect(to)).await??;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(to)).await??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Says what is to be said to one manager until the connection ends. The next message opens another.
-async fn speak(own: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
+/// Sends the queued messages to one manager until the connection ends. The next message opens another one.
+async fn send_all(own: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
     let stream = match connect(own, to).await {
         Ok(stream) => stream,
-        Err(error) => return log::debug!("cluster: no way to {to}: {error}"),
+        Err(error) => return log::debug!("cluster: connecting to {to} failed: {error}"),
     };
-    let mut out = FramedWrite::new(stream, codec());
-    while let Ok(Some(message)) = tokio::time::timeout(IDLE_TIME, messages.recv()).await {
-        let sent = tokio::time::timeout(WRITE_TIME, out.send(message)).await;
+    let mut frames = FramedWrite::new(stream, codec());
+    while let Ok(Some(message)) = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await {
+        let sent = tokio::time::timeout(WRITE_TIMEOUT, frames.send(message)).await;
         if !matches!(sent, Ok(Ok(()))) {
-            return log::debug!("cluster: the way to {to} has ended");
+            return log::debug!("cluster: the connection to {to} has ended");
         }
     }
 }
 
-async fn hear(listener: TcpListener, arrive: mpsc::Sender<Arrived>) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(MOST));
+async fn accept(listener: TcpListener, inbox: mpsc::Sender<Vec<u8>>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("cluster: a connection can't be accepted: {error}");
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                log::warn!("cluster: accepting a connection failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
-            log::warn!("cluster: {from} is turned away: {MOST} are heard");
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            log::warn!("cluster: a connection from {from} is rejected: {MAX_CONNECTIONS} are open");
             continue;
         };
-        let arrive = arrive.clone();
+        let inbox = inbox.clone();
         tokio::spawn(async move {
-            let mut input = FramedRead::new(stream, codec());
-            while let Ok(Some(message)) = tokio::time::timeout(IDLE_TIME, input.next()).await {
-                match message {
-                    Ok(message) => {
-                        if arrive.send(message.to_vec()).await.is_err() {
-                            return;
-                        }
-                    }
-                    Err(error) => {
-                        log::warn!("cluster: {from} can't be understood, its connection ends: {error}");
-                        break;
-                    }
+            receive_all(stream, from, inbox).await;
+            drop(permit);
+        });
+    }
+}
+
+/// Receives messages from one manager until the connection ends.
+async fn receive_all(stream: TcpStream, from: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) {
+    let mut frames = FramedRead::new(stream, codec());
+    while let Ok(Some(frame)) = tokio::time::timeout(IDLE_TIMEOUT, frames.next()).await {
+        match frame {
+            Ok(message) => {
+                if inbox.send(message.to_vec()).await.is_err() {
+                    return;
                 }
             }
-            drop(place);
-        });
+            Err(error) => {
+                return log::warn!("cluster: the connection from {from} ends: invalid frame: {error}");
+            }
+        }
     }
 }
--- /dev/null
+++ b/src/cluster/process.rs
@@ -0,0 +1,50 @@
+//! What a rolling restart does to this process.
+
+use crate::clock::Clock;
+use crate::lifecycle::LifecycleHandle;
+use sanddyke_cluster::rolling_restart::{MemberStatus, RestartStep};
+use sanddyke_lifecycle::{Event, Phase};
+use std::sync::Arc;
+use tokio::sync::Notify;
+
+/// The program's lifecycle, and the signal to exit for a restart.
+#[derive(Debug, Clone)]
+pub struct ProcessControl {
+    /// The program's lifecycle.
+    pub lifecycle: LifecycleHandle,
+    /// Notified when the program is to exit; its supervisor starts it again.
+    pub restart: Arc<Notify>,
+}
+
+impl ProcessControl {
+    /// The status of this manager.
+    pub fn status(&self, clock: &Clock) -> MemberStatus {
+        MemberStatus {
+            ready: self.lifecycle.is_ready(),
+            drained: self.lifecycle.phase() == Phase::Drained,
+            open_requests: (self.lifecycle.unanswered() + self.lifecycle.connections()) as u64,
+            reported_at_us: clock.now().0.unsigned_abs(),
+        }
+    }
+
+    /// Takes a step of a rolling restart, unless it is for another incarnation than this one.
+    pub fn take_step(&self, step: RestartStep, own_incarnation: u64) {
+        let result = match step {
+            RestartStep::ReportStatus => return,
+            RestartStep::Quiesce { incarnation } | RestartStep::Restart { incarnation }
+                if incarnation != own_incarnation =>
+            {
+                return;
+            }
+            RestartStep::Quiesce { .. } => self.lifecycle.apply(Event::Quiesce),
+            RestartStep::Resume => self.lifecycle.apply(Event::Resume),
+            RestartStep::Restart { .. } => {
+                self.restart.notify_one();
+                return;
+            }
+        };
+        if let Err(error) = result {
+            log::info!("roll: {step}: {error}");
+        }
+    }
+}
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -1,105 +1,147 @@
-//! The duty of rolls: managers take turns at being drained or restarted ([`sanddyke_cluster::rolling_restart`]). Whoever holds it
-//! plays the roll in its note, and the next holder goes on from there.
+//! The controller of rolling restarts ([`sanddyke_cluster::rolling_restart`]): the work of its lease. The holder advances
+//! the rolling restart in the lease's checkpoint; the next holder continues from there.
 
-use super::{Cluster, DutyNews};
+use super::{Checkpoint, Cluster, LeaseEvent};
 use crate::clock::Clock;
-use crate::lifecycle::LifecycleHandle;
-use sanddyke_cluster::rolling_restart::{DUTY, How, Roll, Stand, State, Step, Turn, Watch};
-use sanddyke_lifecycle::{Event, Phase};
+use sanddyke_cluster::lease::MAX_CHECKPOINT_BYTES;
+use sanddyke_cluster::rolling_restart::{
+    InvalidTransition, LEASE_NAME, MemberStep, Observations, PlannedMember, Progress, RestartMode,
+    RestartState, RestartStep, RollingRestart,
+};
 use std::time::Duration;
-use tokio::sync::{Notify, mpsc};
+use thiserror::Error;
+use tokio::sync::mpsc;
 
-/// How often the roll goes a step on, and managers are asked where they stand.
-const STEP_EVERY: Duration = Duration::from_millis(100);
-/// A note that was not kept by then is put again.
-const NOTED_WITHIN: Duration = Duration::from_millis(500);
+/// How often the rolling restart is advanced, and managers are asked for their status.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// A checkpoint that is not saved by then is derived anew.
+const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often the checkpoint is polled while it is being saved.
+const CHECKPOINT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long an operator's command waits until its checkpoint is saved.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An operator's word on rolls.
+/// An operator's command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
-    /// Begin one: drained or restarted, so many at once.
-    Begin(How, usize),
-    /// Pause it, go on with it, or take it back.
-    Turn(State),
+pub enum OperatorCommand {
+    /// Start a rolling restart.
+    Start {
+        /// What is done to each manager.
+        mode: RestartMode,
+        /// How many managers at once.
+        max_active: usize,
+    },
+    /// Pause, resume or cancel it.
+    SetState(RestartState),
 }
 
-/// Where this manager stands.
-pub fn stand(life: &LifecycleHandle, clock: &Clock) -> Stand {
-    Stand {
-        at: clock.now().0.unsigned_abs(),
-        ready: life.is_ready(),
-        drained: life.phase() == Phase::Drained,
-        open: (life.unanswered() + life.connections()) as u64,
-    }
+/// Why an operator's command was rejected. The texts are those of the administration API.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum OperatorCommandError {
+    /// This manager does not hold the lease.
+    #[error("ask the holder of {LEASE_NAME}: {}", holder.as_deref().unwrap_or("nobody holds it now"))]
+    NotController {
+        /// Name of the manager that does.
+        holder: Option<String>,
+    },
+    /// There is one that has not ended.
+    #[error("a roll is open: take it back first")]
+    AlreadyOpen,
+    /// There is none.
+    #[error("there is no roll")]
+    NoRollingRestart,
+    /// The requested state does not follow on the current one.
+    #[error(transparent)]
+    InvalidTransition(#[from] InvalidTransition),
+    /// Its state exceeds the limit of a checkpoint.
+    #[error("too many managers for one roll: {bytes} bytes of {MAX_CHECKPOINT_BYTES}")]
+    TooManyMembers {
+        /// Size of its state, in bytes.
+        bytes: usize,
+    },
+    /// The voters did not save the checkpoint in time.
+    #[error("the voters did not take it in time: look whether it was")]
+    NotSaved,
+    /// Another checkpoint was saved instead.
+    #[error("the roll took a step at the same moment: try again")]
+    Overtaken,
 }
 
-/// Carries out a step for this manager, which is in this life.
-pub fn carry_out(step: Step, this: u64, life: &LifecycleHandle, restart: &Notify) {
-    let told = match step {
-        Step::Look => return,
-        Step::Quiesce(life_told) if life_told == this => life.apply(Event::Quiesce),
-        Step::Resume => life.apply(Event::Resume),
-        Step::Restart(life) if life == this => {
-            restart.notify_one();
-            return;
-        }
-        Step::Quiesce(_) | Step::Restart(_) => return,
-    };
-    if let Err(why) = told {
-        log::info!("roll: {step:?}: {why}");
-    }
-}
-
-/// Plays rolls for as long as the program runs and the duty is this manager's.
-pub async fn run(cluster: Cluster, mut news: mpsc::Receiver<DutyNews>, clock: Clock) {
-    let mut steps = tokio::time::interval(STEP_EVERY);
+/// Controls rolling restarts as long as the program runs and this manager holds the lease.
+pub async fn run(cluster: Cluster, mut events: mpsc::Receiver<LeaseEvent>, clock: Clock) {
+    let mut steps = tokio::time::interval(STEP_INTERVAL);
     steps.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut watch = Watch::default();
+    let mut observations = Observations::default();
     loop {
         tokio::select! {
-            told = news.recv() => match told {
-                Some(DutyNews::Began) => watch = Watch::default(),
-                Some(DutyNews::Finish) => cluster.finished(DUTY).await,
-                Some(DutyNews::Noted | DutyNews::Ended) => {}
+            event = events.recv() => match event {
+                Some(LeaseEvent::Acquired) => observations = Observations::default(),
+                Some(LeaseEvent::FinishWork) => cluster.work_finished(LEASE_NAME).await,
+                Some(LeaseEvent::CheckpointSaved | LeaseEvent::Ended) => {}
                 None => return,
             },
-            _ = steps.tick() => {
-                if cluster.may_act(DUTY).is_none() {
-                    continue;
-                }
-                let (on, note) = cluster.note_of(DUTY);
-                let Some(mut roll) = Roll::read(&note) else { continue };
-                if !roll.is_open() {
-                    continue;
-                }
-                watch.stands = cluster.stands();
-                let (mut tell, now) = (Vec::new(), clock.now().0.unsigned_abs());
-                if roll.step(now, &mut watch, &mut tell) {
-                    log::info!("roll: {}", roll.note());
-                    keep(&cluster, &mut news, on, &roll).await;
-                    continue;
-                }
-                // All are asked where they stand; those whose turn it is are told their step.
-                let view = cluster.view();
-                let named = view.members.iter().map(|member| member.name.clone()).chain([cluster.name().to_owned()]);
-                tell.extend(named.filter(|name| !roll.now().any(|now| now == name)).map(|name| (name, Step::Look)));
-                for (name, step) in tell {
-                    cluster.turn(&name, step).await;
-                }
+            _ = steps.tick() => advance(&cluster, &mut events, &mut observations, &clock).await,
+        }
+    }
+}
+
+/// Advances the rolling restart that is in progress, if there is one and this manager holds the lease.
+async fn advance(
+    cluster: &Cluster,
+    events: &mut mpsc::Receiver<LeaseEvent>,
+    observations: &mut Observations,
+    clock: &Clock,
+) {
+    if cluster.may_act(LEASE_NAME).is_none() {
+        return;
+    }
+    let checkpoint = cluster.checkpoint(LEASE_NAME);
+    let Some(mut restart) = RollingRestart::from_checkpoint(&checkpoint.text) else { return };
+    if !restart.is_open() {
+        return;
+    }
+    observations.statuses = cluster.statuses();
+    match restart.advance(clock.now().0.unsigned_abs(), observations) {
+        Progress::Changed => {
+            log::info!("roll: {}", restart.to_checkpoint());
+            save(cluster, events, &checkpoint, &restart).await;
+        }
+        Progress::Steps(steps) => {
+            for MemberStep { member, step } in steps {
+                cluster.send_restart_step(&member, step).await;
             }
+            poll_statuses(cluster, &restart).await;
         }
     }
 }
 
-/// Has a roll noted, and waits until another note is seen, this one or an operator's; or too long. Either way the next
-/// step is worked out from what is noted then.
-async fn keep(cluster: &Cluster, news: &mut mpsc::Receiver<DutyNews>, on: u64, roll: &Roll) {
-    cluster.note(DUTY, on, roll.note()).await;
-    let _late = tokio::time::timeout(NOTED_WITHIN, async {
-        while cluster.note_of(DUTY).0 == on {
-            match news.try_recv() {
-                Ok(DutyNews::Finish) => return cluster.finished(DUTY).await,
-                Ok(_) | Err(mpsc::error::TryRecvError::Empty) => tokio::time::sleep(STEP_EVERY / 10).await,
+/// Asks all managers without a step for their status.
+async fn poll_statuses(cluster: &Cluster, restart: &RollingRestart) {
+    let view = cluster.view();
+    let others = view.members.iter().map(|member| member.name.as_str());
+    for name in others.chain([cluster.name()]) {
+        if !restart.active().any(|active| active == name) {
+            cluster.send_restart_step(name, RestartStep::ReportStatus).await;
+        }
+    }
+}
+
+/// Saves a rolling restart, and waits until another checkpoint is seen, this one or an operator's, or until a timeout.
+/// In each case the next step is derived from the checkpoint that is seen then.
+async fn save(
+    cluster: &Cluster,
+    events: &mut mpsc::Receiver<LeaseEvent>,
+    previous: &Checkpoint,
+    restart: &RollingRestart,
+) {
+    cluster.save_checkpoint(LEASE_NAME, previous.index, restart.to_checkpoint()).await;
+    let _timed_out = tokio::time::timeout(CHECKPOINT_TIMEOUT, async {
+        while cluster.checkpoint(LEASE_NAME).index == previous.index {
+            match events.try_recv() {
+                Ok(LeaseEvent::FinishWork) => return cluster.work_finished(LEASE_NAME).await,
+                Ok(_) | Err(mpsc::error::TryRecvError::Empty) => {
+                    tokio::time::sleep(CHECKPOINT_POLL_INTERVAL).await;
+                }
                 Err(mpsc::error::TryRecvError::Disconnected) => return,
             }
         }
@@ -107,59 +149,70 @@
     .await;
 }
 
-/// An operator's word. Only the duty's holder takes it.
+/// Carries out an operator's command.
 ///
 /// # Errors
-/// Why not, in words for operators.
-pub async fn order(cluster: &Cluster, word: Word) -> Result<(), String> {
-    let view = cluster.view();
-    if cluster.may_act(DUTY).is_none() {
-        let holder = view.duties.iter().find(|duty| duty.name == DUTY).and_then(|duty| duty.holder.clone());
-        return Err(format!(
-            "ask the holder of {DUTY}: {}",
-            holder.as_deref().unwrap_or("nobody holds it now")
-        ));
+/// If this manager does not hold the lease, the command does not fit the current state, or it was not saved.
+pub async fn execute(cluster: &Cluster, command: OperatorCommand) -> Result<(), OperatorCommandError> {
+    if cluster.may_act(LEASE_NAME).is_none() {
+        let holder = cluster.view().lease(LEASE_NAME).and_then(|lease| lease.holder.clone());
+        return Err(OperatorCommandError::NotController { holder });
     }
-    let (on, known) = cluster.note_of(DUTY);
-    let known = Roll::read(&known);
-    let roll = match (word, known) {
-        (Word::Begin(..), Some(roll)) if roll.is_open() => {
-            return Err("a roll is open: take it back first".to_owned());
+    let previous = cluster.checkpoint(LEASE_NAME);
+    let current = RollingRestart::from_checkpoint(&previous.text);
+    let restart = match command {
+        OperatorCommand::Start { mode, max_active } => {
+            if current.is_some_and(|current| current.is_open()) {
+                return Err(OperatorCommandError::AlreadyOpen);
+            }
+            RollingRestart::new(mode, max_active, all_members(cluster), cluster.name())
         }
-        (Word::Begin(how, most), _) => {
-            let turn = |name: &str, zone: &str| Turn { name: name.to_owned(), zone: zone.to_owned() };
-            let mut turns: Vec<Turn> =
-                view.members.iter().map(|member| turn(&member.name, &member.zone)).collect();
-            turns.push(turn(cluster.name(), &view.zone));
-            Roll::new(how, most, turns, cluster.name())
+        OperatorCommand::SetState(state) => {
+            let mut restart = current.ok_or(OperatorCommandError::NoRollingRestart)?;
+            restart.transition_to(state)?;
+            restart
         }
-        (Word::Turn(_), None) => return Err("there is no roll".to_owned()),
-        (Word::Turn(state), Some(mut roll)) => match roll.turn_to(state) {
-            true => roll,
-            false => return Err(format!("the roll is {:?}", roll.state())),
-        },
     };
-    let note = roll.note();
-    if note.len() > sanddyke_cluster::lease::LONGEST_NOTE {
-        return Err(format!(
-            "too many managers for one roll: {} bytes of {}",
-            note.len(),
-            sanddyke_cluster::lease::LONGEST_NOTE
-        ));
+    let checkpoint = restart.to_checkpoint();
+    if checkpoint.len() > MAX_CHECKPOINT_BYTES {
+        return Err(OperatorCommandError::TooManyMembers { bytes: checkpoint.len() });
     }
-    cluster.note(DUTY, on, note.clone()).await;
-    let noted = tokio::time::timeout(4 * NOTED_WITHIN, async {
-        while cluster.note_of(DUTY).0 == on {
-            tokio::time::sleep(STEP_EVERY / 10).await;
+    cluster.save_checkpoint(LEASE_NAME, previous.index, checkpoint).await;
+    wait_for_checkpoint(cluster, &previous).await?;
+    if has_taken_effect(cluster, command) { Ok(()) } else { Err(OperatorCommandError::Overtaken) }
+}
+
+/// All managers, this one included.
+fn all_members(cluster: &Cluster) -> Vec<PlannedMember> {
+    let view = cluster.view();
+    let mut members: Vec<PlannedMember> = view
+        .members
+        .iter()
+        .map(|member| PlannedMember { name: member.name.clone(), zone: member.zone.clone() })
+        .collect();
+    members.push(PlannedMember { name: cluster.name().to_owned(), zone: view.zone.clone() });
+    members
+}
+
+async fn wait_for_checkpoint(cluster: &Cluster, previous: &Checkpoint) -> Result<(), OperatorCommandError> {
+    let changed = async {
+        while cluster.checkpoint(LEASE_NAME).index == previous.index {
+            tokio::time::sleep(CHECKPOINT_POLL_INTERVAL).await;
         }
-    });
-    noted.await.map_err(|_| "the voters did not take it in time: look whether it was".to_owned())?;
-    // A step of the roll may have been noted at the same moment: either on top of this word, or in its place.
-    let state = Roll::read(&cluster.note_of(DUTY).1).map(|roll| roll.state());
-    let took = match (word, state) {
-        (Word::Turn(State::TakenBack), Some(state)) => matches!(state, State::TakenBack | State::Stopped),
-        (Word::Turn(State::Paused), Some(state)) => state == State::Paused,
-        (Word::Begin(..) | Word::Turn(_), state) => state.is_some(),
     };
-    if took { Ok(()) } else { Err("the roll took a step at the same moment: try again".to_owned()) }
+    tokio::time::timeout(COMMAND_TIMEOUT, changed).await.map_err(|_| OperatorCommandError::NotSaved)
+}
+
+/// The controller may have saved a checkpoint at the same moment: after the command's, or instead of it.
+fn has_taken_effect(cluster: &Cluster, command: OperatorCommand) -> bool {
+    let checkpoint = cluster.checkpoint(LEASE_NAME);
+    let Some(restart) = RollingRestart::from_checkpoint(&checkpoint.text) else { return false };
+    let state = restart.state();
+    match command {
+        OperatorCommand::SetState(RestartState::Cancelling) => {
+            matches!(state, RestartState::Cancelling | RestartState::Stopped)
+        }
+        OperatorCommand::SetState(RestartState::Paused) => state == RestartState::Paused,
+        OperatorCommand::Start { .. } | OperatorCommand::SetState(_) => true,
+    }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -568,7 +568,7 @@
     if keys.backup_every_ms.is_some() && !backups {
         return Err(bad("cluster.backup_every_ms", "is set, and no folder is (store.backups)"));
     }
-    let backup = keys.backup_every_ms.map(|_| crate::cluster::backup::DUTY);
+    let backup = keys.backup_every_ms.map(|_| crate::cluster::backup::LEASE_NAME);
     Ok(Fleet {
         name: keys.name,
         listen,
--- a/src/main.rs
+++ b/src/main.rs
@@ -146,17 +146,21 @@
     lifecycle: &LifecycleHandle,
     restart: &Arc<Notify>,
 ) -> Result<Cluster, Fatal> {
-    use sanddyke::cluster::{ROLLING_RESTART_LEASE, backup, follow, restart_controller, start};
+    use sanddyke::cluster::{
+        JoinedCluster, ProcessControl, ROLLING_RESTART_LEASE, backup, follow_lifecycle, restart_controller,
+        start,
+    };
     let (address, every) = (fleet.listen, fleet.backup_every_ms);
-    let (cluster, mut news) = start(fleet, name, clock, seed, (lifecycle.clone(), restart.clone()))
-        .map_err(|error| Fatal::Cluster(address, error))?;
-    if let (Some(news), Some(every)) = (news.remove(backup::DUTY), every) {
-        tokio::spawn(backup::run(cluster.clone(), news, tenant_service.clone(), clock, every));
+    let process = ProcessControl { lifecycle: lifecycle.clone(), restart: restart.clone() };
+    let JoinedCluster { cluster, mut lease_events } =
+        start(fleet, name, clock, seed, process).map_err(|error| Fatal::Cluster(address, error))?;
+    if let (Some(events), Some(every)) = (lease_events.remove(backup::LEASE_NAME), every) {
+        tokio::spawn(backup::run(cluster.clone(), events, tenant_service.clone(), clock, every));
     }
-    if let Some(news) = news.remove(ROLLING_RESTART_LEASE) {
-        tokio::spawn(restart_controller::run(cluster.clone(), news, clock));
+    if let Some(events) = lease_events.remove(ROLLING_RESTART_LEASE) {
+        tokio::spawn(restart_controller::run(cluster.clone(), events, clock));
     }
-    tokio::spawn(follow(cluster.clone(), lifecycle.clone()));
+    tokio::spawn(follow_lifecycle(cluster.clone(), lifecycle.clone()));
     Ok(cluster)
 }
 
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -63,23 +63,27 @@
     assert!(!state.hard_state.is_empty() && !state.snapshot.is_empty());
     #[cfg(feature = "cluster")]
     {
-        use sanddyke_cluster::{Kept, Voter};
-        let kept = Kept { hard_state: state.hard_state, entries: state.entries, snapshot: state.snapshot };
-        let mut voter = Voter::start(0xfebc_de7e_9b4b_5d8b, &kept, true).unwrap();
+        use sanddyke_cluster::{PersistBatch, PersistedState, Voter};
+        let state =
+            PersistedState { hard_state: state.hard_state, entries: state.entries, snapshot: state.snapshot };
+        let mut voter = Voter::start(0xfebc_de7e_9b4b_5d8b, &state).unwrap();
         struct Memory;
         impl sanddyke_cluster::Disk for Memory {
-            fn keep(&mut self, _: &sanddyke_cluster::Batch) -> Result<(), String> {
+            fn persist(&mut self, _: &PersistBatch) -> Result<(), String> {
                 Ok(())
             }
         }
         // The only voter elects itself, and then applies its log.
         for _ in 0..100 {
             voter.tick();
-            voter.turn(&mut Memory).unwrap();
+            voter.process_ready(&mut Memory).unwrap();
         }
         let table = voter.table();
-        let leases: Vec<(&str, u64, &str)> =
-            table.rows.iter().map(|(name, row)| (name.as_str(), row.version, row.note.as_str())).collect();
+        let leases: Vec<(&str, u64, &str)> = table
+            .leases
+            .iter()
+            .map(|(name, lease)| (name.as_str(), lease.version, lease.checkpoint.as_str()))
+            .collect();
         assert_eq!(table.voters.values().collect::<Vec<_>>(), ["m1"]);
         assert_eq!(table.index, 15);
         assert_eq!(leases, [("backup", 13, "898112569"), ("warden", 14, "")]);
