--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -16,11 +16,14 @@
 //! clock and its act, the fencing token decides: each act carries it, and the resource rejects a token below the highest
 //! that it has seen.
 
+mod acquisition;
 mod effect;
+mod response;
 
+pub use acquisition::expiry_wait_us;
 pub use effect::{LeaseEffect, LeaseEndReason};
 
-use crate::lease::{Incarnation, LeaseOutcome, LeaseRecord, LeaseRequest, LeaseTable};
+use crate::lease::{Incarnation, LeaseOutcome, LeaseRequest, LeaseTable};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
@@ -29,34 +32,15 @@
 
 /// Assumed bound of a clock's rate error: 1 %. Crystals stay within 0.02 %; wall clocks, which may jump, are not read.
 pub const CLOCK_DRIFT: f64 = 0.01;
-/// A holder renews after this fraction of its lease, so that two renewals may be lost.
-const RENEW_AFTER_FRACTION: f64 = 1.0 / 3.0;
 /// A request without a response by then is sent again.
 const RESPONSE_TIMEOUT_US: Micros = 500_000;
 /// Requests other than an acquisition are forgotten after this many response timeouts.
 const FORGET_AFTER_TIMEOUTS: Micros = 4;
 /// A renewal is sent again after this fraction of the lease, where that is shorter than [`RESPONSE_TIMEOUT_US`].
 const RENEW_RETRIES_PER_LEASE: u64 = 6;
-/// Delay between the acquisition requests of managers of successive rank: some round trips of the voters, so that the
-/// first has the lease before the second requests it.
-const RANK_DELAY_US: Micros = 200_000;
-/// Ranks above this one wait no longer than it.
-const MAX_RANK: u64 = 20;
-/// How long the designated successor of a lease may acquire it before all others.
-const SUCCESSOR_HEAD_START_US: Micros = 1_000_000;
 /// Maximum number of requests without a response.
 const MAX_PENDING_REQUESTS: usize = 256;
 
-/// How long a version must stay unchanged before its lease counts as expired: see the module's proof.
-pub fn expiry_wait_us(lease_us: u64) -> Micros {
-    (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
-}
-
-/// The moment at which a lease that was requested at `requested_at_us` is renewed.
-fn renewal_time_us(requested_at_us: Micros, lease_us: u64) -> Micros {
-    requested_at_us + (lease_us as f64 * RENEW_AFTER_FRACTION) as Micros
-}
-
 /// A lease that this manager wants to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DesiredLease {
@@ -104,7 +88,7 @@
 /// The leases of one manager.
 #[derive(Debug)]
 pub struct LeaseHolder {
-    own: Incarnation,
+    local: Incarnation,
     rng: Rand64,
     desired: BTreeMap<String, DesiredLease>,
     observed: BTreeMap<String, ObservedVersion>,
@@ -119,9 +103,9 @@
 
 impl LeaseHolder {
     /// A manager that holds no lease.
-    pub fn new(own: Incarnation, seed: u64) -> LeaseHolder {
+    pub fn new(local: Incarnation, seed: u64) -> LeaseHolder {
         LeaseHolder {
-            own,
+            local,
             rng: Rand64::new(u128::from(seed)),
             desired: BTreeMap::new(),
             observed: BTreeMap::new(),
@@ -136,8 +120,8 @@
     /// A holder that is wrong on purpose: it counts its leases from the response, and waits no longer than the lease of
     /// another. A simulation that does not detect it proves nothing about the correct one.
     #[doc(hidden)]
-    pub fn without_safety_margin(own: Incarnation, seed: u64) -> LeaseHolder {
-        LeaseHolder { has_safety_margin: false, ..LeaseHolder::new(own, seed) }
+    pub fn without_safety_margin(local: Incarnation, seed: u64) -> LeaseHolder {
+        LeaseHolder { has_safety_margin: false, ..LeaseHolder::new(local, seed) }
     }
 
     /// Sets the leases that this manager wants to hold. Leases that it holds stay, whatever their rank.
@@ -173,7 +157,7 @@
         }
         self.observe_versions(now, &table);
         self.table = table;
-        self.adopt_own_grants(now, out);
+        self.adopt_local_grants(now, out);
         self.end_lost_leases(out);
     }
 
@@ -189,13 +173,13 @@
     }
 
     /// The response to a request may be lost while its grant is in the table: the nonce identifies the request.
-    fn adopt_own_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
+    fn adopt_local_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         let grants = self.table.leases.values().filter_map(|record| record.grant.as_ref());
-        let own_grants: Vec<(u64, u64)> = grants
-            .filter(|grant| grant.holder == self.own)
+        let local_grants: Vec<(u64, u64)> = grants
+            .filter(|grant| grant.holder == self.local)
             .map(|grant| (grant.nonce, grant.fencing_token))
             .collect();
-        for (nonce, fencing_token) in own_grants {
+        for (nonce, fencing_token) in local_grants {
             self.handle_outcome(now, nonce, LeaseOutcome::Granted { fencing_token }, out);
         }
     }
@@ -221,92 +205,6 @@
         }
     }
 
-    /// Handles the voters' response to a request.
-    pub fn handle_outcome(
-        &mut self,
-        now: Micros,
-        nonce: u64,
-        outcome: LeaseOutcome,
-        out: &mut Vec<LeaseEffect>,
-    ) {
-        let Some(pending) = self.pending.remove(&nonce) else { return };
-        match (pending.request, outcome) {
-            (LeaseRequest::Acquire { lease, lease_us, .. }, LeaseOutcome::Granted { fencing_token }) => {
-                self.handle_grant(now, pending.sent_at_us, lease, lease_us, fencing_token, out);
-            }
-            (LeaseRequest::Renew { lease, fencing_token }, LeaseOutcome::Renewed) => {
-                self.handle_renewal(now, pending.sent_at_us, &lease, fencing_token, out);
-            }
-            (LeaseRequest::Checkpoint { lease, fencing_token, .. }, LeaseOutcome::CheckpointSaved) => {
-                out.push(LeaseEffect::CheckpointSaved { lease, fencing_token });
-            }
-            (
-                LeaseRequest::Renew { lease, fencing_token }
-                | LeaseRequest::Checkpoint { lease, fencing_token, .. },
-                LeaseOutcome::NotHolder,
-            ) if self.held.get(&lease).is_some_and(|held| held.fencing_token == fencing_token) => {
-                self.end(&lease, LeaseEndReason::Lost, out);
-            }
-            _ => {}
-        }
-    }
-
-    /// The moment from which a lease is counted.
-    fn counted_from(&self, now: Micros, sent_at_us: Micros) -> Micros {
-        if self.has_safety_margin { sent_at_us } else { now }
-    }
-
-    fn handle_grant(
-        &mut self,
-        now: Micros,
-        sent_at_us: Micros,
-        lease: String,
-        lease_us: u64,
-        fencing_token: u64,
-        out: &mut Vec<LeaseEffect>,
-    ) {
-        let expires_at_us = self.counted_from(now, sent_at_us) + lease_us;
-        // After a late response others may be waiting for the lease's expiry already.
-        if now >= expires_at_us || self.is_draining {
-            let release = LeaseRequest::Release { lease, fencing_token, successor: None };
-            return self.submit(now, release, out);
-        }
-        let held = HeldState {
-            fencing_token,
-            lease_us,
-            expires_at_us,
-            renew_at_us: renewal_time_us(sent_at_us, lease_us),
-            is_finishing: false,
-        };
-        self.held.insert(lease.clone(), held);
-        out.push(LeaseEffect::Acquired { lease, fencing_token, expires_at_us });
-    }
-
-    fn handle_renewal(
-        &mut self,
-        now: Micros,
-        sent_at_us: Micros,
-        lease: &str,
-        fencing_token: u64,
-        out: &mut Vec<LeaseEffect>,
-    ) {
-        let counted_from = self.counted_from(now, sent_at_us);
-        let Some(held) = self.held.get_mut(lease) else { return };
-        if held.fencing_token != fencing_token {
-            return;
-        }
-        // An expired lease has ended, even if the renewal reached the voters in time.
-        if now >= held.expires_at_us {
-            return self.end(lease, LeaseEndReason::Expired, out);
-        }
-        let expires_at_us = counted_from + held.lease_us;
-        if expires_at_us > held.expires_at_us {
-            held.expires_at_us = expires_at_us;
-            held.renew_at_us = renewal_time_us(sent_at_us, held.lease_us);
-            out.push(LeaseEffect::Extended { lease: lease.to_owned(), fencing_token, expires_at_us });
-        }
-    }
-
     /// Time has passed: ends expired leases, renews, and requests desired leases that may be acquired.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         self.end_expired_leases(now, out);
@@ -357,44 +255,6 @@
         requests
     }
 
-    /// The request for a desired lease, if it may be acquired by now.
-    fn acquire_request(&self, now: Micros, lease: &str, desired: &DesiredLease) -> Option<LeaseRequest> {
-        if self.held.contains_key(lease) || self.has_recent_acquire(now, lease) {
-            return None;
-        }
-        let rank_delay_us = desired.rank.min(MAX_RANK) * RANK_DELAY_US;
-        let (version, acquire_at_us) = match (self.table.leases.get(lease), self.observed.get(lease)) {
-            (Some(record), Some(observed)) => {
-                let wait_us = self.wait_before_acquire_us(record, rank_delay_us);
-                (observed.version, observed.first_seen_us + wait_us)
-            }
-            // A lease that was never held: in the order of ranks too, as far as managers start together.
-            _ => (0, rank_delay_us),
-        };
-        let request =
-            || LeaseRequest::Acquire { lease: lease.to_owned(), version, lease_us: desired.lease_us };
-        (now >= acquire_at_us).then(request)
-    }
-
-    fn has_recent_acquire(&self, now: Micros, lease: &str) -> bool {
-        self.pending.values().any(|pending| {
-            matches!(pending.request, LeaseRequest::Acquire { .. })
-                && pending.request.lease() == lease
-                && now < pending.sent_at_us + RESPONSE_TIMEOUT_US
-        })
-    }
-
-    /// How long a record's version must be unchanged before this manager requests the lease.
-    fn wait_before_acquire_us(&self, record: &LeaseRecord, rank_delay_us: Micros) -> Micros {
-        match (&record.grant, &record.successor) {
-            (Some(grant), _) if self.has_safety_margin => expiry_wait_us(grant.lease_us) + rank_delay_us,
-            (Some(grant), _) => grant.lease_us + rank_delay_us,
-            (None, Some(successor)) if *successor == self.own.name => 0,
-            (None, Some(_)) => SUCCESSOR_HEAD_START_US + rank_delay_us,
-            (None, None) => rank_delay_us,
-        }
-    }
-
     /// The work of a lease that is being handed over is finished: releases it.
     pub fn work_finished(
         &mut self,
--- /dev/null
+++ b/crates/cluster/src/lease_holder/acquisition.rs
@@ -0,0 +1,61 @@
+//! When a manager requests a lease: see the proof of [`super`].
+
+use super::{CLOCK_DRIFT, DesiredLease, LeaseHolder, Micros, RESPONSE_TIMEOUT_US};
+use crate::lease::{LeaseRecord, LeaseRequest};
+
+/// Delay between the acquisition requests of managers of successive rank: some round trips of the voters, so that the
+/// first has the lease before the second requests it.
+const RANK_DELAY_US: Micros = 200_000;
+/// Ranks above this one wait no longer than it.
+const MAX_RANK: u64 = 20;
+/// How long the designated successor of a lease may acquire it before all others.
+const SUCCESSOR_HEAD_START_US: Micros = 1_000_000;
+/// How long a version must stay unchanged before its lease counts as expired: see the module's proof.
+pub fn expiry_wait_us(lease_us: u64) -> Micros {
+    (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
+}
+
+impl LeaseHolder {
+    /// The request for a desired lease, if it may be acquired by now.
+    pub(super) fn acquire_request(
+        &self,
+        now: Micros,
+        lease: &str,
+        desired: &DesiredLease,
+    ) -> Option<LeaseRequest> {
+        if self.held.contains_key(lease) || self.has_recent_acquire(now, lease) {
+            return None;
+        }
+        let rank_delay_us = desired.rank.min(MAX_RANK) * RANK_DELAY_US;
+        let (version, acquire_at_us) = match (self.table.leases.get(lease), self.observed.get(lease)) {
+            (Some(record), Some(observed)) => {
+                let wait_us = self.wait_before_acquire_us(record, rank_delay_us);
+                (observed.version, observed.first_seen_us + wait_us)
+            }
+            // A lease that was never held: in the order of ranks too, as far as managers start together.
+            _ => (0, rank_delay_us),
+        };
+        let request =
+            || LeaseRequest::Acquire { lease: lease.to_owned(), version, lease_us: desired.lease_us };
+        (now >= acquire_at_us).then(request)
+    }
+
+    fn has_recent_acquire(&self, now: Micros, lease: &str) -> bool {
+        self.pending.values().any(|pending| {
+            matches!(pending.request, LeaseRequest::Acquire { .. })
+                && pending.request.lease() == lease
+                && now < pending.sent_at_us + RESPONSE_TIMEOUT_US
+        })
+    }
+
+    /// How long a record's version must be unchanged before this manager requests the lease.
+    fn wait_before_acquire_us(&self, record: &LeaseRecord, rank_delay_us: Micros) -> Micros {
+        match (&record.grant, &record.successor) {
+            (Some(grant), _) if self.has_safety_margin => expiry_wait_us(grant.lease_us) + rank_delay_us,
+            (Some(grant), _) => grant.lease_us + rank_delay_us,
+            (None, Some(successor)) if *successor == self.local.name => 0,
+            (None, Some(_)) => SUCCESSOR_HEAD_START_US + rank_delay_us,
+            (None, None) => rank_delay_us,
+        }
+    }
+}
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -149,13 +149,13 @@
 
 impl std::fmt::Debug for Membership {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        out.debug_struct("Membership").field("own", self.protocol.identity()).finish_non_exhaustive()
+        out.debug_struct("Membership").field("local", self.protocol.identity()).finish_non_exhaustive()
     }
 }
 
 impl Membership {
     /// Knows this member only.
-    pub fn new(own: Member, seed: u64) -> Membership {
+    pub fn new(local: Member, seed: u64) -> Membership {
         let size = NonZeroU32::new(ASSUMED_FLEET_SIZE).unwrap_or(NonZeroU32::MIN);
         let mut config = foca::Config::new_lan(size);
         config.max_packet_size = NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(config.max_packet_size);
@@ -165,12 +165,12 @@
             frequency: ANNOUNCE_TO_DOWN_INTERVAL,
             num_members: NonZeroUsize::MIN,
         });
-        let protocol = Foca::new(own, config, StdRng::seed_from_u64(seed), PostcardCodec);
+        let protocol = Foca::new(local, config, StdRng::seed_from_u64(seed), PostcardCodec);
         Membership { protocol, timers: TimerQueue::default() }
     }
 
     /// This member.
-    pub fn own(&self) -> &Member {
+    pub fn local(&self) -> &Member {
         self.protocol.identity()
     }
 
@@ -182,7 +182,7 @@
     /// The member of this name, if it is up.
     pub fn by_name(&self, name: &str) -> Option<&Member> {
         // A member that restarted at another address is known twice until its old incarnation is considered down.
-        let all = self.others().chain([self.own()]);
+        let all = self.others().chain([self.local()]);
         all.filter(|member| member.incarnation.name == name).max_by_key(|member| member.incarnation.number)
     }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -41,7 +41,7 @@
     /// Name of the fleet. Messages of other fleets are rejected.
     pub cluster: String,
     /// This manager.
-    pub own: Member,
+    pub local: Member,
     /// Addresses of managers that are asked for admission.
     pub seeds: Vec<SocketAddr>,
     /// Names of the voters of a new group. A founded group has its own list.
@@ -80,7 +80,7 @@
 impl std::fmt::Debug for Node {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         out.debug_struct("Node")
-            .field("own", self.own_incarnation())
+            .field("local", self.local_incarnation())
             .field("voter", &self.voter_status())
             .finish_non_exhaustive()
     }
@@ -90,8 +90,8 @@
     /// A manager that starts now. With a disk it is a voter, if the group has it as one.
     pub fn start(config: NodeConfig, now: Micros, disk: Option<&dyn VoterDisk>) -> Node {
         let mut node = Node {
-            membership: Membership::new(config.own.clone(), config.seed),
-            holder: LeaseHolder::new(config.own.incarnation.clone(), config.seed ^ HOLDER_SEED_MASK),
+            membership: Membership::new(config.local.clone(), config.seed),
+            holder: LeaseHolder::new(config.local.incarnation.clone(), config.seed ^ HOLDER_SEED_MASK),
             voter_state: VoterState::load(disk),
             voter_identity: disk.map(VoterDisk::identity),
             pending_responses: HashMap::new(),
@@ -114,7 +114,7 @@
     /// A manager whose leases are counted wrongly on purpose, for simulations.
     #[doc(hidden)]
     pub fn without_safety_margin(mut self) -> Node {
-        self.holder = LeaseHolder::without_safety_margin(self.own_incarnation().clone(), self.config.seed);
+        self.holder = LeaseHolder::without_safety_margin(self.local_incarnation().clone(), self.config.seed);
         self.update_ranks();
         self
     }
@@ -162,8 +162,8 @@
         self.waiting_voters.keys()
     }
 
-    fn own_incarnation(&self) -> &Incarnation {
-        &self.config.own.incarnation
+    fn local_incarnation(&self) -> &Incarnation {
+        &self.config.local.incarnation
     }
 
     /// Handles an input, and gives what is to be done.
@@ -246,8 +246,8 @@
                     nonce,
                     request,
                     hops: 0,
-                    from: self.own_incarnation().clone(),
-                    reply_to: self.config.own.address,
+                    from: self.local_incarnation().clone(),
+                    reply_to: self.config.local.address,
                 };
                 self.route_request(routed, out);
             }
@@ -258,7 +258,7 @@
     fn send_restart_step(&self, now: Micros, member: &str, step: RestartStep, out: &mut Vec<Output>) {
         let Some(fencing_token) = self.holder.may_act(rolling_restart::LEASE_NAME, now) else { return };
         let Some(to) = self.membership.address_of(member) else { return };
-        if to == self.config.own.address {
+        if to == self.config.local.address {
             out.push(Output::RestartStep { reply_to: to, step });
         } else {
             self.send(to, PeerMessage::RestartStep { fencing_token, step }, out);
@@ -266,8 +266,8 @@
     }
 
     fn send_status(&self, to: SocketAddr, status: MemberStatus, out: &mut Vec<Output>) {
-        if to == self.config.own.address {
-            let incarnation = self.own_incarnation().clone();
+        if to == self.config.local.address {
+            let incarnation = self.local_incarnation().clone();
             out.push(Output::MemberStatus(ReportedStatus { incarnation, status }));
         } else {
             self.send(to, PeerMessage::MemberStatus(status), out);
@@ -278,7 +278,7 @@
         let envelope = Envelope {
             version: PROTOCOL_VERSION,
             cluster: self.config.cluster.clone(),
-            from: self.own_incarnation().clone(),
+            from: self.local_incarnation().clone(),
             message,
         };
         out.push(match message::encode(&envelope) {
@@ -290,19 +290,19 @@
     /// Names of this manager and the other members, in the order in which they request a free lease.
     fn ranked(&self, lease: &str) -> Vec<&str> {
         let others = self.membership.others().map(|member| member.incarnation.name.as_str());
-        ranking::ranked(lease, others.chain([self.own_incarnation().name.as_str()]))
+        ranking::ranked(lease, others.chain([self.local_incarnation().name.as_str()]))
     }
 
     fn successor(&self, lease: &str) -> Option<String> {
-        let own = self.own_incarnation().name.as_str();
-        self.ranked(lease).into_iter().find(|name| *name != own).map(str::to_owned)
+        let local = self.local_incarnation().name.as_str();
+        self.ranked(lease).into_iter().find(|name| *name != local).map(str::to_owned)
     }
 
     fn update_ranks(&mut self) {
         let mut desired = BTreeMap::new();
         for (lease, lease_us) in &self.config.leases {
-            let own = self.own_incarnation().name.as_str();
-            let rank = self.ranked(lease).iter().position(|name| *name == own).unwrap_or(0) as u64;
+            let local = self.local_incarnation().name.as_str();
+            let rank = self.ranked(lease).iter().position(|name| *name == local).unwrap_or(0) as u64;
             desired.insert(lease.clone(), DesiredLease { lease_us: *lease_us, rank });
         }
         self.holder.set_desired(desired);
--- a/crates/cluster/src/node/group.rs
+++ b/crates/cluster/src/node/group.rs
@@ -193,7 +193,7 @@
         if !is_configured && !self.table().voters.values().any(|name| *name == from.name) {
             return Err(MessageRejection::NotAVoter);
         }
-        let own_id = self.voter_identity.as_ref().map(|identity| identity.id);
+        let local_id = self.voter_identity.as_ref().map(|identity| identity.id);
         match (&mut self.voter_state, voters) {
             (VoterState::Active(voter), None) => {
                 // The sender may have missed the founding, or lost its file.
@@ -201,7 +201,7 @@
                 if !voters.contains_key(&id) {
                     self.waiting_voters.insert(from.name.clone(), id);
                 }
-                if let (Some(to), Some(id)) = (self.membership.address_of(&from.name), own_id) {
+                if let (Some(to), Some(id)) = (self.membership.address_of(&from.name), local_id) {
                     self.send(to, PeerMessage::Discovery { id, voters: Some(voters) }, out);
                 }
             }
@@ -209,7 +209,7 @@
                 ids.insert(from.name.clone(), id);
             }
             (VoterState::Forming(ids), Some(voters)) => {
-                if own_id.is_some_and(|own_id| voters.contains_key(&own_id)) {
+                if local_id.is_some_and(|local_id| voters.contains_key(&local_id)) {
                     *ids = voters.into_iter().map(|(id, name)| (name, id)).collect();
                 } else {
                     let reason = "its file was lost: the group knows it under another number".to_owned();
@@ -244,8 +244,8 @@
     fn initial_voters(&self, identity: &VoterIdentity) -> Option<GroupVoters> {
         match &self.voter_state {
             VoterState::Forming(ids) => {
-                let own = (self.own_incarnation().name.clone(), identity.id);
-                let all: HashMap<String, u64> = ids.clone().into_iter().chain([own]).collect();
+                let local = (self.local_incarnation().name.clone(), identity.id);
+                let all: HashMap<String, u64> = ids.clone().into_iter().chain([local]).collect();
                 let is_complete = self.config.voters.iter().all(|name| all.contains_key(name));
                 is_complete.then(|| all.into_iter().map(|(name, id)| (id, name)).collect())
             }
--- a/crates/cluster/src/node/inbound.rs
+++ b/crates/cluster/src/node/inbound.rs
@@ -58,9 +58,9 @@
         let member = self.membership.by_name(&from.name);
         let member_number = member.map_or(0, |member| member.incarnation.number);
         let latest = self.latest_incarnations.get(&from.name).copied().unwrap_or(0).max(member_number);
-        let own = self.own_incarnation();
-        let is_other_own = from.name == own.name && from != own;
-        if from.number < latest || is_other_own {
+        let local = self.local_incarnation();
+        let is_other_local = from.name == local.name && from != local;
+        if from.number < latest || is_other_local {
             return Err(MessageRejection::StaleIncarnation);
         }
         // Only the names of members are remembered: those of others are not bounded.
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -115,9 +115,9 @@
 
     fn respond(&mut self, now: Micros, applied: AppliedProposal, out: &mut Vec<Output>) {
         let AppliedProposal { proposal: Proposal { from, nonce, .. }, outcome } = applied;
-        let is_own = from == *self.own_incarnation();
+        let is_local = from == *self.local_incarnation();
         let reply_to = self.pending_responses.remove(&RequestId { from, nonce });
-        if is_own {
+        if is_local {
             self.holder.handle_outcome(now, nonce, outcome, &mut self.lease_effects);
         } else if let Some(to) = reply_to {
             self.send(to, PeerMessage::LeaseResponse { nonce, outcome }, out);
@@ -126,12 +126,12 @@
 
     /// The address of a voter that is up, in rotation.
     pub(super) fn next_voter(&mut self) -> Option<SocketAddr> {
-        let own = self.config.own.address;
+        let local = self.config.local.address;
         let addresses: Vec<SocketAddr> = self
             .voter_names()
             .into_iter()
             .filter_map(|name| self.membership.address_of(name))
-            .filter(|address| *address != own)
+            .filter(|address| *address != local)
             .collect();
         self.next_voter_index = self.next_voter_index.wrapping_add(1);
         addresses.get(self.next_voter_index % addresses.len().max(1)).copied()
--- a/crates/cluster/src/node/schedule.rs
+++ b/crates/cluster/src/node/schedule.rs
@@ -58,9 +58,9 @@
     fn join_seeds(&mut self, now: Micros) {
         let is_alone = self.membership.others().next().is_none();
         self.schedule.join_at_us = now + if is_alone { JOIN_INTERVAL_US } else { REJOIN_INTERVAL_US };
-        let own = self.config.own.address;
+        let local = self.config.local.address;
         let mut seeds: Vec<SocketAddr> =
-            self.config.seeds.iter().copied().filter(|seed| *seed != own).collect();
+            self.config.seeds.iter().copied().filter(|seed| *seed != local).collect();
         // Also with other members: it may be that only old incarnations are known, which do not respond.
         self.next_seed_index = self.next_seed_index.wrapping_add(1);
         if !is_alone {
@@ -91,12 +91,12 @@
         }
         self.schedule.discovery_at_us = now + DISCOVERY_INTERVAL_US;
         let id = identity.id;
-        let own_name = &self.own_incarnation().name;
+        let local_name = &self.local_incarnation().name;
         let others: Vec<SocketAddr> = self
             .config
             .voters
             .iter()
-            .filter(|name| *name != own_name)
+            .filter(|name| *name != local_name)
             .filter_map(|name| self.membership.address_of(name))
             .collect();
         for other in others {
--- a/crates/cluster/src/simulation/world.rs
+++ b/crates/cluster/src/simulation/world.rs
@@ -202,7 +202,7 @@
         if let Some(disk) = &mut manager.disk {
             disk.set_full(false);
         }
-        let own = Member {
+        let local = Member {
             incarnation: Incarnation { name: format!("m{number}"), number: manager.incarnation },
             address: address(number),
             zone: format!("z{}", number % ZONES),
@@ -210,7 +210,7 @@
         };
         let config = NodeConfig {
             cluster: "simulated".to_owned(),
-            own,
+            local,
             seeds: (0..self.plan.voters).map(address).collect(),
             voters: (0..self.plan.voters).map(|voter| format!("m{voter}")).collect(),
             leases: LEASES.iter().map(|lease| ((*lease).to_owned(), LEASE_US)).collect(),
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/tests/input.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 fn node() -> Node {
-    let own = Member {
+    let local = Member {
         incarnation: Incarnation { name: "m0".to_owned(), number: 7 },
         address: "127.0.0.1:1".parse().unwrap(),
         zone: String::new(),
@@ -15,7 +15,7 @@
     };
     let config = NodeConfig {
         cluster: "here".to_owned(),
-        own,
+        local,
         seeds: Vec::new(),
         voters: vec!["m1".to_owned()],
         leases: BTreeMap::from([("backup".to_owned(), 1_000_000)]),
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -113,7 +113,7 @@
     let incarnation = Incarnation { name: name.to_owned(), number: clock.unix_ms() };
     NodeConfig {
         cluster: fleet.name.clone(),
-        own: Member { incarnation, address: fleet.advertise, zone: fleet.zone.clone(), rejoin_count: 0 },
+        local: Member { incarnation, address: fleet.advertise, zone: fleet.zone.clone(), rejoin_count: 0 },
         seeds: fleet.seeds.clone(),
         voters: fleet.voters.clone(),
         leases: fleet.duties.iter().map(|lease| (lease.clone(), fleet.lease_us)).collect(),
@@ -124,7 +124,7 @@
 fn start_node(config: NodeConfig, clock: &Clock, disk: Option<&FileVoterDisk>) -> Node {
     let disk = disk.map(|disk| disk as &dyn VoterDisk);
     let node = Node::start(config, clock.now().0.unsigned_abs(), disk);
-    log::info!("cluster: {} {}", node.membership().own().incarnation, node.voter_status());
+    log::info!("cluster: {} {}", node.membership().local().incarnation, node.voter_status());
     node
 }
 
@@ -241,8 +241,8 @@
                 }
                 Output::Notice(notice) => log::info!("cluster: {notice}"),
                 Output::RestartStep { reply_to, step } => {
-                    let own_incarnation = self.node.membership().own().incarnation.number;
-                    self.process.take_step(step, own_incarnation);
+                    let local_incarnation = self.node.membership().local().incarnation.number;
+                    self.process.take_step(step, local_incarnation);
                     replies
                         .push(Input::SendStatus { to: reply_to, status: self.process.status(&self.clock) });
                 }
@@ -331,12 +331,12 @@
 
     fn view(&self) -> ClusterView {
         let table = self.node.table();
-        let own = self.node.membership().own();
+        let local = self.node.membership().local();
         let voters = table.voters.iter().map(|(id, name)| (format!("{id:x}"), name.clone()));
         let rejections = self.node.rejections().iter();
         ClusterView {
-            own_incarnation: own.incarnation.to_string(),
-            zone: own.zone.clone(),
+            local_incarnation: local.incarnation.to_string(),
+            zone: local.zone.clone(),
             voter_status: self.node.voter_status(),
             voter_id: self.node.voter_identity().map(|identity| format!("{:x}", identity.id)),
             table_index: table.index,
--- a/src/cluster/peer_transport.rs
+++ b/src/cluster/peer_transport.rs
@@ -27,7 +27,7 @@
 
 /// The connections to other managers.
 pub struct PeerTransport {
-    own: SocketAddr,
+    local: SocketAddr,
     queues: HashMap<SocketAddr, mpsc::Sender<Bytes>>,
 }
 
@@ -37,9 +37,9 @@
 
 impl PeerTransport {
     /// Accepts connections from now on; received messages go to `inbox`.
-    pub fn start(listener: TcpListener, own: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) -> PeerTransport {
+    pub fn start(listener: TcpListener, local: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) -> PeerTransport {
         tokio::spawn(accept(listener, inbox));
-        PeerTransport { own, queues: HashMap::new() }
+        PeerTransport { local, queues: HashMap::new() }
     }
 
     /// Queues a message; `false` if it is dropped.
@@ -50,18 +50,18 @@
         }
         let queue = self.queues.entry(to).or_insert_with(|| {
             let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
-            tokio::spawn(send_all(self.own, to, messages));
+            tokio::spawn(send_all(self.local, to, messages));
             queue
         });
         queue.try_send(message.into()).is_ok()
     }
 }
 
-async fn connect(own: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
+async fn connect(local: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     // From the address that this manager listens on, by which others recognise it.
-    if own.is_ipv4() == to.is_ipv4() {
-        socket.bind(SocketAddr::new(own.ip(), 0))?;
+    if local.is_ipv4() == to.is_ipv4() {
+        socket.bind(SocketAddr::new(local.ip(), 0))?;
     }
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(to)).await??;
     stream.set_nodelay(true)?;
@@ -69,8 +69,8 @@
 }
 
 /// Sends the queued messages to one manager until the connection ends. The next message opens another one.
-async fn send_all(own: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
-    let stream = match connect(own, to).await {
+async fn send_all(local: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
+    let stream = match connect(local, to).await {
         Ok(stream) => stream,
         Err(error) => return log::debug!("cluster: connecting to {to} failed: {error}"),
     };
--- a/src/cluster/view.rs
+++ b/src/cluster/view.rs
@@ -60,7 +60,7 @@
 pub struct ClusterView {
     /// Incarnation of this manager.
     #[serde(rename = "me")]
-    pub own_incarnation: String,
+    pub local_incarnation: String,
     /// Zone of this manager.
     pub zone: String,
     /// Status of its voter.
