--- a/crates/cluster/src/lease_holder/acquisition.rs
+++ b/crates/cluster/src/lease_holder/acquisition.rs
@@ -10,6 +10,7 @@
 const MAX_RANK: u64 = 20;
 /// How long the designated successor of a lease may acquire it before all others.
 const SUCCESSOR_HEAD_START_US: Micros = 1_000_000;
+
 /// How long a version must stay unchanged before its lease counts as expired: see the module's proof.
 pub fn expiry_wait_us(lease_us: u64) -> Micros {
     (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults between the processes of a fleet: one after another from a seed, or one kind at a time to see how long a duty
+//! Faults between the processes of a fleet: one after another from a seed, or one kind at a time to see how long a lease
 //! is without a holder.
 
 use crate::RigError;
@@ -10,10 +10,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The duty that is watched.
-const DUTY: &str = "backup";
+/// The lease that is observed.
+const LEASE: &str = "backup";
 
-/// A kind of fault to whoever holds the duty.
+/// A kind of fault of the manager that holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// It is killed.
@@ -30,7 +30,7 @@
     Terminated,
     /// It is drained, and resumed.
     Drained,
-    /// An operator hands its duty over.
+    /// An operator hands its lease over.
     HandedOver,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether the holder can give its duty away itself.
+    /// Whether the holder can hand its lease over itself.
     pub fn is_planned(self) -> bool {
         matches!(self, Kind::Terminated | Kind::Drained | Kind::HandedOver)
     }
@@ -101,7 +101,7 @@
     pub managers: usize,
     /// Faults.
     pub faults: usize,
-    /// Times that somebody began to hold the duty.
+    /// Number of grants of the lease.
     pub grants: usize,
     /// Acts that took effect.
     pub acts: usize,
@@ -118,13 +118,13 @@
     let managers = 3 + rng.rand_range(0..3) as usize;
     let plan = Plan { managers, seed, ..Plan::default() };
     let mut fleet = Fleet::start(binary, plan).await?;
-    fleet.held(DUTY, None).await?;
+    fleet.wait_for_holder(LEASE, None).await?;
     let (began, mut faults) = (Instant::now(), 0);
     while began.elapsed() < lasting {
         faults += 1;
         let kind = Kind::ALL[rng.rand_range(0..Kind::ALL.len() as u64) as usize];
         let (to_holder, other) = (rng.rand_float() < 0.7, rng.rand_range(0..managers as u64) as usize);
-        let struck = fleet.holder(DUTY).await.filter(|_| to_holder).unwrap_or(other);
+        let struck = fleet.holder(LEASE).await.filter(|_| to_holder).unwrap_or(other);
         if rng.rand_float() < 0.4 {
             let (loss, twice) = (0.2 * rng.rand_float(), 0.2 * rng.rand_float());
             let jitter_ms = rng.rand_range(1..100);
@@ -139,22 +139,22 @@
         fleet.links.mend();
         tokio::time::sleep(Duration::from_millis(rng.rand_range(50..2000))).await;
     }
-    fleet.held(DUTY, None).await?;
+    fleet.wait_for_holder(LEASE, None).await?;
     let history = fleet.history()?;
-    history.check().map_err(|why| RigError::Step(format!("seed {seed}"), why))?;
-    let (made, there) = (history.made(), fleet.backups()?);
+    history.check().map_err(|error| RigError::Step(format!("seed {seed}"), error.to_string()))?;
+    let (products, backups) = (history.products(), fleet.backups()?);
     // One that was killed between an act and its line made one more than its log says, each time.
-    if there.len() < made.len() {
+    if backups.len() < products.len() {
         return Err(RigError::Step(
             format!("seed {seed}"),
-            format!("{} backups of {} are there", there.len(), made.len()),
+            format!("{} backups of {} are there", backups.len(), products.len()),
         ));
     }
-    let longest_gap_ms = history.gaps(DUTY).into_iter().max().unwrap_or(0) / 1000;
-    Ok(Played { managers, faults, grants: history.held().len(), acts: made.len(), longest_gap_ms })
+    let longest_gap_ms = history.gaps_us(LEASE).into_iter().max().unwrap_or(0) / 1000;
+    Ok(Played { managers, faults, grants: history.tenures().len(), acts: products.len(), longest_gap_ms })
 }
 
-/// How long a duty was without a holder, for one kind of fault.
+/// How long the lease was without a holder, for one kind of fault.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
     /// The fault.
@@ -179,13 +179,13 @@
     for kind in Kind::ALL {
         let mut gaps_ms = Vec::new();
         for _ in 0..times {
-            let holder = fleet.held(DUTY, None).await?;
+            let holder = fleet.wait_for_holder(LEASE, None).await?;
             // Let it renew, so that the fault comes anywhere in a lease.
             tokio::time::sleep(Duration::from_millis(lease_ms)).await;
-            let before = fleet.history()?.gaps(DUTY).len();
+            let before = fleet.history()?.gaps_us(LEASE).len();
             kind.strike(&mut fleet, holder).await?;
-            fleet.held(DUTY, Some(holder)).await?;
-            let gaps = fleet.history()?.gaps(DUTY);
+            fleet.wait_for_holder(LEASE, Some(holder)).await?;
+            let gaps = fleet.history()?.gaps_us(LEASE);
             gaps_ms.extend(gaps[before..].iter().map(|gap| *gap as f64 / 1000.0));
             kind.mend(&mut fleet, holder).await?;
             tokio::time::sleep(Duration::from_millis(lease_ms)).await;
@@ -193,7 +193,7 @@
         gaps_ms.sort_by(f64::total_cmp);
         rows.push(Row { kind, gaps_ms });
     }
-    fleet.history()?.check().map_err(|why| RigError::Step("measure".to_owned(), why))?;
+    fleet.history()?.check().map_err(|error| RigError::Step("measure".to_owned(), error.to_string()))?;
     Ok(rows)
 }
 
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -32,7 +32,7 @@
     pub managers: usize,
     /// The first so many of them vote.
     pub voters: usize,
-    /// Each lease of a duty, in ms.
+    /// Duration of each lease, in ms.
     pub lease_ms: u64,
     /// Time between two scheduled backups, in ms.
     pub backup_every_ms: u64,
@@ -341,23 +341,23 @@
         all.filter(|(_, one)| one.child.is_some() && !one.stopped).map(|(number, _)| number).collect()
     }
 
-    /// Who holds a duty now, by its own word.
-    pub async fn holder(&self, duty: &str) -> Option<usize> {
+    /// The manager that holds a lease now, as reported by itself.
+    pub async fn holder(&self, lease: &str) -> Option<usize> {
         for number in self.running() {
             let Ok(view) = self.view(number).await else { continue };
-            let duties = view["duties"].as_array().cloned().unwrap_or_default();
-            if duties.iter().any(|one| one["name"] == duty && one["left_ms"].is_u64()) {
+            let leases = view["duties"].as_array().cloned().unwrap_or_default();
+            if leases.iter().any(|view| view["name"] == lease && view["left_ms"].is_u64()) {
                 return Some(number);
             }
         }
         None
     }
 
-    /// Waits until one that is not `not` holds a duty.
-    pub async fn held(&self, duty: &str, not: Option<usize>) -> Result<usize, RigError> {
+    /// Waits until a manager other than `not` holds a lease.
+    pub async fn wait_for_holder(&self, lease: &str, not: Option<usize>) -> Result<usize, RigError> {
         let began = Instant::now();
         while began.elapsed() < WITHIN {
-            if let Some(holder) = self.holder(duty).await.filter(|holder| Some(*holder) != not) {
+            if let Some(holder) = self.holder(lease).await.filter(|holder| Some(*holder) != not) {
                 return Ok(holder);
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -369,7 +369,7 @@
                 Err(why) => seen.push_str(&format!("; m{number}: {why}")),
             }
         }
-        Err(RigError::Program(format!("nobody holds {duty}{seen}")))
+        Err(RigError::Program(format!("nobody holds {lease}{seen}")))
     }
 
     /// Waits until what one manager shows of the fleet fits.
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,240 +1,250 @@
-//! What a fleet did, put together from its managers' logs, and what must hold of it. Each line of a duty carries the
-//! Unix time in microseconds; all managers are on one machine, so the times are of one clock.
+//! The history of a fleet, reconstructed from its managers' logs, and the invariants on it. Each line of a lease has the
+//! Unix time in microseconds; all managers run on one machine, so the times are of one clock.
 
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
 /// A manager by its number in the fleet.
 pub type Manager = usize;
 
-/// Something that happened, in microseconds of Unix time.
+/// An event of a manager.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A manager holds a duty until then at least, by its own count.
-    Holds {
-        /// The duty.
-        duty: String,
-        /// Its number.
-        fence: u64,
-        /// Until then.
-        until: u64,
+    /// It acquired or extended a lease.
+    Held {
+        /// Name of the lease.
+        lease: String,
+        /// Fencing token of the grant.
+        fencing_token: u64,
+        /// When the lease expires by the manager's own count, in microseconds of Unix time.
+        expires_at_us: u64,
     },
-    /// It holds it no more.
+    /// Its lease ended.
     Ended {
-        /// The duty.
-        duty: String,
-        /// The number that it held it under.
-        fence: u64,
+        /// Name of the lease.
+        lease: String,
+        /// Fencing token of the grant.
+        fencing_token: u64,
     },
-    /// An act of a duty took effect.
+    /// An act under a lease took effect.
     Acted {
-        /// What was made, by a name that is the same whoever makes it.
-        what: String,
-        /// The number that it was made under.
-        fence: u64,
+        /// What was made, by a name that is the same whichever manager makes it.
+        product: String,
+        /// Fencing token that it was made under.
+        fencing_token: u64,
     },
-    /// The manager was killed: it holds nothing from here on.
+    /// It was killed: it holds no lease from here on.
     Killed,
 }
 
-/// What happened, in order of time.
+/// An event with its time and manager.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct Entry {
+    at_us: u64,
+    manager: Manager,
+    event: Event,
+}
+
+/// A time in which a manager held a lease under one fencing token.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Tenure {
+    /// Name of the lease.
+    pub lease: String,
+    /// The holder.
+    pub manager: Manager,
+    /// Fencing token of the grant.
+    pub fencing_token: u64,
+    /// Start, in microseconds of Unix time.
+    pub from_us: u64,
+    /// End, in microseconds of Unix time.
+    pub until_us: u64,
+}
+
+/// An invariant that does not hold.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum HistoryViolation {
+    /// Two managers held a lease at the same moment.
+    #[error(
+        "{}: m{} held it under {} for {} us more as m{} acquired it under {}",
+        first.lease, first.manager, first.fencing_token, first.until_us - second.from_us,
+        second.manager, second.fencing_token
+    )]
+    TwoHolders {
+        /// The earlier holder.
+        first: Tenure,
+        /// The later holder.
+        second: Tenure,
+    },
+    /// A holder's fencing token is not above those before.
+    #[error("{}: m{} acquired it under {} after {previous}", tenure.lease, tenure.manager, tenure.fencing_token)]
+    TokenNotIncreasing {
+        /// The holder.
+        tenure: Tenure,
+        /// The fencing token before.
+        previous: u64,
+    },
+    /// Something was made twice.
+    #[error("{product} was made again by m{manager} under {fencing_token}")]
+    MadeTwice {
+        /// What was made.
+        product: String,
+        /// The manager that made it again.
+        manager: Manager,
+        /// Fencing token that it was made again under.
+        fencing_token: u64,
+    },
+}
+
+/// The events of a fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct History(Vec<(u64, Manager, Event)>);
+pub struct History(Vec<Entry>);
 
-/// The value behind a key in a line.
+/// The value of a structured field of a log line.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
-    line.split_whitespace()
-        .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
-        .map(|word| word.trim_end_matches(':'))
+    line.split_whitespace().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// A line of a manager's log, where it tells of a duty.
-pub fn read(line: &str) -> Option<(u64, Event)> {
-    let (duty, told) = line.split_once("duty ")?.1.split_once(": ")?;
-    let number = |key: &str| field(told, key)?.parse::<u64>().ok();
-    let (at, duty) = (number("at_us")?, duty.to_owned());
-    let event = match told.split_whitespace().next()? {
-        "begun" | "held" => Event::Holds { duty, fence: number("fence")?, until: at + number("for_us")? },
-        "ended" => Event::Ended { duty, fence: number("fence")? },
-        "period" if told.ends_with("written") => Event::Acted {
-            what: format!("{duty} {}", told.split_whitespace().nth(1)?),
-            fence: number("fence")?,
-        },
-        _ => return None,
+/// Parses a line of a manager's log. Gives the time in microseconds and the event, if it is one of a lease.
+pub fn parse_line(line: &str) -> Option<(u64, Event)> {
+    let number = |key: &str| field(line, key)?.parse::<u64>().ok();
+    let lease = || field(line, "lease").map(str::to_owned);
+    let has_message = |message: &str| line.contains(message);
+    let at_us = number("at_us")?;
+    let fencing_token = number("fencing_token")?;
+    let event = if has_message("lease acquired ") || has_message("lease extended ") {
+        Event::Held { lease: lease()?, fencing_token, expires_at_us: at_us + number("for_us")? }
+    } else if has_message("lease ended ") {
+        Event::Ended { lease: lease()?, fencing_token }
+    } else if has_message("backup written ") {
+        Event::Acted { product: format!("{} {}", lease()?, number("period")?), fencing_token }
+    } else {
+        return None;
     };
-    Some((at, event))
+    Some((at_us, event))
 }
 
 impl History {
-    /// Adds one event.
-    pub fn add(&mut self, at: u64, manager: Manager, event: Event) {
-        self.0.push((at, manager, event));
+    /// Adds an event.
+    pub fn add(&mut self, at_us: u64, manager: Manager, event: Event) {
+        self.0.push(Entry { at_us, manager, event });
     }
 
-    /// Adds what a manager's log tells.
+    /// Adds the events of a manager's log.
     pub fn add_log(&mut self, manager: Manager, log: &str) {
-        self.0.extend(log.lines().filter_map(read).map(|(at, event)| (at, manager, event)));
+        for (at_us, event) in log.lines().filter_map(parse_line) {
+            self.add(at_us, manager, event);
+        }
     }
 
-    fn ordered(&self) -> Vec<(u64, Manager, Event)> {
-        let mut all = self.0.clone();
-        all.sort_by_key(|(at, manager, _)| (*at, *manager));
-        all
+    fn in_order_of_time(&self) -> Vec<Entry> {
+        let mut entries = self.0.clone();
+        entries.sort_by_key(|entry| (entry.at_us, entry.manager));
+        entries
     }
 
-    /// When each duty was held, by whom and under which number: from, to.
-    pub fn held(&self) -> Vec<(String, Manager, u64, u64, u64)> {
-        let mut open: BTreeMap<(String, Manager), (u64, u64, u64)> = BTreeMap::new();
-        let mut all = Vec::new();
-        for (at, manager, event) in self.ordered() {
+    /// When each lease was held, by which manager and under which fencing token, in order of the start.
+    pub fn tenures(&self) -> Vec<Tenure> {
+        let mut current: BTreeMap<(String, Manager), Tenure> = BTreeMap::new();
+        let mut tenures = Vec::new();
+        for Entry { at_us, manager, event } in self.in_order_of_time() {
+            let end = |tenure: Tenure| Tenure { until_us: tenure.until_us.min(at_us), ..tenure };
             match event {
-                Event::Holds { duty, fence, until } => {
-                    let known = open.entry((duty.clone(), manager));
-                    let held = known.or_insert((fence, at, until));
-                    // One that lapsed and begins anew holds it twice.
-                    if fence != held.0 || at > held.2 {
-                        let before = std::mem::replace(held, (fence, at, until));
-                        all.push((duty, manager, before.0, before.1, before.2));
-                    }
-                    held.2 = held.2.max(until);
-                }
-                Event::Ended { duty, .. } => {
-                    if let Some((fence, from, until)) = open.remove(&(duty.clone(), manager)) {
-                        all.push((duty, manager, fence, from, until.min(at)));
+                Event::Held { lease, fencing_token, expires_at_us } => {
+                    let new = Tenure {
+                        lease: lease.clone(),
+                        manager,
+                        fencing_token,
+                        from_us: at_us,
+                        until_us: expires_at_us,
+                    };
+                    let tenure = current.entry((lease, manager)).or_insert_with(|| new.clone());
+                    // A lease that expired and is acquired anew is held twice.
+                    if fencing_token != tenure.fencing_token || at_us > tenure.until_us {
+                        tenures.push(std::mem::replace(tenure, new));
                     }
+                    tenure.until_us = tenure.until_us.max(expires_at_us);
                 }
-                Event::Killed => {
-                    let ended: Vec<_> = open.keys().filter(|(_, of)| *of == manager).cloned().collect();
-                    for key in ended {
-                        if let Some((fence, from, until)) = open.remove(&key) {
-                            all.push((key.0, manager, fence, from, until.min(at)));
-                        }
+                Event::Ended { lease, .. } => tenures.extend(current.remove(&(lease, manager)).map(end)),
+                Event::Killed => current.retain(|(_, holder), tenure| {
+                    let is_killed = *holder == manager;
+                    if is_killed {
+                        tenures.push(end(tenure.clone()));
                     }
-                }
+                    !is_killed
+                }),
                 Event::Acted { .. } => {}
             }
         }
-        all.extend(
-            open.into_iter()
-                .map(|((duty, manager), (fence, from, until))| (duty, manager, fence, from, until)),
-        );
-        all.sort_by_key(|(.., from, _)| *from);
-        all
+        tenures.extend(current.into_values());
+        tenures.sort_by_key(|tenure| tenure.from_us);
+        tenures
     }
 
-    /// Never two holders of one duty at one moment.
-    pub fn one_holder(&self) -> Result<(), String> {
-        let held = self.held();
-        for (at, (duty, manager, fence, from, to)) in held.iter().enumerate() {
-            let other = held[at + 1..].iter().find(|(of, other, _, begun, _)| {
-                of == duty && other != manager && begun < to && begun >= from
+    /// Two managers never held a lease at the same moment.
+    pub fn check_single_holder(&self) -> Result<(), HistoryViolation> {
+        let tenures = self.tenures();
+        for (position, first) in tenures.iter().enumerate() {
+            let second = tenures[position + 1..].iter().find(|second| {
+                second.lease == first.lease
+                    && second.manager != first.manager
+                    && (first.from_us..first.until_us).contains(&second.from_us)
             });
-            if let Some((_, other, later, begun, _)) = other {
-                return Err(format!(
-                    "{duty}: {manager} held it under {fence} for {} us more as {other} began under {later}",
-                    to - begun
-                ));
+            if let Some(second) = second {
+                return Err(HistoryViolation::TwoHolders { first: first.clone(), second: second.clone() });
             }
         }
         Ok(())
     }
 
-    /// Each holder's number is above those of all before.
-    pub fn numbers_grow(&self) -> Result<(), String> {
+    /// Each holder's fencing token is above those of all before.
+    pub fn check_tokens_increase(&self) -> Result<(), HistoryViolation> {
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
-        for (duty, manager, fence, ..) in self.held() {
-            let before = last.entry(duty.clone()).or_default();
-            if fence <= *before {
-                return Err(format!("{duty}: {manager} began under {fence} after {before}"));
+        for tenure in self.tenures() {
+            let previous = last.get(&tenure.lease).copied().unwrap_or(0);
+            if tenure.fencing_token <= previous {
+                return Err(HistoryViolation::TokenNotIncreasing { tenure, previous });
             }
-            *before = fence;
+            last.insert(tenure.lease, tenure.fencing_token);
         }
         Ok(())
     }
 
     /// Nothing was made twice.
-    pub fn once_each(&self) -> Result<(), String> {
-        let mut made = BTreeSet::new();
-        for (_, manager, event) in self.ordered() {
-            if let Event::Acted { what, fence } = event
-                && !made.insert(what.clone())
+    pub fn check_made_once(&self) -> Result<(), HistoryViolation> {
+        let mut products = BTreeSet::new();
+        for Entry { manager, event, .. } in self.in_order_of_time() {
+            if let Event::Acted { product, fencing_token } = event
+                && !products.insert(product.clone())
             {
-                return Err(format!("{what} was made again by {manager} under {fence}"));
+                return Err(HistoryViolation::MadeTwice { product, manager, fencing_token });
             }
         }
         Ok(())
     }
 
     /// What was made.
-    pub fn made(&self) -> BTreeSet<String> {
-        self.0
-            .iter()
-            .filter_map(
-                |(.., event)| if let Event::Acted { what, .. } = event { Some(what.clone()) } else { None },
-            )
-            .collect()
+    pub fn products(&self) -> BTreeSet<String> {
+        let product = |entry: &Entry| match &entry.event {
+            Event::Acted { product, .. } => Some(product.clone()),
+            _ => None,
+        };
+        self.0.iter().filter_map(product).collect()
     }
 
-    /// All that must hold.
-    pub fn check(&self) -> Result<(), String> {
-        self.one_holder()?;
-        self.numbers_grow()?;
-        self.once_each()
+    /// All invariants.
+    pub fn check(&self) -> Result<(), HistoryViolation> {
+        self.check_single_holder()?;
+        self.check_tokens_increase()?;
+        self.check_made_once()
     }
 
-    /// How long a duty had no holder between two that did, in microseconds.
-    pub fn gaps(&self, duty: &str) -> Vec<u64> {
-        let held: Vec<_> = self.held().into_iter().filter(|(of, ..)| of == duty).collect();
-        held.windows(2).map(|two| two[1].3.saturating_sub(two[0].4)).collect()
+    /// How long a lease had no holder between two that held it, in microseconds.
+    pub fn gaps_us(&self, lease: &str) -> Vec<u64> {
+        let tenures = self.tenures();
+        let of_lease: Vec<&Tenure> = tenures.iter().filter(|tenure| tenure.lease == lease).collect();
+        of_lease.windows(2).map(|pair| pair[1].from_us.saturating_sub(pair[0].until_us)).collect()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn of(lines: &[(Manager, &str)]) -> History {
-        let mut history = History::default();
-        lines.iter().for_each(|(manager, line)| history.add_log(*manager, line));
-        history
-    }
-
-    #[test]
-    fn two_holders_at_one_moment_are_found() {
-        let begun = "x INFO duty backup: begun fence=5 at_us=1000 for_us=500";
-        let next = |at: u64| format!("duty backup: begun fence=9 at_us={at} for_us=500");
-        assert!(of(&[(0, begun), (1, &next(1500))]).check().is_ok());
-        assert!(of(&[(0, begun), (1, &next(1499))]).one_holder().is_err());
-        let held = "duty backup: held fence=5 at_us=1400 for_us=500";
-        assert!(
-            of(&[(0, begun), (0, held), (1, &next(1500))]).one_holder().is_err(),
-            "it was held for longer"
-        );
-        let ended = "duty backup: ended fence=5 at_us=1450: it was handed over";
-        assert!(of(&[(0, begun), (0, held), (0, ended), (1, &next(1500))]).check().is_ok());
-        let mut killed = of(&[(0, begun), (0, held), (1, &next(1500))]);
-        killed.add(1450, 0, Event::Killed);
-        assert!(killed.check().is_ok(), "who was killed holds nothing");
-        assert_eq!(killed.gaps("backup"), [50]);
-    }
-
-    #[test]
-    fn numbers_that_do_not_grow_are_found() {
-        let history = of(&[
-            (0, "duty backup: begun fence=9 at_us=1000 for_us=5"),
-            (1, "duty backup: begun fence=9 at_us=2000 for_us=5"),
-        ]);
-        assert!(history.numbers_grow().is_err());
-    }
-
-    #[test]
-    fn what_was_made_twice_is_found() {
-        let made = |manager, at: u64| {
-            (manager, format!("duty backup: period 7 fence={manager} at_us={at}: written"))
-        };
-        let (one, two) = (made(0, 1), made(1, 2));
-        assert!(of(&[(one.0, &one.1)]).once_each().is_ok());
-        assert!(of(&[(one.0, &one.1), (two.0, &two.1)]).once_each().is_err());
-        let there = "duty backup: period 7 fence=3 at_us=9: there already";
-        assert!(of(&[(one.0, &one.1), (1, there)]).once_each().is_ok(), "that is no second one");
-    }
-}
+mod tests;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -170,7 +170,7 @@
     let engines = [start(spec).await?, start(spec).await?];
     let engines = engines.iter().map(|engine| engine.address).collect();
     let fleet = Fleet::start(program, Plan { engines, backup_every_ms: 5000, ..Plan::default() }).await?;
-    let mut holder = fleet.held("backup", None).await?;
+    let mut holder = fleet.wait_for_holder("backup", None).await?;
     fleet.make_tenant().await?;
     let mut ended = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     println!("Three managers on two engines. Ask one of them (a new X-Txn for each query):\n");
--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -53,15 +53,15 @@
     let Some(fencing_token) = cluster.may_act(LEASE_NAME) else { return };
     match tenant_service.backup_as(&format!("period-{period}.redb"), fencing_token).await {
         Ok(is_written) => {
-            let result = if is_written { "written" } else { "there already" };
+            let message = if is_written { "backup written" } else { "backup already present" };
             let at_us = clock.unix_us();
-            log::info!("duty {LEASE_NAME}: period {period} fence={fencing_token} at_us={at_us}: {result}");
+            log::info!(lease = LEASE_NAME, period, fencing_token, at_us; "{message}");
             cluster.save_checkpoint(LEASE_NAME, checkpoint.index, period.to_string()).await;
             // The checkpoint is seen after some round trips of the voters; until then the next poll finds the file.
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(error) => {
-            log::error!("duty {LEASE_NAME}: period {period} fence={fencing_token}: {error}");
+            log::error!(lease = LEASE_NAME, period, fencing_token; "backup failed: {error}");
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -273,7 +273,7 @@
             // A task that misses the event finds out by `Cluster::may_act`.
             && events.try_send(event).is_err()
         {
-            log::warn!("duty {lease}: its worker does not keep up");
+            log::warn!(lease = lease.as_str(); "lease event dropped: its task does not keep up");
         }
         self.publish_view();
     }
@@ -284,17 +284,17 @@
         match effect {
             LeaseEffect::Acquired { lease, fencing_token, expires_at_us } => {
                 let for_us = expires_at_us.saturating_sub(now_us);
-                log::info!("duty {lease}: begun fence={fencing_token} at_us={at_us} for_us={for_us}");
+                log::info!(lease = lease.as_str(), fencing_token, at_us, for_us; "lease acquired");
             }
             LeaseEffect::Extended { lease, fencing_token, expires_at_us } => {
                 let for_us = expires_at_us.saturating_sub(now_us);
-                log::debug!("duty {lease}: held fence={fencing_token} at_us={at_us} for_us={for_us}");
+                log::debug!(lease = lease.as_str(), fencing_token, at_us, for_us; "lease extended");
             }
             LeaseEffect::FinishWork { lease, fencing_token } => {
-                log::info!("duty {lease}: to be handed over fence={fencing_token} at_us={at_us}");
+                log::info!(lease = lease.as_str(), fencing_token, at_us; "lease handover started");
             }
             LeaseEffect::Ended { lease, fencing_token, reason } => {
-                log::info!("duty {lease}: ended fence={fencing_token} at_us={at_us}: {reason}");
+                log::info!(lease = lease.as_str(), fencing_token, at_us, reason:%; "lease ended");
             }
             LeaseEffect::CheckpointSaved { .. } | LeaseEffect::Submit { .. } => {}
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program with faults between them: what must hold of a duty, by what they logged and did.
+//! Several processes of the program with faults between them: the invariants of a lease, by what they logged and did.
 
 use rstest::rstest;
 use sanddyke_testbed::fleet::{Fleet, Plan};
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const DUTY: &str = "backup";
+const LEASE: &str = "backup";
 /// Some leases and elections: long enough for whatever was begun to have shown.
 const A_WHILE: Duration = Duration::from_secs(4);
 
@@ -14,120 +14,122 @@
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_sanddyke")), plan).await.unwrap()
 }
 
-/// What must hold of all that was done, once enough was done to tell.
-async fn checked(fleet: &Fleet, least: usize) {
+/// Checks the invariants once enough backups were made.
+async fn check_history(fleet: &Fleet, min_backups: usize) {
     let mut history = fleet.history().unwrap();
     for _ in 0..600 {
-        if history.made().len() >= least {
+        if history.products().len() >= min_backups {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         history = fleet.history().unwrap();
     }
     history.check().unwrap();
-    assert!(history.made().len() >= least, "{:?}", history.made());
-    let there = fleet.backups().unwrap();
-    for made in history.made() {
-        let period = made.trim_start_matches("backup ");
-        assert!(there.contains(&format!("period-{period}.redb")), "{made} is not among {there:?}");
+    assert!(history.products().len() >= min_backups, "{:?}", history.products());
+    let backups = fleet.backups().unwrap();
+    for product in history.products() {
+        let period = product.trim_start_matches("backup ");
+        assert!(backups.contains(&format!("period-{period}.redb")), "{product} is not among {backups:?}");
     }
 }
 
-/// Guards against a holder that is stopped for longer than its lease and goes on as if nothing had been.
+/// Guards against a holder that is suspended for longer than its lease and resumes as if it still held it.
 #[tokio::test]
-async fn a_holder_that_stood_still_holds_nothing_when_it_goes_on() {
+async fn a_suspended_holder_holds_nothing_when_it_resumes() {
     let mut fleet = fleet(Plan::default()).await;
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.stop(first, true).await.unwrap();
-    let second = fleet.held(DUTY, Some(first)).await.unwrap();
+    let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     fleet.stop(first, false).await.unwrap();
     fleet
         .until(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
         .unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
-    checked(&fleet, 3).await;
-    assert!(fleet.history().unwrap().held().iter().any(|(_, manager, ..)| *manager == second));
+    check_history(&fleet, 3).await;
+    assert!(fleet.history().unwrap().tenures().iter().any(|tenure| tenure.manager == second));
 }
 
-/// Guards against a duty that waits for its lease's end where its holder ends by plan, and against work that is cut off.
+/// Guards against a wait for the lease's expiry where its holder leaves by plan, and against work that is interrupted.
 #[rstest]
 #[case("drain")]
 #[case("terminate")]
 #[case("by hand")]
 #[tokio::test]
-async fn a_holder_that_goes_by_plan_hands_over_at_once(#[case] how: &str) {
+async fn a_holder_that_leaves_by_plan_hands_over_at_once(#[case] how: &str) {
     let mut fleet = fleet(Plan { lease_ms: 10_000, ..Plan::default() }).await;
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     match how {
         "drain" => assert_eq!(fleet.ops(first, "POST", "/admin/quiesce").await.unwrap(), 200),
         "terminate" => fleet.terminate(first).await.unwrap(),
         _ => drop(fleet.call(first, "POST", "/v1/fleet/duties/backup/hand-over").await.unwrap()),
     }
-    let second = fleet.held(DUTY, Some(first)).await.unwrap();
-    let gap = fleet.history().unwrap().gaps(DUTY)[0];
-    assert!(gap < 3_000_000, "{gap} us from m{first} to m{second}, with leases of 10 s");
+    let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
+    let gap_us = fleet.history().unwrap().gaps_us(LEASE)[0];
+    assert!(gap_us < 3_000_000, "{gap_us} us from m{first} to m{second}, with leases of 10 s");
     tokio::time::sleep(A_WHILE / 2).await;
-    checked(&fleet, 2).await;
+    check_history(&fleet, 2).await;
 }
 
-/// Guards against a holder that goes on though the voters can't hear it, or it can't hear them.
+/// Guards against a holder that continues though the voters can't receive from it, or it can't receive from them.
 #[rstest]
 #[case(true, true)]
 #[case(true, false)]
 #[case(false, true)]
 #[tokio::test]
-async fn a_holder_that_is_cut_off_stops_in_time_and_another_goes_on(#[case] out: bool, #[case] inward: bool) {
+async fn a_holder_that_is_cut_off_stops_in_time_and_another_continues(
+    #[case] out: bool,
+    #[case] inward: bool,
+) {
     let fleet = fleet(Plan::default()).await;
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.cut(first, &[0, 1, 2], out, inward);
-    let second = fleet.held(DUTY, Some(first)).await.unwrap();
+    let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
     fleet.links.mend();
     fleet
         .until(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
         .unwrap();
-    checked(&fleet, 3).await;
+    check_history(&fleet, 3).await;
 }
 
-/// Guards against a duty that is given away by a part of the voters, or by none, and against a group that does not
-/// come together again.
+/// Guards against a lease that is granted by a minority of the voters, and against a group that does not recover.
 #[tokio::test]
-async fn voters_that_are_parted_one_from_one_from_one_give_nothing_away() {
+async fn voters_that_are_all_partitioned_grant_nothing() {
     let fleet = fleet(Plan { managers: 4, ..Plan::default() }).await;
-    fleet.held(DUTY, None).await.unwrap();
+    fleet.wait_for_holder(LEASE, None).await.unwrap();
     for number in 0..3 {
         fleet.cut(number, &[0, 1, 2], true, true);
     }
     tokio::time::sleep(A_WHILE).await;
-    assert_eq!(fleet.holder(DUTY).await, None);
+    assert_eq!(fleet.holder(LEASE).await, None);
     fleet.links.mend();
-    fleet.held(DUTY, None).await.unwrap();
-    checked(&fleet, 1).await;
+    fleet.wait_for_holder(LEASE, None).await.unwrap();
+    check_history(&fleet, 1).await;
 }
 
-/// Guards against a fleet that only works where messages come whole, once and in order.
+/// Guards against a fleet that only works where messages arrive complete, once and in order.
 #[tokio::test]
-async fn duties_go_on_over_links_that_lose_repeat_and_reorder() {
+async fn leases_continue_over_links_that_lose_duplicate_and_reorder() {
     let mut fleet = fleet(Plan { managers: 5, voters: 3, lease_ms: 3000, ..Plan::default() }).await;
     fleet.trouble(Trouble { delay_ms: 5, jitter_ms: 80, loss: 0.1, twice: 0.1, ..Trouble::default() });
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.links.reset();
     fleet.kill(first).await.unwrap();
-    let second = fleet.held(DUTY, Some(first)).await.unwrap();
+    let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     fleet.run(first).unwrap();
     fleet.links.reset();
     tokio::time::sleep(A_WHILE).await;
-    assert!(fleet.holder(DUTY).await.is_some(), "{second}");
-    checked(&fleet, 3).await;
+    assert!(fleet.holder(LEASE).await.is_some(), "{second}");
+    check_history(&fleet, 3).await;
 }
 
-/// Guards against peers that fall silent with their connections open: whoever speaks to them must not wait.
+/// Guards against peers that fall silent with their connections open: those that send to them must not wait.
 #[tokio::test]
-async fn a_voter_that_falls_silent_holds_up_nobody() {
+async fn a_silent_voter_delays_no_other() {
     let fleet = fleet(Plan::default()).await;
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     let silent = (first + 1) % 3;
     fleet.trouble(Trouble::default());
     let trouble = Trouble { silent: true, ..Trouble::default() };
@@ -136,18 +138,18 @@
         fleet.set(silent, peer, trouble);
     }
     tokio::time::sleep(A_WHILE).await;
-    assert_eq!(fleet.holder(DUTY).await, Some(first), "two of three voters are enough");
-    checked(&fleet, 4).await;
+    assert_eq!(fleet.holder(LEASE).await, Some(first), "two of three voters are enough");
+    check_history(&fleet, 4).await;
 }
 
-/// Guards against a voter that votes as if it knew what it had promised: its file is lost, or spoilt.
+/// Guards against a voter that votes without knowing what it promised: its file is lost, or damaged.
 #[rstest]
 #[case(true)]
 #[case(false)]
 #[tokio::test]
-async fn a_voter_without_its_file_has_no_vote_until_an_operator_lets_it_in(#[case] lost: bool) {
+async fn a_voter_without_its_file_has_no_vote_until_it_is_admitted(#[case] lost: bool) {
     let mut fleet = fleet(Plan::default()).await;
-    fleet.held(DUTY, None).await.unwrap();
+    fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.kill(2).await.unwrap();
     match lost {
         true => fleet.lose(2, "votes").unwrap(),
@@ -165,27 +167,27 @@
         .until(2, "that it has no vote", |view| view["vote"].as_str().unwrap().starts_with("has no vote"))
         .await
         .unwrap();
-    let mut let_in = false;
+    let mut is_admitted = false;
     for _ in 0..100 {
         for number in [0, 1] {
-            let_in |= fleet.call(number, "POST", "/v1/fleet/voters/m2/admit").await.is_ok();
+            is_admitted |= fleet.call(number, "POST", "/v1/fleet/voters/m2/admit").await.is_ok();
         }
-        if let_in {
+        if is_admitted {
             break;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(let_in, "the leader lets it in");
+    assert!(is_admitted, "the leader lets it in");
     fleet.until(2, "that it votes", |view| view["vote"].as_str().unwrap().contains("in term")).await.unwrap();
     // With it, one of the others may go.
     fleet.kill(1).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
-    fleet.held(DUTY, None).await.unwrap();
-    checked(&fleet, 2).await;
+    fleet.wait_for_holder(LEASE, None).await.unwrap();
+    check_history(&fleet, 2).await;
 }
 
-/// The note of the duty of rolls, by whoever runs.
-async fn roll(fleet: &Fleet) -> serde_json::Value {
+/// The state of the rolling restart, as any running manager shows it.
+async fn rolling_restart(fleet: &Fleet) -> serde_json::Value {
     for number in fleet.running() {
         let Ok(view) = fleet.view(number).await else { continue };
         let duties = view["duties"].as_array().unwrap().clone();
@@ -197,20 +199,20 @@
     serde_json::Value::Null
 }
 
-/// Guards against a roll that ends with whoever plays it, that takes more at once than it may, or that leaves one out.
-/// What plays it goes in the middle: by plan, as its own turn comes, and once it is killed.
+/// Guards against a rolling restart that ends with its controller, exceeds its limit of managers at once, or skips one.
+/// The controller goes in the middle: by plan, when it is restarted itself, and once it is killed.
 #[rstest]
 #[case("drain")]
 #[case("restart")]
 #[tokio::test]
-async fn a_roll_goes_on_when_whoever_plays_it_goes(#[case] how: &str) {
+async fn a_rolling_restart_continues_when_its_controller_goes(#[case] how: &str) {
     let mut fleet = fleet(Plan { managers: 5, ..Plan::default() }).await;
     fleet.until(0, "all members", |view| view["members"].as_array().unwrap().len() == 4).await.unwrap();
     let first = fleet.govern("/v1/fleet/roll", &format!(r#"{{"how":"{how}"}}"#)).await.unwrap();
     let (mut killed, mut most_out) = (false, 0);
     for _ in 0..1200 {
         fleet.revive().unwrap();
-        let now = roll(&fleet).await;
+        let now = rolling_restart(&fleet).await;
         let done = now["done"].as_array().map_or(0, Vec::len);
         most_out = most_out.max(now["now"].as_array().map_or(0, Vec::len));
         if done >= 1 && !killed {
@@ -224,7 +226,7 @@
         assert_ne!(now["state"], "stopped", "{now}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let end = roll(&fleet).await;
+    let end = rolling_restart(&fleet).await;
     assert_eq!((end["state"].as_str(), most_out), (Some("done"), 1), "{end}");
     let mut done: Vec<&str> =
         end["done"].as_array().unwrap().iter().map(|name| name.as_str().unwrap()).collect();
@@ -233,14 +235,14 @@
     fleet.history().unwrap().check().unwrap();
 }
 
-/// Guards against managers that stay drained after a roll was taken back, and against a second roll beside one.
+/// Guards against managers that stay drained after a cancelled rolling restart, and against two at once.
 #[tokio::test]
-async fn a_roll_that_is_taken_back_leaves_all_at_work() {
+async fn a_cancelled_rolling_restart_leaves_all_managers_at_work() {
     let mut fleet = fleet(Plan::default()).await;
     fleet.until(0, "all members", |view| view["members"].as_array().unwrap().len() == 2).await.unwrap();
-    let holder = fleet.held("warden", None).await.unwrap();
+    let holder = fleet.wait_for_holder("warden", None).await.unwrap();
     let other = (0..3).find(|number| *number != holder).unwrap();
-    // One that stands still holds the roll up.
+    // A suspended manager delays it.
     fleet.stop(other, true).await.unwrap();
     fleet.govern("/v1/fleet/roll", r#"{"how":"drain"}"#).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
@@ -248,19 +250,19 @@
     fleet.govern("/v1/fleet/roll/take-back", "").await.unwrap();
     fleet.stop(other, false).await.unwrap();
     for _ in 0..400 {
-        if roll(&fleet).await["state"] == "stopped" {
+        if rolling_restart(&fleet).await["state"] == "stopped" {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(roll(&fleet).await["state"], "stopped");
+    assert_eq!(rolling_restart(&fleet).await["state"], "stopped");
     for number in 0..3 {
         assert_eq!(fleet.ops(number, "GET", "/admin/health").await.unwrap(), 200, "m{number}");
     }
 }
 
-/// Guards against a request that waits for a peer: a manager that is cut off from all others, among voters that hold
-/// nothing, serves as before, and so do the others.
+/// Guards against a request that waits for a peer: a manager that is cut off from all others serves as before, and so do
+/// the others, though no lease is held.
 #[tokio::test]
 async fn a_manager_that_is_cut_off_serves_as_before() {
     let mut engines = Vec::new();
@@ -270,7 +272,7 @@
     }
     let addresses = engines.iter().map(|engine| engine.address).collect();
     let fleet = fleet(Plan { engines: addresses, ..Plan::default() }).await;
-    fleet.held(DUTY, None).await.unwrap();
+    fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.make_tenant().await.unwrap();
     let mut slowest = [Duration::ZERO; 2];
     for part in 0..2u64 {
@@ -284,18 +286,18 @@
         tokio::time::sleep(A_WHILE / 2).await;
     }
     assert!(slowest[1] < Duration::from_millis(1000), "{slowest:?}, for 5 ms of work");
-    checked(&fleet, 1).await;
+    check_history(&fleet, 1).await;
 }
 
-/// Guards against a fleet in which the loss of many managers at once costs the others their duties.
+/// Guards against a fleet in which the loss of many managers at once costs the others their leases.
 #[tokio::test]
-async fn a_third_of_the_managers_killed_at_once_costs_one_lease_at_most() {
+async fn a_third_of_the_managers_killed_at_once_costs_at_most_one_lease() {
     let mut fleet = fleet(Plan { managers: 9, voters: 5, ..Plan::default() }).await;
-    let first = fleet.held(DUTY, None).await.unwrap();
+    let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     for number in [first, (first + 3) % 9, (first + 6) % 9] {
         fleet.kill(number).await.unwrap();
     }
-    fleet.held(DUTY, Some(first)).await.unwrap();
+    fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
-    checked(&fleet, 2).await;
+    check_history(&fleet, 2).await;
 }
