--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -32,7 +32,7 @@
 
 /// Makes the holder's random numbers differ from the membership's ("leases" in ASCII).
 const HOLDER_SEED_MASK: u64 = 0x6c65_6173_6573;
-/// The rotation over the voters starts at one of so many positions, by the seed.
+/// The rotation over the voters starts at one of this many positions, by the seed.
 const VOTER_ROTATION_STARTS: usize = 8;
 
 /// Configuration of a node.
--- a/crates/cluster/src/node/input_output.rs
+++ b/crates/cluster/src/node/input_output.rs
@@ -1,4 +1,4 @@
-//! What a node is told, and what it wants done.
+//! Inputs and outputs of a node.
 
 use crate::lease_holder::LeaseEffect;
 use crate::membership::Member;
@@ -113,13 +113,15 @@
     /// The text of the log line.
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Notice::Rejoined => out.write_str("the members had given this manager up: it is back"),
-            Notice::MessageTooLong => out.write_str("a message was too long to be sent"),
-            Notice::VotingStarted { voters } => write!(out, "votes, with {voters} in all"),
+            Notice::Rejoined => {
+                out.write_str("rejoined after the other members considered this manager down")
+            }
+            Notice::MessageTooLong => out.write_str("a message exceeds the size limit and is not sent"),
+            Notice::VotingStarted { voters } => write!(out, "voting started in a group of {voters}"),
             Notice::VoteUnavailable { reason } => write!(out, "no vote: {reason}"),
-            Notice::VotingStopped { reason } => write!(out, "no vote any more: {reason}"),
+            Notice::VotingStopped { reason } => write!(out, "voting stopped: {reason}"),
             Notice::LeaderChanged { leader } => {
-                write!(out, "the voters are led by {}", leader.as_deref().unwrap_or("nobody"))
+                write!(out, "leader of the voters: {}", leader.as_deref().unwrap_or("none"))
             }
         }
     }
--- a/crates/cluster/src/rolling_restart/tests.rs
+++ b/crates/cluster/src/rolling_restart/tests.rs
@@ -127,7 +127,7 @@
     assert_eq!(statuses.get("m0"), Some(&reported(3, status(true, 1))));
 }
 
-/// Guards against a rolling restart that goes on draining while one member does not return.
+/// Guards against a rolling restart that continues although one member does not return.
 #[test]
 fn it_stops_at_the_first_member_that_does_not_return() {
     let mut restart = RollingRestart::new(RestartMode::Drain, 1, members(3), "m2");
@@ -142,7 +142,7 @@
     assert_eq!(restart.state(), RestartState::Stopped);
     let checkpoint = restart.to_checkpoint();
     assert!(checkpoint.contains("m0 was not drained within 60 s"), "{checkpoint}");
-    // Resumed, it goes on with that member; cancelled, that member resumes work.
+    // Resumed, it continues with that member; cancelled, that member resumes work.
     assert!(restart.transition_to(RestartState::Running).is_ok());
     assert!(restart.transition_to(RestartState::Running).is_err());
     assert!(restart.transition_to(RestartState::Cancelling).is_ok());
--- a/crates/cluster/src/simulation/manager.rs
+++ b/crates/cluster/src/simulation/manager.rs
@@ -88,6 +88,13 @@
     }
 }
 
+/// An act that a manager may begin.
+pub(super) struct PermittedAct {
+    /// Position of the lease.
+    pub(super) lease: usize,
+    pub(super) fencing_token: u64,
+}
+
 /// A manager; without a node while it is down.
 pub(super) struct Manager {
     pub(super) node: Option<Node>,
@@ -115,11 +122,14 @@
         outputs
     }
 
-    /// The leases, by position, of which an act may begin now, with their fencing tokens.
-    pub(super) fn permitted_acts(&self, now: Micros) -> Vec<(usize, u64)> {
+    /// The acts that may begin now.
+    pub(super) fn permitted_acts(&self, now: Micros) -> Vec<PermittedAct> {
         let Some(node) = &self.node else { return Vec::new() };
         let local_time = self.clock.local_time(now);
-        let permitted = |lease: usize| Some((lease, node.holder().may_act(LEASES[lease], local_time)?));
+        let permitted = |lease: usize| {
+            let fencing_token = node.holder().may_act(LEASES[lease], local_time)?;
+            Some(PermittedAct { lease, fencing_token })
+        };
         (0..LEASES.len()).filter_map(permitted).collect()
     }
 }
--- a/crates/cluster/src/simulation/world.rs
+++ b/crates/cluster/src/simulation/world.rs
@@ -1,7 +1,7 @@
 //! The simulated fleet: events in order of virtual time.
 
 use super::checks::HolderTracker;
-use super::manager::{LocalClock, Manager, MemoryDisk};
+use super::manager::{LocalClock, Manager, MemoryDisk, PermittedAct};
 use super::network::Network;
 use super::{DisabledSafeguard, LEASE_US, LEASES, SimulationPlan, SimulationSummary, Violation};
 use crate::lease::{Incarnation, LeaseTable};
@@ -179,7 +179,7 @@
 
     /// A holder checks whether it may act, and acts: the act arrives later, after whatever happens in between.
     fn begin_acts(&mut self, manager: usize) {
-        for (lease, fencing_token) in self.managers[manager].permitted_acts(self.now) {
+        for PermittedAct { lease, fencing_token } in self.managers[manager].permitted_acts(self.now) {
             let is_slow = self.rng.rand_float() < SLOW_ACT_PROBABILITY;
             let max_us = if is_slow { 4 * LEASE_US } else { MAX_ACT_US };
             self.schedule_after(0, max_us, Event::Act { lease, fencing_token });
--- a/crates/cluster/src/voter.rs
+++ b/crates/cluster/src/voter.rs
@@ -21,7 +21,7 @@
 pub const TICK_US: u64 = 50_000;
 /// A leader without a heartbeat for this many ticks (0.5 s) and more is replaced.
 const ELECTION_TICKS: usize = 10;
-/// A leader sends a heartbeat every so many ticks (0.1 s).
+/// Ticks between two heartbeats of a leader (0.1 s).
 const HEARTBEAT_TICKS: usize = 2;
 /// Voters wait this many ticks longer one after another, in the order of their ids in the current group: two do not
 /// stand for election at once, and a simulation is the same each time. (The library's own spread draws from the system.)
@@ -207,7 +207,7 @@
         Ok(self.node.propose(Vec::new(), data)?)
     }
 
-    /// Proposes to add a voter while the group goes on.
+    /// Proposes to add a voter. The group continues meanwhile.
     ///
     /// # Errors
     /// If this voter is not the leader, or another change is in progress.
@@ -215,7 +215,7 @@
         self.propose_change(ConfChangeType::AddNode, id, name)
     }
 
-    /// Proposes to remove a voter while the group goes on.
+    /// Proposes to remove a voter. The group continues meanwhile.
     ///
     /// # Errors
     /// If this voter is not the leader, or another change is in progress.
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -23,7 +23,7 @@
 const QUEUE_CAPACITY: usize = 1024;
 /// Events that may wait for the task that does a lease's work.
 const EVENT_QUEUE_CAPACITY: usize = 16;
-/// How often the node is told the time: half a voter's tick.
+/// How often the time is passed to the node: half a voter's tick.
 const TICK_INTERVAL: Duration = Duration::from_micros(TICK_US / 2);
 /// How often the view of the fleet is updated; it is also updated at each change of a lease.
 const VIEW_INTERVAL: Duration = Duration::from_millis(200);
@@ -124,7 +124,8 @@
 fn start_node(config: NodeConfig, clock: &Clock, disk: Option<&FileVoterDisk>) -> Node {
     let disk = disk.map(|disk| disk as &dyn VoterDisk);
     let node = Node::start(config, clock.now().0.unsigned_abs(), disk);
-    log::info!("cluster: {} {}", node.membership().local().incarnation, node.voter_status());
+    let incarnation = &node.membership().local().incarnation;
+    log::info!(incarnation:%, voter = node.voter_status(); "cluster: node started");
     node
 }
 
@@ -232,12 +233,13 @@
                 }
                 Output::Lease(effect) => self.handle_effect(now_us, effect),
                 Output::MemberUp(member) => {
-                    log::info!("cluster: {} came, at {}", member.incarnation, member.address);
+                    let Member { incarnation, address, .. } = member;
+                    log::info!(incarnation:%, address:%; "cluster: member joined");
                 }
                 Output::MemberDown(member) => {
-                    log::info!("cluster: {} is gone", member.incarnation);
-                    let name = &member.incarnation.name;
-                    self.published.statuses.send_modify(|statuses| statuses.remove(name));
+                    let incarnation = member.incarnation;
+                    log::info!(incarnation:%; "cluster: member left or does not respond");
+                    self.published.statuses.send_modify(|statuses| statuses.remove(&incarnation.name));
                 }
                 Output::Notice(notice) => log::info!("cluster: {notice}"),
                 Output::RestartStep { reply_to, step } => {
--- a/src/cluster/process.rs
+++ b/src/cluster/process.rs
@@ -44,7 +44,7 @@
             }
         };
         if let Err(error) = result {
-            log::info!("roll: {step}: {error}");
+            log::info!(step:%, error:%; "rolling restart: step is not possible now");
         }
     }
 }
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -103,7 +103,7 @@
     observations.statuses = cluster.statuses();
     match restart.advance(clock.now().0.unsigned_abs(), observations) {
         Progress::Changed => {
-            log::info!("roll: {}", restart.to_checkpoint());
+            log::info!("rolling restart: {}", restart.to_checkpoint());
             save(cluster, events, &checkpoint, &restart).await;
         }
         Progress::Steps(steps) => {
