--- a/crates/cluster/src/rolling_restart/tests.rs
+++ b/crates/cluster/src/rolling_restart/tests.rs
@@ -151,3 +151,19 @@
     assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 30, &mut observations), Progress::Changed);
     assert_eq!((restart.state(), restart.active().count()), (RestartState::Stopped, 0));
 }
+
+/// The administration API's problem texts have these names.
+#[test]
+fn an_invalid_transition_names_the_current_state() {
+    let names = [
+        (RestartState::Running, "Running"),
+        (RestartState::Paused, "Paused"),
+        (RestartState::Cancelling, "TakenBack"),
+        (RestartState::Stopped, "Stopped"),
+        (RestartState::Done, "Done"),
+    ];
+    for (current, name) in names {
+        let error = InvalidTransition { current, requested: RestartState::Paused };
+        assert_eq!(error.to_string(), format!("the roll is {name}"));
+    }
+}
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/tests/input.rs
@@ -71,6 +71,24 @@
     );
 }
 
+/// The metrics' labels and the administration API's keys.
+#[test]
+fn the_codes_of_rejections_are_those_of_the_api() {
+    let codes = [
+        (MessageRejection::TooLong, "too_long"),
+        (MessageRejection::Malformed, "unreadable"),
+        (MessageRejection::UnsupportedVersion, "later_form"),
+        (MessageRejection::OtherCluster, "other_cluster"),
+        (MessageRejection::StaleIncarnation, "old_life"),
+        (MessageRejection::NotAVoter, "no_vote"),
+        (MessageRejection::InvalidGossip, "gossip"),
+        (MessageRejection::StaleFencingToken, "old_number"),
+    ];
+    for (rejection, code) in codes {
+        assert_eq!(rejection.code(), code);
+    }
+}
+
 /// A step of a rolling restart by a manager that does not hold the lease has no effect.
 #[test]
 fn a_restart_step_without_the_lease_is_rejected() {
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -216,3 +216,6 @@
         OperatorCommand::Start { .. } | OperatorCommand::SetState(_) => true,
     }
 }
+
+#[cfg(test)]
+mod tests;
