--- a/src/admin/v1/fleet.rs
+++ b/src/admin/v1/fleet.rs
@@ -62,9 +62,9 @@
     #[cfg(feature = "cluster")]
     async fn rolling_restart(
         &self,
-        command: crate::cluster::restart_controller::Word,
+        command: crate::cluster::restart_controller::OperatorCommand,
     ) -> Result<(), Problem> {
-        crate::cluster::restart_controller::order(self.fleet()?, command).await.map_err(rejected)
+        crate::cluster::restart_controller::execute(self.fleet()?, command).await.map_err(rejected)
     }
 }
 
@@ -74,23 +74,23 @@
     use crate::admin::bodies::{NewRoll, RollHow};
     use crate::admin::problem::Problem;
     use crate::admin::v1::json::parse;
-    use crate::cluster::restart_controller::Word;
-    use sanddyke_cluster::rolling_restart::{How, State};
+    use crate::cluster::restart_controller::OperatorCommand;
+    use sanddyke_cluster::rolling_restart::{RestartMode, RestartState};
 
-    pub(super) fn start(body: &[u8]) -> Result<Word, Problem> {
+    pub(super) fn start(body: &[u8]) -> Result<OperatorCommand, Problem> {
         let body: NewRoll = parse(body)?;
-        let how = match body.how {
-            RollHow::Drain => How::Drain,
-            RollHow::Restart => How::Restart,
+        let mode = match body.how {
+            RollHow::Drain => RestartMode::Drain,
+            RollHow::Restart => RestartMode::Restart,
         };
-        Ok(Word::Begin(how, body.most.unwrap_or(1)))
+        Ok(OperatorCommand::Start { mode, max_active: body.most.unwrap_or(1) })
     }
 
-    pub(super) fn control(command: &str) -> Result<Word, Problem> {
+    pub(super) fn control(command: &str) -> Result<OperatorCommand, Problem> {
         match command {
-            "pause" => Ok(Word::Turn(State::Paused)),
-            "resume" => Ok(Word::Turn(State::Running)),
-            "take-back" => Ok(Word::Turn(State::TakenBack)),
+            "pause" => Ok(OperatorCommand::SetState(RestartState::Paused)),
+            "resume" => Ok(OperatorCommand::SetState(RestartState::Running)),
+            "take-back" => Ok(OperatorCommand::SetState(RestartState::Cancelling)),
             _ => Err(Problem::new(404, "no_path", "no such path")),
         }
     }
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -66,7 +66,7 @@
     }
     let mut duties = Vec::new();
     if keys.backup_every_ms.is_some() {
-        duties.push(backup::DUTY.to_owned());
+        duties.push(backup::LEASE_NAME.to_owned());
     }
     duties.push(ROLLING_RESTART_LEASE.to_owned());
     Ok(Fleet {
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -208,21 +208,25 @@
     tenant_service: &Arc<TenantService>,
     restart: &Arc<Notify>,
 ) -> Result<Option<Cluster>, ServerError> {
-    use sanddyke::cluster::{ROLLING_RESTART_LEASE, backup, follow, restart_controller, start};
+    use sanddyke::cluster::{
+        JoinedCluster, ProcessControl, ROLLING_RESTART_LEASE, backup, follow_lifecycle, restart_controller,
+        start,
+    };
     let Some(fleet) = config.fleet.clone() else { return Ok(None) };
     let address = fleet.listen;
     let backup_interval_ms = fleet.backup_every_ms;
     let Handles { lifecycle, clock, .. } = handles.clone();
-    let shutdown = (lifecycle.clone(), restart.clone());
-    let (cluster, mut lease_events) = start(fleet, &config.name, clock, config.seed, shutdown)
-        .map_err(|source| ServerError::BindClusterAddress { address, source })?;
-    if let (Some(events), Some(interval_ms)) = (lease_events.remove(backup::DUTY), backup_interval_ms) {
+    let process = ProcessControl { lifecycle: lifecycle.clone(), restart: restart.clone() };
+    let joined = start(fleet, &config.name, clock, config.seed, process);
+    let JoinedCluster { cluster, mut lease_events } =
+        joined.map_err(|source| ServerError::BindClusterAddress { address, source })?;
+    if let (Some(events), Some(interval_ms)) = (lease_events.remove(backup::LEASE_NAME), backup_interval_ms) {
         tokio::spawn(backup::run(cluster.clone(), events, tenant_service.clone(), clock, interval_ms));
     }
     if let Some(events) = lease_events.remove(ROLLING_RESTART_LEASE) {
         tokio::spawn(restart_controller::run(cluster.clone(), events, clock));
     }
-    tokio::spawn(follow(cluster.clone(), lifecycle));
+    tokio::spawn(follow_lifecycle(cluster.clone(), lifecycle));
     Ok(Some(cluster))
 }
 
