--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Takes over a listening TCP socket that the process was started with, by its descriptor's number.
+//! Takes over a listening TCP socket that the process was started with, by the number of its descriptor.
 //!
-//! Libraries for sockets that a service manager hands over (`listenfd`, `sd-notify`) read variables of their own
-//! and count from descriptor 3. Here the number is told, the socket is checked, and what is wrong is named. This
-//! crate holds the one line of the program that the compiler can't check.
+//! Libraries for socket activation by a service manager (`listenfd`, `sd-notify`) read variables of their own and count
+//! from descriptor 3. Here the caller gives the number, the socket is checked, and an error names what is wrong with
+//! it. This crate has the one line of the program that the compiler can't check.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,124 +11,129 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 use std::path::PathBuf;
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use thiserror::Error;
 
-/// Standard input, output and error are nobody's sockets.
-const FIRST: RawFd = 3;
+/// Lower numbers are standard input, output and error.
+const FIRST_INHERITED: RawFd = 3;
+
+/// Descriptors that were taken over; each can be taken once.
+static TAKEN: Mutex<BTreeSet<RawFd>> = Mutex::new(BTreeSet::new());
 
 /// Why a descriptor can't be taken over.
 #[derive(Debug, Error)]
 pub enum SocketActivationError {
-    /// Not the number of a descriptor that a process is started with.
-    #[error("must be the number of a descriptor, at least {FIRST}, is {0:?}")]
-    Number(String),
-    /// Nothing is open under that number.
-    #[error("descriptor {0} is not open")]
-    Closed(RawFd),
-    /// It is a file, a pipe or the like.
-    #[error("descriptor {0} is not a socket")]
-    NotASocket(RawFd),
-    /// A socket, but none that accepts TCP connections.
-    #[error("descriptor {0} is not a listening TCP socket")]
-    NotListening(RawFd),
-    /// It listens somewhere else.
-    #[error("descriptor {0} listens at {1}, not at {2}")]
-    Elsewhere(RawFd, SocketAddr, SocketAddr),
-    /// It was taken over before.
-    #[error("descriptor {0} is taken over already")]
-    Taken(RawFd),
-    /// The system would not say.
-    #[error("descriptor {0}: {1}")]
-    System(RawFd, std::io::Error),
+    /// The text is not the number of a descriptor that a process can inherit.
+    #[error("must be the number of a descriptor, at least {FIRST_INHERITED}, is {text:?}")]
+    InvalidNumber {
+        /// The text.
+        text: String,
+    },
+    /// No descriptor of this number is open.
+    #[error("descriptor {fd} is not open")]
+    NotOpen {
+        /// The number.
+        fd: RawFd,
+    },
+    /// The descriptor is a file, a pipe or the like.
+    #[error("descriptor {fd} is not a socket")]
+    NotASocket {
+        /// The number.
+        fd: RawFd,
+    },
+    /// The socket does not accept TCP connections.
+    #[error("descriptor {fd} is not a listening TCP socket")]
+    NotListening {
+        /// The number.
+        fd: RawFd,
+    },
+    /// The socket listens at another address.
+    #[error("descriptor {fd} listens at {found}, not at {expected}")]
+    WrongAddress {
+        /// The number.
+        fd: RawFd,
+        /// Where it listens.
+        found: SocketAddr,
+        /// Where it should listen.
+        expected: SocketAddr,
+    },
+    /// This process has taken the descriptor over before.
+    #[error("descriptor {fd} is taken over already")]
+    AlreadyTaken {
+        /// The number.
+        fd: RawFd,
+    },
+    /// A system call on the socket failed.
+    #[error("descriptor {fd}: {source}")]
+    System {
+        /// The number.
+        fd: RawFd,
+        /// The system's reason.
+        source: std::io::Error,
+    },
 }
 
-/// The number that a variable's text tells.
+/// Parses the number of a descriptor, for example the value of an environment variable.
+///
+/// # Errors
+/// Where it is no number, or that of standard input, output or error.
 pub fn parse_descriptor(text: &str) -> Result<RawFd, SocketActivationError> {
-    let told = text.trim().parse().ok().filter(|number| *number >= FIRST);
-    told.ok_or_else(|| SocketActivationError::Number(text.to_owned()))
+    let number = text.trim().parse().ok().filter(|number| *number >= FIRST_INHERITED);
+    number.ok_or_else(|| SocketActivationError::InvalidNumber { text: text.to_owned() })
 }
 
-static TAKEN: Mutex<BTreeSet<RawFd>> = Mutex::new(BTreeSet::new());
-
-/// Takes over the socket under `fd`, which must listen at `address`. It is set not to block, for every process
-/// that shares it.
+/// Takes over the socket under `fd`, which must listen at `address`. It is set to non-blocking mode, for every process
+/// that shares it, and is closed in programs that this process executes.
+///
+/// Call this before the process opens anything: then a number under which nothing was inherited is found closed, and
+/// is not a file of the process itself.
 ///
-/// To be called before the process opens anything, so that a number under which nothing was handed over is
-/// found closed, and not some file of the process's own.
+/// # Errors
+/// Where the descriptor is not a TCP socket that listens at `address`. A socket that is not accepted is closed.
 pub fn take_listener(fd: RawFd, address: SocketAddr) -> Result<TcpListener, SocketActivationError> {
-    if fd < FIRST {
-        return Err(SocketActivationError::Number(fd.to_string()));
+    if fd < FIRST_INHERITED {
+        return Err(SocketActivationError::InvalidNumber { text: fd.to_string() });
     }
-    let kind = std::fs::read_link(PathBuf::from(format!("/proc/self/fd/{fd}")));
-    let kind = kind.map_err(|_| SocketActivationError::Closed(fd))?;
+    let kind = std::fs::read_link(PathBuf::from(format!("/proc/self/fd/{fd}")))
+        .map_err(|_| SocketActivationError::NotOpen { fd })?;
     if !kind.to_string_lossy().starts_with("socket:") {
-        return Err(SocketActivationError::NotASocket(fd));
+        return Err(SocketActivationError::NotASocket { fd });
     }
-    if !TAKEN.lock().unwrap_or_else(PoisonError::into_inner).insert(fd) {
-        return Err(SocketActivationError::Taken(fd));
+    let newly_taken = taken().insert(fd);
+    if !newly_taken {
+        return Err(SocketActivationError::AlreadyTaken { fd });
     }
-    // SAFETY: the descriptor is open, as was just seen, and a socket. Nothing in this process opened it: the
-    // caller comes first, and a number is given out here once, so that nobody else closes it.
+    // SAFETY: the descriptor is open and a socket, as was just checked. Nothing else in this process owns it: the
+    // caller comes before all that opens descriptors, and each number is taken once.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
-    match check(&socket, fd, address) {
+    match prepare(&socket, fd, address) {
         Ok(()) => Ok(socket.into()),
-        Err(unfit) => {
-            // It is closed here, and its number may come anew.
-            TAKEN.lock().unwrap_or_else(PoisonError::into_inner).remove(&fd);
+        Err(error) => {
+            // The socket is closed here, and a later one may get its number.
+            taken().remove(&fd);
             drop(socket);
-            Err(unfit)
+            Err(error)
         }
     }
 }
 
-fn check(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
-    let system = |error| SocketActivationError::System(fd, error);
-    let tcp = socket.r#type().map_err(system)? == Type::STREAM && socket.is_listener().map_err(system)?;
-    let here = socket.local_addr().map_err(system)?.as_socket().filter(|_| tcp);
-    let here = here.ok_or(SocketActivationError::NotListening(fd))?;
-    if here != address {
-        return Err(SocketActivationError::Elsewhere(fd, here, address));
-    }
-    socket.set_cloexec(true).map_err(system)?;
-    socket.set_nonblocking(true).map_err(system)
+fn taken() -> MutexGuard<'static, BTreeSet<RawFd>> {
+    TAKEN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::UdpSocket;
-    use std::os::fd::{AsRawFd, IntoRawFd};
-
-    #[test]
-    fn a_listening_socket_is_taken_over_once_and_what_is_none_is_named() {
-        let ours = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = ours.local_addr().unwrap();
-        let elsewhere: SocketAddr = "127.0.0.1:1".parse().unwrap();
-        assert!(matches!(
-            take_listener(ours.into_raw_fd(), elsewhere),
-            Err(SocketActivationError::Elsewhere(..))
-        ));
-        let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap().into_raw_fd();
-        assert!(matches!(take_listener(datagrams, address), Err(SocketActivationError::NotListening(_))));
-        let file = std::fs::File::open("/proc/self/status").unwrap();
-        assert!(matches!(
-            take_listener(file.as_raw_fd(), address),
-            Err(SocketActivationError::NotASocket(_))
-        ));
-        assert!(matches!(take_listener(9999, address), Err(SocketActivationError::Closed(9999))));
-        for text in ["", "x", "-1", "2", "3x", "99999999999"] {
-            assert!(matches!(parse_descriptor(text), Err(SocketActivationError::Number(_))), "{text:?}");
-        }
-        assert_eq!(parse_descriptor("3").unwrap(), 3);
-        // Numbers of descriptors are the process's: what needs them stands in one test.
-        let ours = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = ours.local_addr().unwrap();
-        let fd = ours.into_raw_fd();
-        let taken = take_listener(fd, address).unwrap();
-        assert_eq!(taken.local_addr().unwrap(), address);
-        assert!(matches!(taken.accept().unwrap_err().kind(), std::io::ErrorKind::WouldBlock));
-        assert!(matches!(take_listener(fd, address), Err(SocketActivationError::Taken(_))));
+/// Checks that the socket listens at `address`, and sets its modes.
+fn prepare(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
+    let system = |source| SocketActivationError::System { fd, source };
+    let is_stream = socket.r#type().map_err(system)? == Type::STREAM;
+    let is_listening = is_stream && socket.is_listener().map_err(system)?;
+    let local_address = socket.local_addr().map_err(system)?.as_socket();
+    let Some(found) = local_address.filter(|_| is_listening) else {
+        return Err(SocketActivationError::NotListening { fd });
+    };
+    if found != address {
+        return Err(SocketActivationError::WrongAddress { fd, found, expected: address });
     }
+    socket.set_cloexec(true).map_err(system)?;
+    socket.set_nonblocking(true).map_err(system)
 }
--- /dev/null
+++ b/crates/socket-activation/tests/take_listener.rs
@@ -0,0 +1,40 @@
+//! Taking over a listening socket by the number of its descriptor.
+//!
+//! Numbers of descriptors belong to the whole process, so all that opens some is in one test.
+
+use sanddyke_socket_activation::{SocketActivationError, parse_descriptor, take_listener};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::os::fd::{AsRawFd, IntoRawFd};
+
+#[test]
+fn a_listening_socket_is_taken_over_once_and_anything_else_is_a_typed_error() {
+    let ours = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = ours.local_addr().unwrap();
+    let other_address: SocketAddr = "127.0.0.1:1".parse().unwrap();
+    assert!(matches!(
+        take_listener(ours.into_raw_fd(), other_address),
+        Err(SocketActivationError::WrongAddress { .. })
+    ));
+    let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap().into_raw_fd();
+    assert!(matches!(take_listener(datagrams, address), Err(SocketActivationError::NotListening { .. })));
+    let file = std::fs::File::open("/proc/self/status").unwrap();
+    assert!(matches!(
+        take_listener(file.as_raw_fd(), address),
+        Err(SocketActivationError::NotASocket { .. })
+    ));
+    assert!(matches!(take_listener(9999, address), Err(SocketActivationError::NotOpen { fd: 9999 })));
+    for text in ["", "x", "-1", "2", "3x", "99999999999"] {
+        assert!(
+            matches!(parse_descriptor(text), Err(SocketActivationError::InvalidNumber { .. })),
+            "{text:?}"
+        );
+    }
+    assert_eq!(parse_descriptor("3").unwrap(), 3);
+    let ours = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = ours.local_addr().unwrap();
+    let fd = ours.into_raw_fd();
+    let taken = take_listener(fd, address).unwrap();
+    assert_eq!(taken.local_addr().unwrap(), address);
+    assert!(matches!(taken.accept().unwrap_err().kind(), std::io::ErrorKind::WouldBlock));
+    assert!(matches!(take_listener(fd, address), Err(SocketActivationError::AlreadyTaken { .. })));
+}
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: `serve` is what the program is for, the others help to run it.
+//! The command line: `serve` runs the server, the other commands help to operate it.
 
 use clap::{Parser, Subcommand};
 use sanddyke::admin::routes;
@@ -82,99 +82,126 @@
     },
 }
 
+/// The configuration can't be used.
+const EXIT_CONFIG: u8 = 3;
+/// The store can't be used.
+const EXIT_STORE: u8 = 4;
+/// A change was rejected.
+const EXIT_CHANGE_REJECTED: u8 = 5;
+
 /// Why a command failed.
 #[derive(Debug, Error)]
-pub enum Failed {
+pub enum CommandError {
     /// The configuration can't be used.
-    #[error("{0}")]
+    #[error(transparent)]
     Config(#[from] ConfigError),
     /// The store can't be used.
-    #[error("{0}")]
+    #[error(transparent)]
     Store(#[from] StoreError),
-    /// The changes are refused.
+    /// The changes are not allowed.
     #[error("nothing was changed: {0}")]
-    Refused(#[from] ChangeError),
-    /// The document can't be used.
-    #[error("{0}: {1}")]
-    Document(PathBuf, String),
+    ChangeRejected(#[from] ChangeError),
+    /// A document of tenants can't be read or written.
+    #[error("{path}: {reason}", path = .path.display())]
+    Document {
+        /// The file, or the store that the document was made of.
+        path: PathBuf,
+        /// What is wrong with it.
+        reason: String,
+    },
     /// Output can't be written.
-    #[error("{0}")]
+    #[error(transparent)]
     Output(#[from] std::io::Error),
 }
 
-impl Failed {
+impl CommandError {
     /// The exit code.
     pub fn code(&self) -> ExitCode {
         match self {
-            Failed::Output(_) => ExitCode::FAILURE,
-            Failed::Config(_) => ExitCode::from(3),
-            Failed::Store(_) => ExitCode::from(4),
-            Failed::Refused(_) | Failed::Document(..) => ExitCode::from(5),
+            CommandError::Output(_) => ExitCode::FAILURE,
+            CommandError::Config(_) => ExitCode::from(EXIT_CONFIG),
+            CommandError::Store(_) => ExitCode::from(EXIT_STORE),
+            CommandError::ChangeRejected(_) | CommandError::Document { .. } => {
+                ExitCode::from(EXIT_CHANGE_REJECTED)
+            }
         }
     }
 }
 
-fn print(text: &str) -> Result<(), Failed> {
-    let mut out = std::io::stdout().lock();
-    out.write_all(text.as_bytes())?;
-    Ok(out.flush()?)
-}
-
-fn document(path: &Path) -> Result<Document, Failed> {
-    let wrong = |why: String| Failed::Document(path.to_owned(), why);
-    let text = match path.as_os_str() == "-" {
-        true => std::io::read_to_string(std::io::stdin()),
-        false => std::fs::read_to_string(path),
-    };
-    let text = text.map_err(|error| wrong(error.to_string()))?;
-    let document: Document = toml::from_str(&text).map_err(|error| wrong(error.to_string()))?;
-    match document.format {
-        FORMAT => Ok(document),
-        other => Err(wrong(format!("format: must be {FORMAT}, is {other}"))),
-    }
-}
-
 /// Runs a command other than `serve`.
-pub fn run(command: Command, config: Option<PathBuf>) -> Result<(), Failed> {
+pub fn run(command: Command, config: Option<PathBuf>) -> Result<(), CommandError> {
     match command {
         Command::Serve => Ok(()),
-        Command::Check { file } => {
-            let read = Config::from(&Source::File(config.unwrap_or(file)), &Clock::start())?;
-            let tenants = read.front.tenants.len();
-            let classes = read.front.classes.join(", ");
-            print(&format!("{}: good: {tenants} tenants, classes {classes}\n", read.name))
-        }
+        Command::Check { file } => check(config.unwrap_or(file)),
         Command::Schema => print(&format!("{:#}\n", config::schema())),
         Command::Openapi => print(&format!("{:#}\n", routes::openapi())),
-        Command::Export { store } => {
-            let (_, loaded) = Store::open_existing(&store)?;
-            let text = toml::to_string(&Document::of(&loaded.registry));
-            print(&text.map_err(|error| Failed::Document(store, error.to_string()))?)
-        }
-        Command::Import { store, document: path, prune, dry_run } => {
-            let meant = document(&path)?;
-            let (store, loaded) = Store::open(&store)?;
-            let plan = loaded.registry.plan(&meant.changes(&loaded.registry, prune))?;
-            let many = plan.records.len();
-            if dry_run {
-                return print(&format!("{many} changes would be made, {} shares moved\n", plan.moved.len()));
-            }
-            if many > 0 {
-                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let at_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
-                store.commit(&Commit::of("import", at_ms, &plan.after, plan.records))?;
-            }
-            print(&format!("{many} changes made\n"))
-        }
-        Command::Backup { store, to } => {
-            let (store, _) = Store::open_existing(&store)?;
-            store.backup(&to)?;
-            print(&format!("{}\n", to.display()))
-        }
-        Command::Restore { backup, store } => {
-            let kept = sanddyke_store::restore(&backup, &store)?;
-            let kept = kept.map_or(String::new(), |kept| format!("; what was there is {}", kept.display()));
-            print(&format!("{} is restored{kept}\n", store.display()))
-        }
+        Command::Export { store } => export(store),
+        Command::Import { store, document, prune, dry_run } => import(&store, &document, prune, dry_run),
+        Command::Backup { store, to } => backup(&store, &to),
+        Command::Restore { backup, store } => restore(&backup, &store),
+    }
+}
+
+fn check(file: PathBuf) -> Result<(), CommandError> {
+    let config = Config::from(&Source::File(file), &Clock::start())?;
+    let tenants = config.front.tenants.len();
+    let classes = config.front.classes.join(", ");
+    print(&format!("{}: good: {tenants} tenants, classes {classes}\n", config.name))
+}
+
+fn export(store: PathBuf) -> Result<(), CommandError> {
+    let (_, loaded) = Store::open_existing(&store)?;
+    let text = toml::to_string(&Document::of(&loaded.registry));
+    print(&text.map_err(|error| CommandError::Document { path: store, reason: error.to_string() })?)
+}
+
+fn import(store: &Path, document: &Path, prune: bool, dry_run: bool) -> Result<(), CommandError> {
+    let document = read_document(document)?;
+    let (store, loaded) = Store::open(store)?;
+    let plan = loaded.registry.plan(&document.changes(&loaded.registry, prune))?;
+    let change_count = plan.records.len();
+    if dry_run {
+        let moved_count = plan.moved.len();
+        return print(&format!("{change_count} changes would be made, {moved_count} shares moved\n"));
+    }
+    if change_count > 0 {
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
+        store.commit(&Commit::of("import", now_ms, &plan.after, plan.records))?;
+    }
+    print(&format!("{change_count} changes made\n"))
+}
+
+fn backup(store: &Path, to: &Path) -> Result<(), CommandError> {
+    let (store, _) = Store::open_existing(store)?;
+    store.backup(to)?;
+    print(&format!("{}\n", to.display()))
+}
+
+fn restore(backup: &Path, store: &Path) -> Result<(), CommandError> {
+    let replaced = sanddyke_store::restore(backup, store)?;
+    let replaced = replaced.map_or(String::new(), |path| format!("; what was there is {}", path.display()));
+    print(&format!("{} is restored{replaced}\n", store.display()))
+}
+
+/// Reads a document of tenants and groups; `-` is standard input.
+fn read_document(path: &Path) -> Result<Document, CommandError> {
+    let error = |reason: String| CommandError::Document { path: path.to_owned(), reason };
+    let text = if path.as_os_str() == "-" {
+        std::io::read_to_string(std::io::stdin())
+    } else {
+        std::fs::read_to_string(path)
+    };
+    let text = text.map_err(|source| error(source.to_string()))?;
+    let document: Document = toml::from_str(&text).map_err(|source| error(source.to_string()))?;
+    if document.format != FORMAT {
+        return Err(error(format!("format: must be {FORMAT}, is {}", document.format)));
     }
+    Ok(document)
+}
+
+fn print(text: &str) -> Result<(), CommandError> {
+    let mut out = std::io::stdout().lock();
+    out.write_all(text.as_bytes())?;
+    Ok(out.flush()?)
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,26 +1,26 @@
-//! Time: whole microseconds on the monotonic clock, and the one place that turns Unix times into it.
+//! Time: whole microseconds on the monotonic clock, and its conversion from and to Unix time.
 
 use std::ops::{Add, Sub};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A point in time since the program's start, or a duration, in microseconds. Points before the start
-/// (an engine that has run for long) are below 0.
+/// A point in time since the program's start, or a duration, in microseconds. Points before the start, for example
+/// the start of an engine, are negative.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub i64);
 
 impl Micros {
-    /// From milliseconds, as the module counts; what no clock holds is cut down to a day either way.
+    /// From milliseconds, the unit of the decision module; limited to a day in either direction.
     pub fn from_ms(ms: f64) -> Micros {
         const DAY_MS: f64 = 86_400_000.0;
         Micros((ms.clamp(-DAY_MS, DAY_MS) * 1000.0) as i64)
     }
 
-    /// In milliseconds, as the module counts.
+    /// In milliseconds, the unit of the decision module.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// As a duration; 0 where it is negative.
+    /// As a duration; a negative one becomes 0.
     pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0).unsigned_abs())
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// The program's clock.
+/// The program's clock: monotonic, and related to Unix time once, at the start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -54,7 +54,7 @@
         Clock { origin: Instant::now(), origin_unix_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX) }
     }
 
-    /// A seed for where none is told: no two starts have the same.
+    /// A seed for random numbers where none is configured: the time of the start, so another at each start.
     pub fn seed(&self) -> u64 {
         self.origin_unix_us.unsigned_abs()
     }
@@ -79,12 +79,12 @@
         self.unix_us() / 1000
     }
 
-    /// The instant of a point in time, for the runtime's timers.
+    /// A point in time as an instant, for the runtime's timers.
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + at.to_duration()
     }
 
-    /// The point in time of a Unix time in milliseconds.
+    /// The point in time at a Unix time in milliseconds.
     pub fn from_unix_ms(&self, unix_ms: i64) -> Micros {
         Micros(unix_ms.saturating_mul(1000).saturating_sub(self.origin_unix_us))
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The service without any wire, clock or I/O: events go in with their time, commands come out.
 //!
-//! A request passes these stages in order: [`validation`] checks it, [`admission`] admits or rejects it and hands it
-//! to the decision module, [`actions`] carries out what that module decides, [`attempts`] starts, cancels and ends
-//! attempts, [`attempt_events`] handles what engines report of them, and [`accounting`] gives the one final answer
+//! A request passes these stages in order: `validation` checks it, `admission` admits or rejects it and hands it
+//! to the decision module, `actions` carries out what that module decides, `attempts` starts, cancels and ends
+//! attempts, `attempt_events` handles what engines report of them, and `accounting` gives the one final answer
 //! and counts it.
 
 mod accounting;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,15 @@
-//! The decisions of a gateway in front of query engines with limited memory: when, and on which
-//! engine, each query or load runs.
+//! A workload manager in front of query engines with limited memory: it decides when, and on which engine, each query
+//! or load of many tenants is executed, and gives each request one final answer.
 //!
-//! [`Gateway`] is a state machine. The embedding front hands it every [`Event`] with the time at
-//! which it happened and carries out the [`Action`]s that come back, in order. It does no I/O and
-//! reads no clock, and the same events always give the same actions.
+//! [`decision`] decides, without I/O and clock; [`core`] surrounds it with requests, attempts and tenants, also without
+//! I/O; [`service`] runs the core as a task; [`frontend`] serves clients, [`upstream`] engines; [`discovery`] follows
+//! the list of engines; [`tenants`] and [`admin`] manage tenants; [`lifecycle`], [`state_handover`] and
+//! [`operations_endpoint`] are for starts, drains and ends of the process.
+//!
+//! # The decision module
+//!
+//! [`Gateway`] is a state machine. Its caller passes it every [`Event`] with the time at which it happened, and
+//! carries out the resulting [`Action`]s in order. The same events always give the same actions.
 //!
 //! ```
 //! use sanddyke::{Action, ClassSettings, EngineEntry, EngineId, EngineState, Event, Gateway};
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,9 +27,9 @@
         },
         other => match cli::run(other, config) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(failed) => {
-                eprintln!("sanddyke: {failed}");
-                failed.code()
+            Err(error) => {
+                eprintln!("sanddyke: {error}");
+                error.code()
             }
         },
     }
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -164,7 +164,7 @@
     tokio::task::spawn_blocking(write).await?
 }
 
-/// Waits until enough engines have answered a health check, or [`MAX_ENGINE_WAIT`] has passed.
+/// Waits until enough engines have answered a health check, or 2 s have passed.
 pub async fn wait_for_engines(service: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
