--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -65,7 +65,7 @@
     /// A request has reached its deadline. The decision module answers before that; this guards against its faults.
     pub(super) fn deadline_passed(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if self.requests.contains_key(&request) {
-            out.push(Command::Log(format!("request {request} was left to its deadline")));
+            out.push(Command::Log(format!("request {request} has reached its deadline without a decision")));
             self.answer(now, request, Answer::Failed(None), out);
             self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -2,7 +2,9 @@
 
 use super::{AttemptId, Call, CancelToken, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
-use crate::decision::{AttemptEnd, Effect, EngineState, Event, LoadReport, Outcome, RequestId, Usage};
+use crate::decision::{
+    AttemptEnd, Effect, EngineState, Event, LoadReport, Outcome, RequestId, Settings, Usage,
+};
 use sanddyke_tenancy::Slot;
 
 /// An engine that has not confirmed a cancellation by then is taken to have read it.
@@ -47,6 +49,23 @@
         number
     }
 
+    /// Until when engines recognise a further attempt as a repetition; none where that does not matter, as the class
+    /// has no idempotency keys or nothing was possibly executed.
+    fn deduplicated_until(&self, settings: &Settings, class: usize) -> Option<Micros> {
+        let first = self.possibly_executed?;
+        match settings.classes[class].effect {
+            Effect::Keyed { window_ms, .. } => {
+                Some(first.sent_at + Micros::from_ms(window_ms - settings.step_ms))
+            }
+            _ => None,
+        }
+    }
+
+    /// Records that the attempt is sent, and from now on possibly executed.
+    fn sent(&mut self, number: u32, sent_at: Micros) {
+        self.possibly_executed.get_or_insert(PossiblyExecuted { number, sent_at });
+    }
+
     /// Counts the end of an attempt.
     fn end(&mut self, number: u32, outcome: Outcome) {
         self.in_flight -= 1;
@@ -87,28 +106,22 @@
     ) {
         debug_assert!(
             self.requests.contains_key(&request),
-            "the module sent request {request}, which is over"
+            "an attempt of request {request}, which is closed"
         );
         let Some(open) = self.requests.get_mut(&request) else {
-            out.push(Command::Log(format!("the module sent request {request}, which is over")));
+            out.push(Command::Log(format!("an attempt of request {request}, which is closed")));
             return;
         };
         let history = self.attempt_histories.entry(request).or_default();
         let attempt = AttemptId { request, number: history.start() };
-        if let Some(slot) = open.tenant_slot {
-            self.roster.attempt_started(slot);
-        }
         // The decision module checks this too, with the same margin; a connection that is established late writes
         // the attempt later.
         let settings = &self.front.settings;
-        let deduplicated_until = match (history.possibly_executed, settings.classes[open.class].effect) {
-            (Some(first), Effect::Keyed { window_ms, .. }) => {
-                Some(first.sent_at + Micros::from_ms(window_ms - settings.step_ms))
-            }
-            _ => None,
-        };
-        history.possibly_executed.get_or_insert(PossiblyExecuted { number: attempt.number, sent_at: now });
-        let cancel_token = CancelToken::until(deduplicated_until);
+        let cancel_token = CancelToken::until(history.deduplicated_until(settings, open.class));
+        history.sent(attempt.number, now);
+        if let Some(slot) = open.tenant_slot {
+            self.roster.attempt_started(slot);
+        }
         let running = Attempt {
             engine,
             tenant_slot: open.tenant_slot,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -107,7 +107,7 @@
             }
             Input::Attempt { attempt, event } => self.attempt_event(now, attempt, event, out),
             Input::HealthChecked(result) => self.health_checked(now, &result, out),
-            Input::RestoreState(state, age) => self.restore(&state, age),
+            Input::RestoreState { state, age } => self.restore(&state, age),
             Input::PeerProcessConnections(connections) => self.peer_process_connections(connections),
             Input::Tick => self.fire_due_timers(now, out),
             Input::RejectNew => self.rejects_new_requests = true,
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -28,7 +28,7 @@
             classes.map(|(name, count)| format!("{name} {}+{}", count.queued, count.running)).collect();
         let attempts = self.accounting.attempts.iter();
         let attempts: Vec<String> = attempts.map(|(outcome, count)| format!("{outcome} {count}")).collect();
-        format!("open (held+out): {}; attempts ended: {}", classes.join(", "), attempts.join(", "))
+        format!("open (queued+running): {}; attempts ended: {}", classes.join(", "), attempts.join(", "))
     }
 
     /// The state of the whole service. It walks all engines, requests and tenants.
--- a/src/core/types/input.rs
+++ b/src/core/types/input.rs
@@ -26,8 +26,13 @@
     },
     /// A health check has ended.
     HealthChecked(HealthCheckResult),
-    /// Another process of this manager has learned this state, and wrote it this long ago.
-    RestoreState(Box<HandoverState>, Micros),
+    /// Restore what another process of this manager has learned.
+    RestoreState {
+        /// What it has learned.
+        state: Box<HandoverState>,
+        /// The time since then.
+        age: Micros,
+    },
     /// Another process of this manager has so many of the connections that clients may have.
     PeerProcessConnections(usize),
     /// Time has passed: due timers fire.
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -43,10 +43,7 @@
     /// Starts everything, in an order in which each part finds what it needs; clients are accepted last.
     pub async fn start(options: StartOptions) -> Result<Server, ServerError> {
         let StartOptions { source, clock, config, inherited_listener } = options;
-        let socket = match inherited_listener {
-            Some(_) => ListenSocket::Shared,
-            None => ListenSocket::Exclusive,
-        };
+        let socket = listen_socket(inherited_listener.as_ref());
         let lifecycle = LifecycleHandle::new(socket);
         let signals = Signals::register()?;
         let shutdown_budget =
@@ -76,9 +73,8 @@
         let name = config.name.clone();
         let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.sockets));
         listeners.open(config, inherited_listener, tenant_service, cluster.clone(), &admin_tls).await?;
-        for event in [Event::EngineListLoaded, Event::EnginesChecked] {
-            handles.lifecycle.apply(event)?;
-        }
+        handles.lifecycle.apply(Event::EngineListLoaded)?;
+        handles.lifecycle.apply(Event::EnginesChecked)?;
         handover.start_tasks(&handles);
         log::info!("{name} is ready");
         Ok(Server {
@@ -97,6 +93,14 @@
     }
 }
 
+/// An inherited socket is accepted on by other processes too.
+fn listen_socket(inherited_listener: Option<&std::net::TcpListener>) -> ListenSocket {
+    match inherited_listener {
+        Some(_) => ListenSocket::Shared,
+        None => ListenSocket::Exclusive,
+    }
+}
+
 /// The files by which this process and the next, or the one before, hand over. There are none where the clients'
 /// socket ends with the process.
 #[derive(Debug)]
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -117,7 +117,7 @@
         age.as_millis()
     );
     let age = Micros(i64::try_from(age.as_micros()).unwrap_or(i64::MAX));
-    service.notify(Input::RestoreState(Box::new(state), age)).await
+    service.notify(Input::RestoreState { state: Box::new(state), age }).await
 }
 
 fn read_snapshot(
