--- /dev/null
+++ b/src/server/listeners.rs
@@ -0,0 +1,109 @@
+//! The listeners for clients (HTTP, TDS) and for operators (administration API).
+
+use super::Handles;
+use super::error::ServerError;
+use super::limits::DescriptorBudget;
+use super::reload::AdminTls;
+use sanddyke::admin::{self, Admin};
+use sanddyke::cluster::Cluster;
+use sanddyke::config::{AdminApi, Config, TdsFront};
+use sanddyke::frontend::http::{self, Http};
+use sanddyke::frontend::tds::{self, Tds};
+use sanddyke::tenants::TenantService;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use tokio::net::TcpListener;
+use tokio::task::JoinHandle;
+
+/// The listeners for clients and operators, each with its accept loop.
+#[derive(Debug)]
+pub struct Listeners {
+    handles: Handles,
+    descriptors: DescriptorBudget,
+    /// The accept loops; each ends by itself when the lifecycle says so.
+    pub accept_loops: Vec<JoinHandle<()>>,
+}
+
+impl Listeners {
+    /// No listeners yet.
+    pub fn new(handles: Handles, descriptors: DescriptorBudget) -> Listeners {
+        Listeners { handles, descriptors, accept_loops: Vec::new() }
+    }
+
+    /// Opens every listener that is configured.
+    pub async fn open(
+        &mut self,
+        config: Config,
+        inherited_listener: Option<std::net::TcpListener>,
+        tenant_service: Arc<TenantService>,
+        cluster: Option<Cluster>,
+        admin_tls: &AdminTls,
+    ) -> Result<(), ServerError> {
+        if let Some(address) = config.listen {
+            self.start_http(address, inherited_listener, config.page_bytes).await?;
+        }
+        if let Some(settings) = config.tds {
+            self.start_tds(settings, config.seed).await?;
+        }
+        if let Some(settings) = config.admin {
+            self.start_admin(settings, tenant_service, cluster, admin_tls).await?;
+        }
+        Ok(())
+    }
+
+    /// Accepts HTTP clients, on the inherited socket where there is one.
+    async fn start_http(
+        &mut self,
+        address: SocketAddr,
+        inherited_listener: Option<std::net::TcpListener>,
+        page_bytes: usize,
+    ) -> Result<(), ServerError> {
+        let listener = match inherited_listener {
+            Some(listener) => TcpListener::from_std(listener)?,
+            None => bind(address).await?,
+        };
+        let frontend = Http::new(self.handles.service.clone(), self.handles.lifecycle.clone(), page_bytes);
+        let max_connections = self.descriptors.max_http_connections();
+        self.accept_loops.push(tokio::spawn(http::serve(listener, frontend, max_connections)));
+        Ok(())
+    }
+
+    /// Accepts TDS clients.
+    async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
+        let listener = bind(settings.listen).await?;
+        let frontend = Tds {
+            handle: self.handles.service.clone(),
+            lifecycle: self.handles.lifecycle.clone(),
+            directory: settings.directory,
+            tls: settings.tls,
+            class: settings.class,
+            budget: settings.budget,
+            seed,
+            named: AtomicU64::new(1),
+        };
+        let max_connections = self.descriptors.max_tds_connections();
+        self.accept_loops.push(tokio::spawn(tds::serve(listener, Arc::new(frontend), max_connections)));
+        Ok(())
+    }
+
+    /// Accepts operators at the administration API, whose certificate can be replaced by `admin_tls`.
+    async fn start_admin(
+        &mut self,
+        settings: AdminApi,
+        tenant_service: Arc<TenantService>,
+        cluster: Option<Cluster>,
+        admin_tls: &AdminTls,
+    ) -> Result<(), ServerError> {
+        let listener = bind(settings.listen).await?;
+        admin_tls.send_replace(settings.tls);
+        let Handles { service, lifecycle, clock } = self.handles.clone();
+        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.token, cluster);
+        self.accept_loops.push(tokio::spawn(admin::serve(listener, api, admin_tls.subscribe())));
+        Ok(())
+    }
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, ServerError> {
+    TcpListener::bind(address).await.map_err(|source| ServerError::BindClientAddress { address, source })
+}
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -2,6 +2,7 @@
 
 mod error;
 mod limits;
+mod listeners;
 mod reload;
 mod shutdown;
 mod startup;
@@ -56,6 +57,14 @@
     peer_connections_file: Option<SnapshotFile>,
 }
 
+/// The parts that most tasks need: the way to the service, the lifecycle and the clock.
+#[derive(Debug, Clone)]
+struct Handles {
+    service: ServiceHandle,
+    lifecycle: LifecycleHandle,
+    clock: Clock,
+}
+
 /// The signals that the server handles.
 #[derive(Debug)]
 struct Signals {
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -3,17 +3,15 @@
 
 use super::error::ServerError;
 use super::limits::{DescriptorBudget, upstream_limits};
+use super::listeners::Listeners;
 use super::reload::{AdminTls, ConfigReloader};
 use super::shutdown::ShutdownBudget;
-use super::{Server, Signals, StartOptions};
-use sanddyke::admin::{self, Admin};
+use super::{Handles, Server, Signals, StartOptions};
 use sanddyke::clock::Clock;
 use sanddyke::cluster::Cluster;
-use sanddyke::config::{AdminApi, Config, StoreKeys, TdsFront};
+use sanddyke::config::{Config, StoreKeys};
 use sanddyke::core::{Core, EngineListUpdate, Input};
 use sanddyke::discovery::{self, DiscoveryTarget};
-use sanddyke::frontend::http::{self, Http};
-use sanddyke::frontend::tds::{self, Tds};
 use sanddyke::lifecycle::LifecycleHandle;
 use sanddyke::operations_endpoint::{self, Heartbeat, OperationsEndpoint};
 use sanddyke::service::{self, ServiceEnded, ServiceHandle};
@@ -24,20 +22,8 @@
 use sanddyke_lifecycle::{Event, ListenSocket};
 use sanddyke_snapshot::SnapshotFile;
 use sanddyke_store::{Loaded, Store, StoreError};
-use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::AtomicU64;
-use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
-use tokio::task::JoinHandle;
-
-/// The parts that most tasks need: the way to the service, the lifecycle and the clock.
-#[derive(Debug, Clone)]
-struct Handles {
-    service: ServiceHandle,
-    lifecycle: LifecycleHandle,
-    clock: Clock,
-}
 
 impl Server {
     /// Starts everything, in an order in which each part finds what it needs; clients are accepted last.
@@ -240,93 +226,3 @@
 ) -> Result<Option<Cluster>, ServerError> {
     Ok(None)
 }
-
-/// The listeners for clients and operators, each with its accept loop.
-#[derive(Debug)]
-struct Listeners {
-    handles: Handles,
-    descriptors: DescriptorBudget,
-    accept_loops: Vec<JoinHandle<()>>,
-}
-
-impl Listeners {
-    fn new(handles: Handles, descriptors: DescriptorBudget) -> Listeners {
-        Listeners { handles, descriptors, accept_loops: Vec::new() }
-    }
-
-    /// Opens every listener that is configured.
-    async fn open(
-        &mut self,
-        config: Config,
-        inherited_listener: Option<std::net::TcpListener>,
-        tenant_service: Arc<TenantService>,
-        cluster: Option<Cluster>,
-        admin_tls: &AdminTls,
-    ) -> Result<(), ServerError> {
-        if let Some(address) = config.listen {
-            self.start_http(address, inherited_listener, config.page_bytes).await?;
-        }
-        if let Some(settings) = config.tds {
-            self.start_tds(settings, config.seed).await?;
-        }
-        if let Some(settings) = config.admin {
-            self.start_admin(settings, tenant_service, cluster, admin_tls).await?;
-        }
-        Ok(())
-    }
-
-    /// Accepts HTTP clients, on the inherited socket where there is one.
-    async fn start_http(
-        &mut self,
-        address: SocketAddr,
-        inherited_listener: Option<std::net::TcpListener>,
-        page_bytes: usize,
-    ) -> Result<(), ServerError> {
-        let listener = match inherited_listener {
-            Some(listener) => TcpListener::from_std(listener)?,
-            None => bind(address).await?,
-        };
-        let frontend = Http::new(self.handles.service.clone(), self.handles.lifecycle.clone(), page_bytes);
-        let max_connections = self.descriptors.max_http_connections();
-        self.accept_loops.push(tokio::spawn(http::serve(listener, frontend, max_connections)));
-        Ok(())
-    }
-
-    /// Accepts TDS clients.
-    async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
-        let listener = bind(settings.listen).await?;
-        let frontend = Tds {
-            handle: self.handles.service.clone(),
-            lifecycle: self.handles.lifecycle.clone(),
-            directory: settings.directory,
-            tls: settings.tls,
-            class: settings.class,
-            budget: settings.budget,
-            seed,
-            named: AtomicU64::new(1),
-        };
-        let max_connections = self.descriptors.max_tds_connections();
-        self.accept_loops.push(tokio::spawn(tds::serve(listener, Arc::new(frontend), max_connections)));
-        Ok(())
-    }
-
-    /// Accepts operators at the administration API, whose certificate can be replaced by `admin_tls`.
-    async fn start_admin(
-        &mut self,
-        settings: AdminApi,
-        tenant_service: Arc<TenantService>,
-        cluster: Option<Cluster>,
-        admin_tls: &AdminTls,
-    ) -> Result<(), ServerError> {
-        let listener = bind(settings.listen).await?;
-        admin_tls.send_replace(settings.tls);
-        let Handles { service, lifecycle, clock } = self.handles.clone();
-        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.token, cluster);
-        self.accept_loops.push(tokio::spawn(admin::serve(listener, api, admin_tls.subscribe())));
-        Ok(())
-    }
-}
-
-async fn bind(address: SocketAddr) -> Result<TcpListener, ServerError> {
-    TcpListener::bind(address).await.map_err(|source| ServerError::BindClientAddress { address, source })
-}
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -169,7 +169,7 @@
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
         if clock.now() >= give_up_at {
-            log::warn!("handover: too few engines have answered a health check: ready without them");
+            log::warn!("too few engines have answered a health check: ready without them");
             break;
         }
         tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
