--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The service without any wire, clock or I/O: events go in with their time, commands come out.
 //!
-//! A request passes these stages in order: [`validation`] checks it, [`admission`] admits or rejects it and hands it
-//! to the decision module, [`actions`] carries out what that module decides, [`attempts`] starts, cancels and ends
-//! attempts, [`attempt_events`] handles what engines report of them, and [`accounting`] gives the one final answer
+//! A request passes these stages in order: `validation` checks it, `admission` admits or rejects it and hands it
+//! to the decision module, `actions` carries out what that module decides, `attempts` starts, cancels and ends
+//! attempts, `attempt_events` handles what engines report of them, and `accounting` gives the one final answer
 //! and counts it.
 
 mod accounting;
@@ -107,7 +107,7 @@
             }
             Input::Attempt { attempt, event } => self.attempt_event(now, attempt, event, out),
             Input::HealthChecked(result) => self.health_checked(now, &result, out),
-            Input::RestoreState(state, age) => self.restore(&state, age),
+            Input::RestoreState { state, age } => self.restore(&state, age),
             Input::PeerProcessConnections(connections) => self.peer_process_connections(connections),
             Input::Tick => self.fire_due_timers(now, out),
             Input::RejectNew => self.rejects_new_requests = true,
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -117,7 +117,7 @@
         age.as_millis()
     );
     let age = Micros(i64::try_from(age.as_micros()).unwrap_or(i64::MAX));
-    service.notify(Input::RestoreState(Box::new(state), age)).await
+    service.notify(Input::RestoreState { state: Box::new(state), age }).await
 }
 
 fn read_snapshot(
@@ -164,12 +164,12 @@
     tokio::task::spawn_blocking(write).await?
 }
 
-/// Waits until enough engines have answered a health check, or [`MAX_ENGINE_WAIT`] has passed.
+/// Waits until enough engines have answered a health check, or 2 s have passed.
 pub async fn wait_for_engines(service: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
         if clock.now() >= give_up_at {
-            log::warn!("handover: too few engines have answered a health check: ready without them");
+            log::warn!("too few engines have answered a health check: ready without them");
             break;
         }
         tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
