--- /dev/null
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -0,0 +1,241 @@
+//! One simulated workload manager: its gateway, and the names that the gateway's numbers stand for.
+
+use crate::error::{FieldError, LineError};
+use crate::lines::{EventMessage, Fields};
+use sanddyke::settings::{self, Front, number};
+use sanddyke::{
+    AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event,
+    Gateway, KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
+};
+use std::collections::HashMap;
+
+/// Bit of `INGRESS`'s `opts`: the client's estimate of the work can be used.
+const HAS_WORK_ESTIMATE: u64 = 1;
+/// `COMPLETED`'s `bill` holds the work (ms) above this many bits.
+const BILL_WORK_SHIFT: u32 = 12;
+/// And below them the memory, in these units (MB).
+const BILL_MEMORY_UNIT_MB: u64 = 4;
+/// `INTERIM`'s `amount` where an attempt waits for a load.
+const WAITS_FOR_LOAD: f64 = 2.0;
+
+/// One simulated workload manager.
+pub struct Instance {
+    /// Its decisions.
+    pub gateway: Gateway,
+    /// Names of its requests, by id.
+    pub requests: Vec<String>,
+    front: Front,
+    request_ids: HashMap<String, RequestId>,
+    order_keys: HashMap<String, OrderKey>,
+}
+
+impl Instance {
+    /// The instance that a `LAUNCH` line describes.
+    pub fn launch(fields: &Fields, now: Millis) -> Result<Instance, LineError> {
+        let front = settings::parse(fields.required_text(2)?).map_err(|error| fields.error(2, error))?;
+        Ok(Instance {
+            gateway: Gateway::new(front.settings.clone(), fields.required(1)?, now),
+            requests: Vec::new(),
+            front,
+            request_ids: HashMap::new(),
+            order_keys: HashMap::new(),
+        })
+    }
+
+    /// The event that a line stands for; `None` where there is nothing for the gateway to decide.
+    pub fn event(
+        &mut self,
+        message: EventMessage,
+        fields: &Fields,
+        lists: &HashMap<u64, Vec<ListRow>>,
+    ) -> Result<Option<Event>, LineError> {
+        Ok(match message {
+            EventMessage::Registry => Some(Event::EngineList(self.engine_list(fields, lists)?)),
+            EventMessage::Ingress => Some(Event::Request(self.request(fields)?)),
+            EventMessage::Completed => self.attempt_end(fields)?.map(Event::AttemptEnded),
+            EventMessage::Checked => Some(self.health_check_end(fields)?),
+            EventMessage::Interim => self.attempt_note(fields)?,
+            EventMessage::Streaming => {
+                self.known_request(fields, 1)?.map(|request| Event::StreamStarted { request })
+            }
+            EventMessage::Wakeup => Some(Event::Timer(fields.required(1)?)),
+            EventMessage::TimedOutClient => self.known_request(fields, 1)?.map(Event::ClientDisconnected),
+            EventMessage::Inbox => None,
+        })
+    }
+
+    /// The request that a line names; `None` for one that this instance never received.
+    fn known_request(&self, fields: &Fields, index: usize) -> Result<Option<RequestId>, LineError> {
+        Ok(self.request_ids.get(fields.required_text(index)?).copied())
+    }
+
+    fn engine_list(
+        &mut self,
+        fields: &Fields,
+        lists: &HashMap<u64, Vec<ListRow>>,
+    ) -> Result<EngineListEvent, LineError> {
+        let form = fields.required_text(2)?;
+        if form == "unavailable" {
+            return Ok(EngineListEvent::Unavailable);
+        }
+        let rows = lists.get(&fields.required(3)?).ok_or_else(|| fields.error(3, FieldError::UnknownList))?;
+        let entries = rows.iter().map(|row| self.entry(row)).collect();
+        match form {
+            "update" => Ok(EngineListEvent::Update(entries)),
+            "replace" => Ok(EngineListEvent::Replace(entries)),
+            "restored" => Ok(EngineListEvent::Restored(entries)),
+            other => Err(fields.error(2, FieldError::UnknownWord(other.to_owned()))),
+        }
+    }
+
+    fn entry(&mut self, row: &ListRow) -> EngineEntry {
+        EngineEntry {
+            id: row.engine,
+            started_at: row.started_at,
+            cell: row.cell,
+            state: row.state,
+            kind: KindId(number(&mut self.front.kinds, &row.kind)),
+            weight: row.weight,
+            zone: ZoneId(number(&mut self.front.zones, &row.zone)),
+        }
+    }
+
+    fn request(&mut self, fields: &Fields) -> Result<Request, LineError> {
+        let name = fields.required_text(1)?;
+        let id = RequestId(self.requests.len() as u64);
+        if self.request_ids.insert(name.to_owned(), id).is_some() {
+            return Err(fields.error(1, FieldError::DuplicateRequest));
+        }
+        self.requests.push(name.to_owned());
+        let options = fields.value::<u64>(3)?.unwrap_or(0);
+        let class_name = fields.required_text(8)?;
+        let class = self.front.classes.iter().position(|class| class == class_name);
+        let class = class.ok_or_else(|| fields.error(8, FieldError::UnknownClass(class_name.to_owned())))?;
+        let tenant =
+            fields.text(5).and_then(|name| self.front.tenants.iter().position(|tenant| tenant == name));
+        let next_key = OrderKey(self.order_keys.len() as u64);
+        let key = fields.text(9).map(|key| *self.order_keys.entry(key.to_owned()).or_insert(next_key));
+        let has_estimate = options & HAS_WORK_ESTIMATE != 0;
+        Ok(Request {
+            id,
+            class: ClassId(class),
+            tenant: tenant.map(TenantId),
+            key,
+            data_set: fields.amount(2)?.unwrap_or(0.0) as u64,
+            work_ms: fields.amount(4)?.filter(|work_ms| has_estimate && *work_ms > 0.0),
+            memory_mb: fields.amount(6)?.filter(|memory_mb| *memory_mb > 0.0),
+            remaining_ms: fields.required_amount(7)?,
+        })
+    }
+
+    fn attempt_end(&self, fields: &Fields) -> Result<Option<AttemptEnd>, LineError> {
+        let Some(request) = self.known_request(fields, 1)? else { return Ok(None) };
+        let bill = fields.value::<u64>(7)?.unwrap_or(0);
+        Ok(Some(AttemptEnd {
+            request,
+            attempt: fields.required(2)?,
+            outcome: outcome(fields, 4)?,
+            elapsed_ms: fields.required_amount(5)?,
+            settled: fields.required::<u8>(6)? != 0,
+            usage: usage(bill).filter(|_| self.front.says_cost),
+            report: load_report(fields, 8, &self.front.columns)?,
+        }))
+    }
+
+    fn health_check_end(&self, fields: &Fields) -> Result<Event, LineError> {
+        Ok(Event::HealthChecked {
+            outcome: outcome(fields, 1)?,
+            engine: EngineId(fields.required(2)?),
+            elapsed_ms: fields.required_amount(3)?,
+            report: load_report(fields, 4, &self.front.columns)?,
+        })
+    }
+
+    fn attempt_note(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
+        let amount = fields.amount(5)?.unwrap_or(0.0);
+        let note = match fields.required::<u32>(4)? {
+            1 => AttemptNote::Progress(amount),
+            2 => AttemptNote::Spills(amount),
+            3 if amount == WAITS_FOR_LOAD => AttemptNote::WaitsForLoad,
+            3 => AttemptNote::WaitsForMemory,
+            other => return Err(fields.error(4, FieldError::UnknownNote(other))),
+        };
+        let attempt = fields.required(2)?;
+        let request = self.known_request(fields, 1)?;
+        Ok(request.map(|request| Event::AttemptNote { request, attempt, note }))
+    }
+}
+
+/// An entry of an engine list, before an instance's numbers for kinds and zones.
+pub struct ListRow {
+    engine: EngineId,
+    started_at: Option<Millis>,
+    cell: Option<CellId>,
+    state: EngineState,
+    kind: String,
+    weight: f64,
+    zone: String,
+}
+
+impl ListRow {
+    /// The entry that a `ROW` line describes.
+    pub fn parse(fields: &Fields) -> Result<ListRow, LineError> {
+        let state = match fields.required_text(3)? {
+            "active" => EngineState::Ready,
+            "leaving" => EngineState::Draining,
+            "left" => EngineState::Removed,
+            other => return Err(fields.error(3, FieldError::UnknownWord(other.to_owned()))),
+        };
+        Ok(ListRow {
+            engine: EngineId(fields.required(0)?),
+            started_at: fields.amount(1)?.filter(|at| *at != 0.0),
+            cell: fields.value(2)?.map(CellId),
+            state,
+            kind: fields.text(4).unwrap_or("").to_owned(),
+            weight: fields.amount(5)?.unwrap_or(1.0),
+            zone: fields.text(6).unwrap_or("").to_owned(),
+        })
+    }
+}
+
+fn outcome(fields: &Fields, index: usize) -> Result<Outcome, LineError> {
+    Ok(match fields.required_text(index)? {
+        "served" => Outcome::Served,
+        "server_error" => Outcome::ServerError,
+        "turned_away" => Outcome::Full,
+        "no_answer" => Outcome::TimedOut,
+        "no_connection" => Outcome::NoConnection,
+        "connection_lost" => Outcome::ConnectionLost,
+        "called_off" => Outcome::Cancelled,
+        "not_sent" => Outcome::NotSent,
+        other => return Err(fields.error(index, FieldError::UnknownWord(other.to_owned()))),
+    })
+}
+
+/// What a bill amounts to; `None` for an empty one.
+fn usage(bill: u64) -> Option<Usage> {
+    let work_ms = bill >> BILL_WORK_SHIFT;
+    let memory_units = bill & ((1 << BILL_WORK_SHIFT) - 1);
+    let usage = Usage { work_ms: work_ms as f64, memory_mb: (memory_units * BILL_MEMORY_UNIT_MB) as f64 };
+    (bill > 0).then_some(usage)
+}
+
+/// Reads a load report: pairs of `name:value`, of which unknown names are ignored.
+fn load_report(fields: &Fields, index: usize, columns: &[String]) -> Result<Option<LoadReport>, LineError> {
+    let Some(text) = fields.text(index).filter(|_| !columns.is_empty()) else { return Ok(None) };
+    let mut report = LoadReport::default();
+    for pair in text.split(',') {
+        let unreadable = || fields.error(index, FieldError::Unreadable(pair.to_owned()));
+        let (name, value) = pair.split_once(':').ok_or_else(unreadable)?;
+        let value: f64 = value.parse().map_err(|_| unreadable())?;
+        match name {
+            "inflight" => report.in_flight = Some(value),
+            "queue" => report.queued = Some(value),
+            "util" => report.busy = Some(value),
+            "x0" => report.memory = Some(value),
+            "x1" => report.disks = Some(value),
+            _ => {}
+        }
+    }
+    Ok(Some(report))
+}
