--- /dev/null
+++ b/tests/rules/main.rs
@@ -0,0 +1,81 @@
+//! The rules of the decision module at their edges, without a simulator.
+
+mod below_minimum_cap;
+mod data_sets;
+mod execution;
+mod health;
+mod shares_and_capacity;
+
+use sanddyke::*;
+
+fn engine(id: u64) -> EngineEntry {
+    EngineEntry { id: EngineId(id), state: EngineState::Ready, weight: 1.0, ..EngineEntry::default() }
+}
+
+fn gateway(settings: Settings, engines: &[EngineEntry]) -> Gateway {
+    let mut gateway = Gateway::new(settings, 1, 0.0);
+    gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.to_vec())), &mut Vec::new());
+    gateway
+}
+
+fn settings(class: ClassSettings) -> Settings {
+    Settings {
+        classes: vec![class],
+        kinds: vec![KindSettings { cores: Some(8.0), memory_mb: None }; 2],
+        ..Settings::default()
+    }
+}
+
+fn arrive(gateway: &mut Gateway, now: f64, request: Request) -> Vec<Action> {
+    let mut out = Vec::new();
+    gateway.handle(now, Event::Request(request), &mut out);
+    out
+}
+
+fn end_attempt(gateway: &mut Gateway, now: f64, request: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    let mut out = Vec::new();
+    let end = AttemptEnd {
+        request: RequestId(request),
+        attempt,
+        outcome,
+        elapsed_ms: 10.0,
+        settled: outcome == Outcome::Served,
+        usage: None,
+        report: None,
+    };
+    gateway.handle(now, Event::AttemptEnded(end), &mut out);
+    out
+}
+
+fn request(id: u64) -> Request {
+    Request { id: RequestId(id), remaining_ms: 5000.0, ..Request::default() }
+}
+
+fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+    let send = |action: &Action| match action {
+        Action::Send { request, engine, .. } => Some((request.0, engine.0)),
+        _ => None,
+    };
+    actions.iter().filter_map(send).collect()
+}
+
+fn health_checks(actions: &[Action]) -> Vec<u64> {
+    let check = |action: &Action| match action {
+        Action::HealthCheck(engine) => Some(engine.0),
+        _ => None,
+    };
+    actions.iter().filter_map(check).collect()
+}
+
+fn answer_check(gateway: &mut Gateway, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
+    let mut out = Vec::new();
+    let event =
+        Event::HealthChecked { engine: EngineId(engine), outcome: Outcome::Served, elapsed_ms, report: None };
+    gateway.handle(now, event, &mut out);
+    out
+}
+
+fn gateway_of_300() -> Gateway {
+    let settings = Settings { gateway_count: 300, ..settings(ClassSettings::default()) };
+    gateway(settings, &[engine(1), engine(2), engine(3), engine(4)])
+}
