--- a/benches/core.rs
+++ b/benches/core.rs
@@ -26,16 +26,16 @@
     "report":{"columns":["util","queue","x0","x1"]},"safety":{"coldFrom":0.33,"overloadFactor":2,
     "tipAfterMs":2000,"warmUpMs":15000},"stepMs":5,"familyInfo":{"kindCores":[8],"tellsEveryMs":500}}"#;
 
-/// Time between two requests (us): a thousand a second.
-const EVERY: i64 = 1000;
+/// Time between two requests: a thousand a second.
+const ARRIVAL_INTERVAL_US: i64 = 1000;
 
 #[derive(Debug, Clone, Copy)]
-struct Scene {
+struct Scenario {
     tenants: usize,
     sending: usize,
     engines: usize,
-    /// Whether more is asked than the engines can do.
-    standing: bool,
+    /// Whether more requests arrive than the engines can serve, so that queues form.
+    overloaded: bool,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,9 +44,9 @@
     Probe { engine: u64 },
 }
 
-struct World {
+struct Simulation {
     core: Core,
-    scene: Scene,
+    scenario: Scenario,
     service: i64,
     now: i64,
     next: u64,
@@ -57,16 +57,19 @@
     statement: Arc<str>,
 }
 
-impl World {
-    fn new(scene: Scene) -> World {
+impl Simulation {
+    fn new(scenario: Scenario) -> Simulation {
         let front = sanddyke::settings::parse(SETTINGS).expect("good settings");
         // Half as much again as the engines have threads for, or a hundredth.
-        let threads = scene.engines as i64 * 10;
-        let service =
-            if scene.standing { threads * 3 / 2 * EVERY } else { threads / 100 * EVERY + 2 * EVERY };
-        let mut world = World {
+        let threads = scenario.engines as i64 * 10;
+        let service = if scenario.overloaded {
+            threads * 3 / 2 * ARRIVAL_INTERVAL_US
+        } else {
+            threads / 100 * ARRIVAL_INTERVAL_US + 2 * ARRIVAL_INTERVAL_US
+        };
+        let mut simulation = Simulation {
             core: Core::new(front, 100_000, 1, Micros(0)).host(),
-            scene,
+            scenario,
             service,
             now: 1_000_000,
             next: 0,
@@ -86,7 +89,8 @@
             weight: 1.0,
             started: None,
         };
-        world.tell(Input::Engines(EngineListUpdate::Initial((0..scene.engines).map(engine).collect())));
+        simulation
+            .handle(Input::Engines(EngineListUpdate::Initial((0..scenario.engines).map(engine).collect())));
         let tenant = |number: usize| TenantUpdate::Set {
             tenant: Box::new(Tenant {
                 id: TenantId(number as u64 + 1),
@@ -95,15 +99,15 @@
                 state: State::Active,
                 generation: Generation(1),
             }),
-            share: 1.0 / scene.tenants as f64,
+            share: 1.0 / scenario.tenants as f64,
             group: None,
         };
-        world.tell(Input::Tenants((0..scene.tenants).map(tenant).collect()));
-        world.run(8_000); // until queues stand, and windows are full
-        world
+        simulation.handle(Input::Tenants((0..scenario.tenants).map(tenant).collect()));
+        simulation.run(8_000); // until queues stand, and windows are full
+        simulation
     }
 
-    fn tell(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let began = Instant::now();
         self.core.handle(Micros(self.now), input, &mut self.out);
         self.inside += began.elapsed();
@@ -126,10 +130,10 @@
     fn run(&mut self, requests: u64) -> Duration {
         self.inside = Duration::ZERO;
         for _ in 0..requests {
-            let at = self.now + EVERY;
+            let at = self.now + ARRIVAL_INTERVAL_US;
             while let Some(next) = self.next_due().filter(|next| *next <= at) {
                 self.now = self.now.max(next);
-                self.one_due();
+                self.handle_next_due();
             }
             self.now = at;
             self.next += 1;
@@ -137,12 +141,12 @@
                 request: self.next,
                 name: format!("r{}", self.next),
                 class: if self.next.is_multiple_of(2) { "lookup" } else { "report" }.to_owned(),
-                tenant: Some(format!("t{}", self.next as usize % self.scene.sending)),
+                tenant: Some(format!("t{}", self.next as usize % self.scenario.sending)),
                 key: None,
                 statement: self.statement.clone(),
                 left: Micros(8_000_000),
             };
-            self.tell(Input::RequestReceived(arrival));
+            self.handle(Input::RequestReceived(arrival));
         }
         self.inside
     }
@@ -153,7 +157,7 @@
         ours.into_iter().chain(cores).min()
     }
 
-    fn one_due(&mut self) {
+    fn handle_next_due(&mut self) {
         if self.due.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
             let Some(Reverse((_, _, due))) = self.due.pop() else { return };
             let report = Some(LoadReport { busy: Some(0.9), ..LoadReport::default() });
@@ -169,26 +173,26 @@
                     elapsed: Micros(500),
                 },
             };
-            return self.tell(input);
+            return self.handle(input);
         }
-        self.tell(Input::Tick);
+        self.handle(Input::Tick);
     }
 }
 
-fn scenes(criterion: &mut Criterion) {
+fn scenarios(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request");
     group.sample_size(10).measurement_time(Duration::from_secs(2)).warm_up_time(Duration::from_millis(200));
-    for standing in [false, true] {
+    for overloaded in [false, true] {
         for (tenants, sending, engines) in
             [(3, 3, 8), (100, 100, 8), (10_000, 3, 8), (10_000, 100, 8), (10_000, 10_000, 8), (3, 3, 1024)]
         {
-            let scene = Scene { tenants, sending, engines, standing };
-            let load = if standing { "standing" } else { "idle" };
-            let mut world = World::new(scene);
+            let scenario = Scenario { tenants, sending, engines, overloaded };
+            let load = if overloaded { "standing" } else { "idle" };
+            let mut simulation = Simulation::new(scenario);
             group.bench_function(
                 format!("{load}/{tenants}-tenants-{sending}-send/{engines}-engines"),
                 |bencher| {
-                    bencher.iter_custom(|requests| world.run(requests));
+                    bencher.iter_custom(|requests| simulation.run(requests));
                 },
             );
         }
@@ -196,5 +200,5 @@
     group.finish();
 }
 
-criterion_group!(benches, scenes);
+criterion_group!(benches, scenarios);
 criterion_main!(benches);
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -18,6 +18,7 @@
 const DEADLINE_MARGIN_STEPS: f64 = 2.0;
 
 impl Gateway {
+    /// A request arrived: it is queued, or failed where its class is not known.
     pub(super) fn on_request(&mut self, request: Request) {
         if request.class.0 >= self.classes.len() {
             self.actions.push(Action::Fail(request.id));
@@ -80,6 +81,7 @@
         self.set_timer(TimerPurpose::RequestDeadline(id), after_ms);
     }
 
+    /// The gateway will be stopped: no deadline is later.
     pub(super) fn on_shutdown_by(&mut self, at: Millis) {
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -42,6 +42,7 @@
         self.actions.push(Action::SetTerms { request: id, memory_mb: 0.0, priority });
     }
 
+    /// Tracks an attempt and what it adds to its engine's load, and sends it.
     fn start_attempt(&mut self, id: RequestId, to: EngineId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(engine) = self.engines.get_mut(&to) else { return };
@@ -82,12 +83,14 @@
         self.actions.push(Action::Send { request: id, engine: to, timeout_ms: 0.0 });
     }
 
+    /// A response streams: its request has no deadline any more.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
         }
     }
 
+    /// An attempt ended: takes it off the load, learns from it, and concludes or retries its request.
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(attempt) = self.attempts.remove(&AttemptId { request: id, number: end.attempt }) else {
@@ -140,6 +143,7 @@
         }
     }
 
+    /// Whether a request may be retried after an attempt with this outcome, as far as can be known now.
     fn may_retry_after(&self, id: RequestId, outcome: Outcome) -> bool {
         let request = &self.requests[&id];
         let attempts_left = request.attempts_sent < self.settings.limits.max_attempts;
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -16,7 +16,9 @@
 /// The side that a free slot goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
+    /// Requests of sensitive classes, the earliest due first.
     Sensitive,
+    /// All others, in fair rotation among tenants.
     BestEffort,
 }
 
@@ -41,6 +43,7 @@
         }
     }
 
+    /// Draws the side of the next free slot by alpha.
     fn draw_side(&mut self) -> Side {
         if self.rng.rand_float() < self.alpha.sensitive_chance() { Side::Sensitive } else { Side::BestEffort }
     }
--- a/src/decision/engines.rs
+++ b/src/decision/engines.rs
@@ -23,9 +23,11 @@
     pub(super) entry: EngineEntry,
     /// Its index among the engines, by id.
     pub(super) index: usize,
+    /// Since when it is out of the list.
     removed_at: Option<Millis>,
+    /// Its cores, by its kind.
     pub(super) cores: f64,
-    /// Infinite where it is not configured.
+    /// Its memory, by its kind (MB); infinite where that is not configured.
     pub(super) memory_mb: f64,
     /// Load of this gateway's own attempts.
     pub(super) local_load: Load,
@@ -46,10 +48,12 @@
         }
     }
 
+    /// Whether it accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.state == EngineState::Ready
     }
 
+    /// Whether it is in the list, also where it drains.
     pub(super) fn is_listed(&self) -> bool {
         self.entry.state != EngineState::Removed
     }
@@ -59,43 +63,68 @@
         self.removed_at = if self.is_listed() { None } else { self.removed_at.or(Some(now)) };
     }
 
+    /// Whether it is out of the list for long, and none of its attempts is in flight.
     fn is_forgettable(&self, now: Millis) -> bool {
         let is_removed_for_long = self.removed_at.is_some_and(|at| now - at > REMOVED_RETENTION_MS);
         is_removed_for_long && self.local_load.queries <= IN_FLIGHT_QUERIES
     }
 }
 
+/// When an engine that is new in the list, and whose start the list does not date, is taken to have started.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Newcomers {
+    /// Now: the list has changed.
+    JustStarted,
+    /// Long ago: this is the first list, or a saved one.
+    StartedLongAgo,
+}
+
 impl Gateway {
+    /// The engine list changed, or could not be fetched.
     pub(super) fn on_engine_list(&mut self, update: EngineListEvent) {
-        // What the first complete list, or a saved one, contains has not just started.
-        let first_list = self.engines.is_empty();
-        let (entries, is_complete, newcomers_just_started) = match update {
-            EngineListEvent::Update(entries) => (entries, false, true),
-            EngineListEvent::Replace(entries) => (entries, true, !first_list),
-            EngineListEvent::Restored(entries) => (entries, true, false),
-            EngineListEvent::Unavailable => return,
-        };
-        if is_complete {
-            for engine in self.engines.values_mut() {
-                engine.entry.state = EngineState::Removed;
+        match update {
+            EngineListEvent::Update(entries) => self.apply_entries(entries, Newcomers::JustStarted),
+            EngineListEvent::Replace(entries) => {
+                let is_first_list = self.engines.is_empty();
+                let newcomers =
+                    if is_first_list { Newcomers::StartedLongAgo } else { Newcomers::JustStarted };
+                self.mark_all_removed();
+                self.apply_entries(entries, newcomers);
             }
+            EngineListEvent::Restored(entries) => {
+                self.mark_all_removed();
+                self.apply_entries(entries, Newcomers::StartedLongAgo);
+            }
+            EngineListEvent::Unavailable => {}
+        }
+    }
+
+    /// A complete list follows: what it does not contain is removed.
+    fn mark_all_removed(&mut self) {
+        for engine in self.engines.values_mut() {
+            engine.entry.state = EngineState::Removed;
         }
+    }
+
+    /// Takes entries of the list over.
+    fn apply_entries(&mut self, entries: Vec<EngineEntry>, newcomers: Newcomers) {
         let mean_work_ms = self.mean_work_ms();
         for entry in entries {
-            self.update_engine(entry, newcomers_just_started, mean_work_ms);
+            self.update_engine(entry, newcomers, mean_work_ms);
         }
         self.forget_removed_engines();
         self.capacity.listed_engines = self.engines.values().filter(|engine| engine.is_listed()).count();
         self.reset_engine_sampler();
     }
 
-    fn update_engine(&mut self, entry: EngineEntry, newcomers_just_started: bool, mean_work_ms: Millis) {
+    /// Takes an entry of the list over, and begins or continues the engine's slow start.
+    fn update_engine(&mut self, entry: EngineEntry, newcomers: Newcomers, mean_work_ms: Millis) {
         let rules = &self.settings.rules;
         let kind = self.settings.kinds.get(entry.kind.0).copied().unwrap_or_default();
         let is_new = !self.engines.contains_key(&entry.id);
-        let just_started = (is_new && newcomers_just_started).then_some(self.now);
+        let just_started = is_new && newcomers == Newcomers::JustStarted;
         let engine = self.engines.entry(entry.id).or_insert_with(|| Engine::new(kind));
-        let started_at = entry.started_at.or(just_started);
+        let started_at = entry.started_at.or(just_started.then_some(self.now));
         let warm_at = started_at.map_or(0.0, |at| at + rules.warm_up_ms);
         engine.entry = entry;
         engine.slow_start.begin(warm_at, self.now, mean_work_ms, &mut self.rng);
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -25,6 +25,7 @@
 /// The decisions of one gateway: a state machine without I/O and without a clock.
 #[derive(Debug)]
 pub struct Gateway {
+    /// Settings; its tenants are in `tenant_settings`.
     pub(super) settings: Settings,
     pub(super) rng: Rand64,
     /// Time of the event that is being handled.
@@ -52,6 +53,7 @@
     /// Tenants that have sent requests lately.
     pub(super) tenants: BTreeMap<usize, ActiveTenant>,
 
+    /// Engines in the list, and those removed lately.
     pub(super) engines: BTreeMap<EngineId, Engine>,
     /// By class, the engines that may have capacity: all that are ready but those found full since the last upkeep.
     pub(super) engine_sampler: TwoChoiceSampler<EngineId>,
@@ -132,6 +134,7 @@
         out.append(&mut self.actions);
     }
 
+    /// Asks for a timer; one for the same purpose that is set already stays.
     pub(super) fn set_timer(&mut self, purpose: TimerPurpose, after_ms: Millis) {
         self.actions.push(Action::Timer { token: purpose.token(), after_ms });
     }
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -44,6 +44,7 @@
 }
 
 impl Gateway {
+    /// A health check ended: takes its latency and report, and judges the engine by its outcome.
     pub(super) fn on_health_checked(
         &mut self,
         id: EngineId,
--- a/src/decision/load_reports.rs
+++ b/src/decision/load_reports.rs
@@ -46,10 +46,12 @@
 }
 
 impl ReportedLoad {
+    /// Whether it last reported less than this long ago.
     fn is_within(&self, now: Millis, age_ms: Millis) -> bool {
         self.received_at.is_some_and(|at| now - at < age_ms)
     }
 
+    /// Whether its last report can be gone by.
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
         self.is_within(now, FRESH_MS)
     }
@@ -103,6 +105,7 @@
 }
 
 impl Gateway {
+    /// Takes a load report, of a health check or an answer, into what is known of the engine.
     pub(super) fn record_load_report(&mut self, id: EngineId, report: LoadReport) {
         let threads_per_query = self.mean_query().threads;
         let local_per_engine = self.local_load.queries / self.capacity.listed_engines.max(1) as f64;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -24,14 +24,14 @@
 //! gateway stands in its `impl Gateway` block. Random draws, actions and floating-point operations have a fixed
 //! order: the same events with the same seed give the same bytes.
 //!
-//! The numbered rules that comments refer to are the platform's:
-//! 1. a request ends in time, and nothing is sent for it past its deadline;
-//! 2. nothing that is not idempotent is executed twice;
-//! 3. a request runs only on engines and in zones that its class allows, and only on engines that are ready;
-//! 4. an engine that is warming up is not sent more than its budget;
-//! 5. requests of one order key run in order of arrival, one at a time;
-//! 6. an engine that drains, or is gone, gets nothing new;
-//! 7. retries stay within their budget.
+//! The numbered rules that comments refer to are the operating rules of the platform's wire description, in short:
+//! 1. never lose a request: each has one final answer, in time;
+//! 2. never double an effect: what may have been executed is repeated, or rejected, only where that does no harm;
+//! 3. drain safely: an engine that drains, or is removed, gets nothing new;
+//! 4. fail back safely: an engine that is warming up is sent no more than its budget;
+//! 5. keep order per key: requests of one key run one at a time, in order of arrival;
+//! 6. send only where allowed: a class runs only on the kinds of machine and in the zones that it names;
+//! 7. budget for attempts: retries stay within their budget.
 
 mod admission;
 mod alpha;
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -13,10 +13,12 @@
 }
 
 impl RetryWindow {
+    /// A request arrived.
     pub(super) fn record_request(&mut self, now: Millis) {
         self.requests.push(now);
     }
 
+    /// A retry was sent.
     pub(super) fn record_retry(&mut self, now: Millis) {
         self.retries.push(now);
     }
@@ -44,6 +46,7 @@
         request.attempts_sent < self.settings.limits.max_attempts && (!is_retry || self.retry_budget_allows())
     }
 
+    /// Rule 7: whether one more retry is within the budget, where there is one.
     fn retry_budget_allows(&self) -> bool {
         let budget = self.settings.rules.retry_budget;
         budget.is_none_or(|budget| self.retries.allows_retry(budget, self.now))
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -11,7 +11,8 @@
 const ASSURED_WORK_RATE: f64 = 0.7;
 /// Rate of work that is reckoned with at least (work per ms).
 const MIN_WORK_RATE: f64 = 0.01;
-/// Fraction of the requests that clients can have open from which none may wait for a lock. Ours.
+/// Fraction of the requests that clients can have open above which requests make way: those of little weight, and loads
+/// that wait for a lock. Ours.
 const CROWDED_FRACTION: f64 = 0.85;
 
 /// What is predicted for a queued best-effort request.
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -114,6 +114,7 @@
         tenant
     }
 
+    /// Adds the tokens of `elapsed_ms` to the buckets of all active tenants.
     pub(super) fn refill_token_buckets(&mut self, elapsed_ms: Millis) {
         for (index, tenant) in &mut self.tenants {
             let settings = self.tenant_settings[*index].as_ref();
@@ -121,6 +122,7 @@
         }
     }
 
+    /// Forgets tenants that have sent nothing for long, and of which no completion is in a window.
     pub(super) fn forget_idle_tenants(&mut self) {
         let now = self.now;
         self.tenants.retain(|_, tenant| {
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -30,10 +30,12 @@
         }
     }
 
+    /// A request arrived.
     pub(super) fn record_arrival(&mut self) {
         self.arrivals += 1.0;
     }
 
+    /// A request of this much work was finished.
     pub(super) fn record_finished_work(&mut self, work_ms: Millis) {
         self.finished_work_ms += work_ms;
     }
--- a/src/decision/upkeep.rs
+++ b/src/decision/upkeep.rs
@@ -9,6 +9,7 @@
 pub(super) const UPKEEP_INTERVAL_MS: Millis = 20.0;
 
 impl Gateway {
+    /// One round of upkeep, in this order: later steps go by what earlier ones have brought up to date.
     pub(super) fn on_upkeep(&mut self) {
         self.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
         self.recount_local_load();
@@ -34,6 +35,7 @@
         self.local_load = total;
     }
 
+    /// Lets slowdowns fade and engines warm up, and takes the median slowdown.
     fn update_engines(&mut self, elapsed_ms: Millis) {
         let rules = &self.settings.rules;
         for engine in self.engines.values_mut() {
