--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -69,6 +69,7 @@
         Ok(self.request_ids.get(fields.required_text(index)?).copied())
     }
 
+    /// `REGISTRY`: an update of the engine list.
     fn engine_list(
         &mut self,
         fields: &Fields,
@@ -88,6 +89,7 @@
         }
     }
 
+    /// An entry of a list, with this instance's numbers.
     fn entry(&mut self, row: &ListRow) -> EngineEntry {
         EngineEntry {
             id: row.engine,
@@ -100,6 +102,7 @@
         }
     }
 
+    /// `INGRESS`: a request that arrives.
     fn request(&mut self, fields: &Fields) -> Result<Request, LineError> {
         let name = fields.required_text(1)?;
         let id = RequestId(self.requests.len() as u64);
@@ -128,6 +131,7 @@
         })
     }
 
+    /// `COMPLETED`: the end of an attempt.
     fn attempt_end(&self, fields: &Fields) -> Result<Option<AttemptEnd>, LineError> {
         let Some(request) = self.known_request(fields, 1)? else { return Ok(None) };
         let bill = fields.value::<u64>(7)?.unwrap_or(0);
@@ -142,6 +146,7 @@
         }))
     }
 
+    /// `CHECKED`: the end of a health check.
     fn health_check_end(&self, fields: &Fields) -> Result<Event, LineError> {
         Ok(Event::HealthChecked {
             outcome: outcome(fields, 1)?,
@@ -151,6 +156,7 @@
         })
     }
 
+    /// `INTERIM`: progress of a running attempt.
     fn attempt_note(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let amount = fields.amount(5)?.unwrap_or(0.0);
         let note = match fields.required::<u32>(4)? {
@@ -198,6 +204,7 @@
     }
 }
 
+/// A completion code.
 fn outcome(fields: &Fields, index: usize) -> Result<Outcome, LineError> {
     Ok(match fields.required_text(index)? {
         "served" => Outcome::Served,
--- a/src/bin/sanddyke-simulator-adapter/lines.rs
+++ b/src/bin/sanddyke-simulator-adapter/lines.rs
@@ -18,6 +18,7 @@
 /// Ends an instance.
 pub const SHUTDOWN: Layout = &["who"];
 
+// Fields of the messages for an instance, by `EventMessage`.
 const REGISTRY: Layout = &["who", "gen", "form", "list"];
 const INGRESS: Layout =
     &["who", "xid", "dataGroup", "opts", "costMs", "customer", "memMb", "graceMs", "profile", "object"];
--- a/src/bin/sanddyke-simulator-adapter/session.rs
+++ b/src/bin/sanddyke-simulator-adapter/session.rs
@@ -30,6 +30,7 @@
 }
 
 impl OpenList {
+    /// A list of which this many entries are to come; `None` where it is complete.
     fn of(list: u64, remaining: usize) -> Option<OpenList> {
         (remaining > 0).then_some(OpenList { list, remaining })
     }
@@ -49,6 +50,7 @@
 }
 
 impl Session {
+    /// Handles one line.
     fn handle(&mut self, line: &str, output: &mut impl Write) -> Result<(), LineError> {
         let message = message_of(line);
         let Some(now) = self.clock else { return self.begin_batch(line, message) };
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Outside a batch only `BATCH` may come, or an empty line.
     fn begin_batch(&mut self, line: &str, message: &str) -> Result<(), LineError> {
         match message {
             "" => Ok(()),
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Writes the answer to the batch.
     fn end_batch(&mut self, output: &mut impl Write) -> Result<(), LineError> {
         self.clock = None;
         self.reply.push_str("READY\n");
@@ -87,6 +91,7 @@
         Ok(output.flush()?)
     }
 
+    /// Rows follow, where the list has any.
     fn begin_list(&mut self, line: &str) -> Result<(), LineError> {
         let fields = Fields::parse(line, LIST)?;
         let list = fields.required(0)?;
@@ -96,6 +101,7 @@
         Ok(())
     }
 
+    /// Adds an entry to the open list; nothing else may come in its place.
     fn add_row(&mut self, open: OpenList, line: &str, message: &str) -> Result<(), LineError> {
         if message != "ROW" {
             return Err(LineError::IncompleteList { remaining: open.remaining, found: message.to_owned() });
@@ -106,12 +112,14 @@
         Ok(())
     }
 
+    /// Launches an instance.
     fn launch(&mut self, fields: &Fields, now: Millis) -> Result<(), LineError> {
         let instance = Instance::launch(fields, now)?;
         self.instances.insert(fields.required(0)?, instance);
         Ok(())
     }
 
+    /// Hands an event to its instance's gateway, and writes the actions.
     fn handle_event(&mut self, line: &str, message: EventMessage, now: Millis) -> Result<(), LineError> {
         let fields = Fields::parse(line, message.layout())?;
         let id: u64 = fields.required(0)?;
--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -42,6 +42,7 @@
         due
     }
 
+    /// Moves alpha by what a refit has found; it starts at the fraction of requests that are sensitive.
     fn update(&mut self, streams: &StreamSummary) {
         if streams.sensitive_streams > 0.0 {
             let alpha = self.alpha.unwrap_or(streams.sensitive_completions / streams.completions);
--- a/src/decision/bounds.rs
+++ b/src/decision/bounds.rs
@@ -8,6 +8,7 @@
 }
 
 impl Bounds {
+    /// Bounds from `min` to `max`, which must not be below it.
     pub(super) const fn new(min: f64, max: f64) -> Bounds {
         Bounds { min, max }
     }
--- a/src/decision/capacity.rs
+++ b/src/decision/capacity.rs
@@ -55,6 +55,7 @@
 }
 
 impl FleetCapacity {
+    /// What is known before the first event.
     pub(super) fn new(settings: &Settings) -> FleetCapacity {
         let gateway_fraction = 1.0 / settings.gateway_count.max(1) as f64;
         let max_cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
@@ -113,6 +114,7 @@
         estimated_mb > MAX_MEMORY_FRACTION * self.memory_mb || reported_fraction > MAX_MEMORY_FRACTION
     }
 
+    /// Whether it takes so long that it gets nothing beyond this gateway's cap.
     fn is_jammed(&self) -> bool {
         self.health.slowdown > JAMMED_SLOWDOWN || self.health.check_latency_excess > JAMMED_LATENCY_EXCESS
     }
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -57,6 +57,7 @@
 }
 
 impl ClassState {
+    /// The state of a class of which nothing is learned yet: half of its latency objective is service time.
     pub(super) fn new(class: &ClassSettings) -> ClassState {
         let service_ms = class.latency_objective_ms / 2.0;
         let budget_ms = latency_budget(INITIAL_CV, class.latency_objective_ms, class.deadline_ms);
@@ -135,6 +136,7 @@
         usage
     }
 
+    /// Takes the latency of an answer into the mean, and that into the best.
     fn record_latency(&mut self, weight: f64, latency_ms: Millis) {
         self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
         self.best_latency_ms = if self.answers < LATENCY_ANSWERS {
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -46,6 +46,7 @@
         less_loaded.map(|(engine, _)| engine)
     }
 
+    /// Whether an engine can be chosen for a request, in the terms of the sampler.
     fn judge(&self, request: &PendingRequest, engine: EngineId, mean_query: &Load) -> Suitability {
         let available =
             self.engines.get(&engine).filter(|engine| self.is_available(request, engine, mean_query));
--- a/src/decision/engines.rs
+++ b/src/decision/engines.rs
@@ -39,6 +39,7 @@
 }
 
 impl Engine {
+    /// An engine of this kind of which nothing is known.
     fn new(kind: KindSettings) -> Engine {
         Engine {
             cores: kind.cores.unwrap_or(DEFAULT_CORES).max(DEFAULT_CORES),
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -134,6 +134,7 @@
         }
     }
 
+    /// Takes over what is learned of the class; latencies are bounded by its deadline.
     fn restore(&mut self, learned: &LearnedClass, deadline_ms: Millis) {
         let figure = Bounds::new(0.0, MAX_FIGURE);
         let latency = Bounds::new(0.0, deadline_ms);
@@ -152,6 +153,7 @@
 }
 
 impl Engine {
+    /// What is learned of the engine.
     fn learned(&self, now: Millis) -> LearnedEngine {
         let warm_up_remaining_ms = (self.slow_start.warm_at - now).max(0.0);
         LearnedEngine { slowdown: self.health.slowdown, warm_up_remaining_ms }
@@ -177,6 +179,7 @@
         }
     }
 
+    /// What is learned of one class.
     fn learned_class(&self, index: usize) -> LearnedClass {
         let streams = self.tenants.values().map(|tenant| &tenant.streams[index]);
         let recent: Vec<&Stream> = streams.filter(|stream| !stream.completions.is_empty()).collect();
@@ -203,6 +206,7 @@
         }
     }
 
+    /// Takes over the levels of the whole gateway.
     fn restore_rates(&mut self, learned: &LearnedRates) {
         if let Some(alpha) = learned.alpha.and_then(|alpha| ALPHA_BOUNDS.clamp_finite(alpha)) {
             self.alpha.alpha = Some(alpha);
@@ -215,6 +219,7 @@
         restore_figure(&mut self.traffic.requests_per_ms, learned.requests_per_ms, figure);
     }
 
+    /// Takes over what is learned of one engine, whose warm-up went on meanwhile.
     fn restore_engine(&mut self, entry: &LearnedEngineEntry, age_ms: Millis) {
         let rules = &self.settings.rules;
         let Some(engine) = self.engines.get_mut(&entry.id) else { return };
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -3,15 +3,20 @@
 //! [`Gateway`] is a state machine without I/O and without a clock: events go in with their time, actions come out.
 //!
 //! ```text
-//!   Event ──> gateway ──┬─ Request ────────> admission ──────────────┐
-//!                       ├─ EngineList ─────> engines ── slow_start   │
-//!                       ├─ Tenant ─────────> tenants                 ├──> dispatch ──> engine_selection ──> attempts
-//!                       ├─ AttemptEnded ───> attempts ── classes     │      (queues,      (two-choice pick,    (Send)
-//!                       │                        └─ outliers         │       alpha)        guard rules)
-//!                       ├─ HealthChecked ──> health_checks           │
-//!                       │                        └─ load_reports     │
-//!                       └─ Timer ──────────> upkeep ── alpha, rates  │
-//!                                                └─ shedding ────────┴──> completion ──> Reject or Fail
+//!                    ┌─ Request ──────────> admission ───────────────────────> queues
+//!                    ├─ AttemptEnded ─────> attempts ──> classes, outliers ──> queues, or an answer
+//!  Event ─> gateway ─┼─ EngineList ───────> engines ───> slow_start
+//!                    ├─ HealthChecked ────> health_checks ──> load_reports, outliers
+//!                    ├─ Tenant ───────────> tenants
+//!                    └─ Timer ────────────> upkeep ──> traffic, alpha, health_checks, shedding
+//!
+//!  and after every event:
+//!
+//!  queues ──> dispatch ────────> engine_selection ─────> attempts ──> Action::Send
+//!             alpha's draw,      guard rules, capacity,
+//!             fair rotation      two-choice pick
+//!
+//!  a request that cannot be served, or not in time ─────> completion ──> Action::Reject or Action::Fail
 //! ```
 //!
 //! On the ordinary path a request of a *sensitive* (sub-second) class is due at its arrival plus its latency budget
--- a/src/decision/ordered_queues.rs
+++ b/src/decision/ordered_queues.rs
@@ -14,6 +14,7 @@
 }
 
 impl OrderedQueue {
+    /// Appends a request that has arrived.
     pub(super) fn push(&mut self, request: RequestId) {
         self.requests.push_back(request);
     }
--- a/src/decision/outliers.rs
+++ b/src/decision/outliers.rs
@@ -43,6 +43,7 @@
 }
 
 impl EngineHealth {
+    /// Health of an engine of which nothing is known: good.
     pub(super) fn new() -> EngineHealth {
         EngineHealth { slowdown: 1.0, ..EngineHealth::default() }
     }
@@ -57,6 +58,7 @@
         self.down_since.is_some() || self.is_silent()
     }
 
+    /// Whether it gets nothing for a moment, because it was full or a connection failed.
     pub(super) fn is_paused(&self, now: Millis) -> bool {
         now < self.paused_until
     }
@@ -66,6 +68,7 @@
         self.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - self.slowdown);
     }
 
+    /// Lets the slowdown fade towards 1, as engines that get nothing have no answers.
     pub(super) fn fade_slowdown(&mut self, elapsed_ms: Millis) {
         let fraction = (elapsed_ms / SLOWDOWN_FADE_MS).min(1.0);
         self.slowdown += (1.0 - self.slowdown).min(0.0) * fraction;
@@ -77,6 +80,7 @@
         self.check_timeouts == EJECT_AFTER_FAILURES
     }
 
+    /// It has answered.
     pub(super) fn reset_check_timeouts(&mut self) {
         self.check_timeouts = 0;
     }
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -20,19 +20,23 @@
 }
 
 impl QueueRank {
+    /// Rank of a request that is due at this time.
     pub(super) fn new(over_share: bool, due_at: Millis) -> QueueRank {
         let band = if over_share { OVER_SHARE_BAND } else { 0 };
         QueueRank { band, due_us: (due_at * US_PER_MS) as i64 }
     }
 
+    /// Whether the request was beyond its tenant's share when it arrived.
     pub(super) fn is_over_share(self) -> bool {
         self.band >= OVER_SHARE_BAND
     }
 
+    /// Whether the request is predicted to end past its latency objective.
     pub(super) fn is_late(self) -> bool {
         self.band & LATE_BAND != 0
     }
 
+    /// Puts the request behind all that are in time.
     pub(super) fn mark_late(&mut self) {
         self.band |= LATE_BAND;
     }
@@ -110,6 +114,7 @@
         self.attempts.range(first..=last).map(|(attempt, _)| *attempt)
     }
 
+    /// Whether an attempt of the request is in flight.
     pub(super) fn has_attempt_in_flight(&self, request: RequestId) -> bool {
         self.attempts_in_flight(request).next().is_some()
     }
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -42,6 +42,7 @@
 }
 
 impl<'a> Forecast<'a> {
+    /// A forecast that begins with the first request in the queue.
     fn new(gateway: &'a Gateway) -> Forecast<'a> {
         let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
         let reachable = || {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -20,6 +20,7 @@
 }
 
 impl SlowStart {
+    /// Whether it can do all that its cores allow.
     pub(super) fn is_warm(&self, now: Millis) -> bool {
         now >= self.warm_at
     }
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -60,6 +60,7 @@
 }
 
 impl ActiveTenant {
+    /// A tenant whose streams begin with what is learned of the classes.
     fn new(classes: &[ClassState], tokens: f64) -> ActiveTenant {
         let streams = classes.iter().map(|class| class.initial_stream.clone()).collect();
         ActiveTenant { streams, last_request_at: 0.0, tokens }
@@ -79,6 +80,7 @@
         self.tokens = (self.tokens + elapsed_ms * rate.per_ms).min(rate.burst);
     }
 
+    /// Whether a completion of its requests is in a window.
     fn has_completions(&self) -> bool {
         self.streams.iter().any(|stream| !stream.completions.is_empty())
     }
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -20,6 +20,7 @@
 }
 
 impl TrafficRates {
+    /// Rates of a gateway that has seen no traffic.
     pub(super) fn new(now: Millis) -> TrafficRates {
         TrafficRates {
             work_per_ms: 0.0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -174,6 +174,7 @@
 }
 
 impl SettingsError {
+    /// The error for a value that is none of its choices.
     fn unknown_word(key: &'static str, value: &str) -> SettingsError {
         SettingsError::UnknownWord { key, value: value.to_owned() }
     }
@@ -305,6 +306,7 @@
     })
 }
 
+/// Whether the engine list has to be polled.
 fn polls_engine_list(discovery: &str) -> Result<bool, SettingsError> {
     match discovery {
         "pushed" => Ok(false),
@@ -314,6 +316,7 @@
 }
 
 impl Class {
+    /// What a repeated execution of the class does.
     fn effect(&self) -> Result<Effect, SettingsError> {
         match self.idempotency.as_str() {
             "repeatable" => Ok(Effect::Repeatable),
@@ -327,6 +330,7 @@
         }
     }
 
+    /// Engines that drop each other's repeats: all where nothing is said.
     fn dedup_scope(&self) -> Result<DedupScope, SettingsError> {
         match self.dedup_scope.as_deref() {
             None | Some("all") => Ok(DedupScope::All),
@@ -378,6 +382,7 @@
 }
 
 impl FamilyInfo {
+    /// A kind of machine, by number.
     fn kind(&self, index: usize) -> KindSettings {
         KindSettings {
             cores: self.kind_cores.get(index).copied(),
@@ -385,6 +390,7 @@
         }
     }
 
+    /// How engines treat memory, priorities and progress reports.
     fn engine_traits(&self) -> Result<EngineTraits, SettingsError> {
         let on_memory_shortage = match self.out_of_memory.as_deref() {
             None | Some("queue") => MemoryShortage::Wait,
--- a/tests/rules/below_minimum_cap.rs
+++ b/tests/rules/below_minimum_cap.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// One of 300 gateways knows nothing when it starts: it checks two engines, and an answer without figures is a load
-/// report as well.
+/// One of 300 gateways knows nothing when it starts: it checks two engines, and an answer without figures is a
+/// load report as well.
 #[test]
 fn a_gateway_below_the_minimum_cap_checks_two_engines_before_it_sends() {
     let mut gateway = gateway_of_300();
@@ -45,9 +45,9 @@
     out
 }
 
-/// A jammed engine looks idle by its busy cores: a gateway below the minimum cap goes by the memory that it reports. That
-/// is a gateway whose fraction of an engine (32 x 1.2 / 32 threads) is below the minimum cap of 2: all of them together,
-/// each under its cap, would fill the engine many times over.
+/// A jammed engine looks idle by its busy cores: a gateway below the minimum cap goes by the memory that it
+/// reports. That is a gateway whose fraction of an engine (32 x 1.2 / 32 threads) is below the minimum cap of 2:
+/// all of them together, each under its cap, would fill the engine many times over.
 #[rstest::rstest]
 #[case(300, 8.0)]
 #[case(32, 32.0)]
@@ -64,9 +64,9 @@
     }
 }
 
-/// What a hundred gateways send to two of twenty engines by one report of each that 40 % of its memory is free, if each
-/// runs `in_flight` queries and has received `requests_per_s` of the hundred of 5 a second that the quotas amount to. The
-/// reports that they read `before` told of so much memory.
+/// What a hundred gateways send to two of twenty engines by one report of each that 40 % of its memory is free, if
+/// each runs `in_flight` queries and has received `requests_per_s` of the hundred of 5 a second that the quotas
+/// amount to. The reports that they read `before` told of so much memory.
 fn sent_by_one_report(in_flight: u64, requests_per_s: u64, before: &[f64]) -> usize {
     let tenants = vec![TenantSettings { share: 1.0, quota_per_s: 500.0, group: None }];
     let mut settings = Settings { gateway_count: 100, tenants, ..settings(ClassSettings::default()) };
@@ -97,9 +97,10 @@
     (0..100).map(sent).sum()
 }
 
-/// Guards against a hundred gateways that send to one engine at once as each reads that it has free memory, and against a
-/// fleet that sends the less the more it runs, so that engines are idle while requests wait (seen: a third of the
-/// requests rejected at half of the memory): what all may send by one report is what there is memory for.
+/// Guards against a hundred gateways that send to one engine at once as each reads that it has free memory, and
+/// against a fleet that sends the less the more it runs, so that engines are idle while requests wait (seen: a
+/// third of the requests rejected at half of the memory): what all may send by one report is what there is memory
+/// for.
 #[rstest::rstest]
 #[case(8)]
 #[case(40)]
@@ -116,9 +117,9 @@
     assert!(busy > 3 * usual && busy < 5 * usual, "{usual} and {busy}");
 }
 
-/// Guards against a fleet that goes on as before where engines tell that they are over full, because more managers read
-/// one word than can be counted (seen: nine tenths of the reports up to 1.43 of the memory), and against one that leaves
-/// room unused where none ever is.
+/// Guards against a fleet that goes on as before where engines tell that they are over full, because more managers
+/// read one word than can be counted (seen: nine tenths of the reports up to 1.43 of the memory), and against one
+/// that leaves room unused where none ever is.
 #[test]
 fn a_fleet_sends_less_by_one_report_once_engines_report_overcommitted_memory() {
     let usual = sent_by_one_report(40, 5, &[]);
