--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -11,7 +11,8 @@
 const ASSURED_WORK_RATE: f64 = 0.7;
 /// Rate of work that is reckoned with at least (work per ms).
 const MIN_WORK_RATE: f64 = 0.01;
-/// Fraction of the requests that clients can have open from which none may wait for a lock. Ours.
+/// Fraction of the requests that clients can have open above which requests make way: those of little weight, and loads
+/// that wait for a lock. Ours.
 const CROWDED_FRACTION: f64 = 0.85;
 
 /// What is predicted for a queued best-effort request.
@@ -41,6 +42,7 @@
 }
 
 impl<'a> Forecast<'a> {
+    /// A forecast that begins with the first request in the queue.
     fn new(gateway: &'a Gateway) -> Forecast<'a> {
         let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
         let reachable = || {
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -60,6 +60,7 @@
 }
 
 impl ActiveTenant {
+    /// A tenant whose streams begin with what is learned of the classes.
     fn new(classes: &[ClassState], tokens: f64) -> ActiveTenant {
         let streams = classes.iter().map(|class| class.initial_stream.clone()).collect();
         ActiveTenant { streams, last_request_at: 0.0, tokens }
@@ -79,6 +80,7 @@
         self.tokens = (self.tokens + elapsed_ms * rate.per_ms).min(rate.burst);
     }
 
+    /// Whether a completion of its requests is in a window.
     fn has_completions(&self) -> bool {
         self.streams.iter().any(|stream| !stream.completions.is_empty())
     }
@@ -114,6 +116,7 @@
         tenant
     }
 
+    /// Adds the tokens of `elapsed_ms` to the buckets of all active tenants.
     pub(super) fn refill_token_buckets(&mut self, elapsed_ms: Millis) {
         for (index, tenant) in &mut self.tenants {
             let settings = self.tenant_settings[*index].as_ref();
@@ -121,6 +124,7 @@
         }
     }
 
+    /// Forgets tenants that have sent nothing for long, and of which no completion is in a window.
     pub(super) fn forget_idle_tenants(&mut self) {
         let now = self.now;
         self.tenants.retain(|_, tenant| {
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -20,6 +20,7 @@
 }
 
 impl TrafficRates {
+    /// Rates of a gateway that has seen no traffic.
     pub(super) fn new(now: Millis) -> TrafficRates {
         TrafficRates {
             work_per_ms: 0.0,
@@ -30,10 +31,12 @@
         }
     }
 
+    /// A request arrived.
     pub(super) fn record_arrival(&mut self) {
         self.arrivals += 1.0;
     }
 
+    /// A request of this much work was finished.
     pub(super) fn record_finished_work(&mut self, work_ms: Millis) {
         self.finished_work_ms += work_ms;
     }
