--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -24,9 +24,9 @@
 //! for tenant in registry.tenants() {
 //!     roster.set(tenant);
 //! }
-//! let ask = AdmissionRequest { class: "lookup", statement_bytes: 9 };
-//! assert!(roster.admit(0, "glannau", &ask).is_ok());
-//! assert_eq!(roster.admit(0, "nobody", &ask).unwrap_err().reason, Reason::Unknown);
+//! let request = AdmissionRequest { class: "lookup", statement_bytes: 9 };
+//! assert!(roster.admit(0, "glannau", &request).is_ok());
+//! assert_eq!(roster.admit(0, "nobody", &request).unwrap_err().reason, Reason::Unknown);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -35,11 +35,15 @@
 mod model;
 mod queue;
 mod registry;
+mod rejection;
 mod roster;
 pub mod shares;
+mod token_bucket;
 
 pub use document::{Document, Entry, FORMAT};
 pub use model::*;
 pub use queue::{BANDS, Cursor, FairQueue, Rank};
 pub use registry::{Change, ChangeError, Plan, Record, Registry, Subject};
-pub use roster::{AdmissionRequest, Rejection, Roster, Slot, TokenBucket};
+pub use rejection::Rejection;
+pub use roster::{AdmissionRequest, Roster, Slot, SlotUsage};
+pub use token_bucket::TokenBucket;
--- a/crates/tenancy/src/queue.rs
+++ b/crates/tenancy/src/queue.rs
@@ -1,45 +1,44 @@
-//! A queue that is fair to tenants: start-time fair queueing (Goyal, Vin and Cheng, 1996) over two levels, in
+//! A queue that is fair among tenants: start-time fair queueing (Goyal, Vin and Cheng, 1996) on two levels, with priority
 //! bands.
 //!
-//! Each member stands in a group; one that names none is a group of its own. A group's turn moves on by the
-//! work that is sent over the group's share, a member's by the same work over its own, and the least turn goes
-//! first: groups first, then members within. One that has been idle starts at the virtual time, so it saves up
-//! nothing, and what idle members leave goes to their group before it goes to others.
+//! Each member belongs to a group; a member without one is a group of its own. A group's start tag advances by the work
+//! sent over the group's share, a member's by the same work over its own, and the least tag goes first: among groups,
+//! then among the members of the group. After being idle a member starts at the virtual time, so that it saves up
+//! nothing; what idle members leave goes to their group before it goes to others.
 //!
-//! Bands rank before turns: all of band 0 goes before any of band 1, whoever's turn it is. A member's band is
-//! that of the first of what it has waiting. Finding the next member, putting in, taking out and charging cost
-//! the logarithm of what waits.
+//! Bands come before tags: all requests of band 0 go before any of band 1. A member's band is that of its first request.
+//! Finding the next member, pushing, taking and charging cost the logarithm of the number of queued requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// How many bands there are.
+/// The number of bands.
 pub const BANDS: usize = 4;
-/// The least share that is reckoned with, so that a tenant without one is served when others leave room.
-const LEAST_SHARE: f64 = 1e-7;
+/// The least share that counts: a tenant without one is virtual_time when others leave capacity.
+const MIN_SHARE: f64 = 1e-7;
 
-/// A request's place in its tenant's line: its band, then its rank, the least first.
+/// A request's rank in its tenant's queue, the least first: its band, then its order within the band.
 pub type Rank = (u8, i64);
 
-/// A turn, in work over share; ordered as floats are.
+/// A start tag: work over share. Ordered as floats are.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-struct Turn(f64);
+struct StartTag(f64);
 
-impl Turn {
-    /// As far ahead of the virtual time as before, in other units; one that is behind stays where it is.
-    fn scaled(self, served: Turn, factor: f64) -> Turn {
-        if self > served { Turn(served.0 + (self.0 - served.0) * factor) } else { self }
+impl StartTag {
+    /// The tag as far ahead of the virtual time as before, in other units; one that is behind it stays.
+    fn scaled(self, virtual_time: StartTag, factor: f64) -> StartTag {
+        if self > virtual_time { StartTag(virtual_time.0 + (self.0 - virtual_time.0) * factor) } else { self }
     }
 }
 
-impl Eq for Turn {}
-impl PartialOrd for Turn {
-    fn partial_cmp(&self, other: &Turn) -> Option<std::cmp::Ordering> {
+impl Eq for StartTag {}
+impl PartialOrd for StartTag {
+    fn partial_cmp(&self, other: &StartTag) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Turn {
-    fn cmp(&self, other: &Turn) -> std::cmp::Ordering {
+impl Ord for StartTag {
+    fn cmp(&self, other: &StartTag) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
@@ -48,13 +47,13 @@
 struct Member {
     group: u64,
     share: f64,
-    turn: Turn,
-    waiting: BTreeSet<(Rank, u64)>,
+    tag: StartTag,
+    queued: BTreeSet<(Rank, u64)>,
 }
 
 impl Member {
     fn band(&self) -> Option<usize> {
-        self.waiting.first().map(|((band, _), _)| usize::from(*band).min(BANDS - 1))
+        self.queued.first().map(|((band, _), _)| usize::from(*band).min(BANDS - 1))
     }
 }
 
@@ -62,23 +61,23 @@
 struct Group {
     share: f64,
     members: usize,
-    turn: Turn,
-    served: Turn,
-    waiting: [BTreeSet<(Turn, usize)>; BANDS],
+    tag: StartTag,
+    virtual_time: StartTag,
+    queued: [BTreeSet<(StartTag, usize)>; BANDS],
 }
 
 impl Group {
     fn is_idle(&self) -> bool {
-        self.waiting.iter().all(BTreeSet::is_empty)
+        self.queued.iter().all(BTreeSet::is_empty)
     }
 }
 
-/// The place of a member in the order, from which [`FairQueue::next`] goes on.
+/// The position of a member in the order, from which [`FairQueue::next`] continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cursor {
     band: usize,
-    group: (Turn, u64),
-    member: (Turn, usize),
+    group: (StartTag, u64),
+    member: (StartTag, usize),
 }
 
 impl Cursor {
@@ -88,193 +87,195 @@
     }
 }
 
-/// What waits, by member.
+/// Queued requests by member.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     members: Vec<Option<Member>>,
     groups: BTreeMap<u64, Group>,
-    order: [BTreeSet<(Turn, u64)>; BANDS],
-    served: Turn,
+    order: [BTreeSet<(StartTag, u64)>; BANDS],
+    virtual_time: StartTag,
 }
 
 impl FairQueue {
-    /// Adds a member, or gives it another share or group; `share` is its part of the whole, `group` the
-    /// number of its group. What waits goes on waiting. Under another share the work by which the member, and
-    /// its group, are ahead of others stays the same, and so does not weigh for ever once a share has been tiny.
+    /// Adds a member, or changes its share or group; `share` is its fraction of the whole, `group` the number of its
+    /// group. Queued requests stay. With a changed share, the work by which the member and its group are ahead of others
+    /// stays the same, and so does not count for ever once a share has been tiny.
     pub fn set(&mut self, member: usize, group: Option<u64>, share: f64) {
         let group = group.map_or(2 * member as u64, |number| 2 * number + 1);
-        let share = share.max(LEAST_SHARE);
+        let share = share.max(MIN_SHARE);
         if let Some(old) = self.members.get_mut(member).and_then(Option::as_mut)
             && old.group == group
         {
-            return self.reshare(member, share);
+            return self.set_share(member, share);
         }
-        let waiting = self.remove(member);
+        let queued = self.remove(member);
         self.members.resize_with(self.members.len().max(member + 1), || None);
         let into = self.groups.entry(group).or_default();
         into.members += 1;
         // In another group it starts as one that has been idle there.
-        let turn = into.served;
-        self.grow(group, share);
-        self.members[member] = Some(Member { group, share, turn, waiting: BTreeSet::new() });
-        for (rank, id) in waiting {
+        let tag = into.virtual_time;
+        self.add_share(group, share);
+        self.members[member] = Some(Member { group, share, tag, queued: BTreeSet::new() });
+        for (rank, id) in queued {
             self.push(member, rank, id);
         }
     }
 
-    /// Forgets a member; gives what it had waiting.
+    /// Removes a member; returns its queued requests.
     pub fn remove(&mut self, member: usize) -> BTreeSet<(Rank, u64)> {
         let Some(mut old) = self.members.get_mut(member).and_then(Option::take) else {
             return BTreeSet::new();
         };
-        self.place(member, &old, old.band(), None);
-        self.grow(old.group, -old.share);
+        self.move_band(member, &old, old.band(), None);
+        self.add_share(old.group, -old.share);
         if let Some(group) = self.groups.get_mut(&old.group) {
             group.members -= 1;
             if group.members == 0 {
                 self.groups.remove(&old.group);
             }
         }
-        std::mem::take(&mut old.waiting)
+        std::mem::take(&mut old.queued)
     }
 
-    fn reshare(&mut self, number: usize, share: f64) {
+    fn set_share(&mut self, number: usize, share: f64) {
         let Some(mut member) = self.members.get_mut(number).and_then(Option::take) else { return };
         let band = member.band();
-        self.place(number, &member, band, None);
+        self.move_band(number, &member, band, None);
         let old = std::mem::replace(&mut member.share, share);
         if let Some(group) = self.groups.get(&member.group) {
-            member.turn = member.turn.scaled(group.served, old / share);
+            member.tag = member.tag.scaled(group.virtual_time, old / share);
         }
-        self.grow(member.group, share - old);
-        self.place(number, &member, None, band);
+        self.add_share(member.group, share - old);
+        self.move_band(number, &member, None, band);
         self.members[number] = Some(member);
     }
 
     /// Adds to a group's share.
-    fn grow(&mut self, id: u64, by: f64) {
-        let served = self.served;
+    fn add_share(&mut self, id: u64, by: f64) {
+        let virtual_time = self.virtual_time;
         self.rekey(id, |group| {
             let old = group.share;
             group.share = (old + by).max(0.0);
-            if old >= LEAST_SHARE && group.share >= LEAST_SHARE {
-                group.turn = group.turn.scaled(served, old / group.share);
+            if old >= MIN_SHARE && group.share >= MIN_SHARE {
+                group.tag = group.tag.scaled(virtual_time, old / group.share);
             }
         });
     }
 
-    /// Changes a group, and its places in the order with it.
+    /// Changes a group, and its position in the order with it.
     fn rekey(&mut self, id: u64, change: impl FnOnce(&mut Group)) {
         let Some(group) = self.groups.get_mut(&id) else { return };
-        let before = group.turn;
+        let before = group.tag;
         change(group);
-        for (band, _) in group.waiting.iter().enumerate().filter(|(_, waiting)| !waiting.is_empty()) {
+        for (band, _) in group.queued.iter().enumerate().filter(|(_, queued)| !queued.is_empty()) {
             self.order[band].remove(&(before, id));
-            self.order[band].insert((group.turn, id));
+            self.order[band].insert((group.tag, id));
         }
     }
 
-    /// Puts in what a member has waiting; false where it waits already, or there is no such member.
+    /// Queues a request of a member; false where it is queued already, or there is no such member.
     pub fn push(&mut self, member: usize, rank: Rank, id: u64) -> bool {
-        self.change(member, |waiting| waiting.insert((rank, id)))
+        self.change(member, |queued| queued.insert((rank, id)))
     }
 
-    /// Takes out what a member had waiting; false where it had no such thing.
+    /// Takes a request out; false where it is not queued.
     pub fn take(&mut self, member: usize, rank: Rank, id: u64) -> bool {
-        self.change(member, |waiting| waiting.remove(&(rank, id)))
+        self.change(member, |queued| queued.remove(&(rank, id)))
     }
 
     fn change(&mut self, number: usize, make: impl FnOnce(&mut BTreeSet<(Rank, u64)>) -> bool) -> bool {
-        // It is out of the table while its place among the others changes.
+        // The member is out of the table while its position among the others changes.
         let Some(mut member) = self.members.get_mut(number).and_then(Option::take) else { return false };
         let before = member.band();
-        let made = make(&mut member.waiting);
+        let changed = make(&mut member.queued);
         if before.is_none()
             && let Some(group) = self.groups.get_mut(&member.group)
         {
-            member.turn = member.turn.max(group.served);
+            member.tag = member.tag.max(group.virtual_time);
             if group.is_idle() {
-                group.turn = group.turn.max(self.served);
+                group.tag = group.tag.max(self.virtual_time);
             }
         }
-        self.place(number, &member, before, member.band());
+        self.move_band(number, &member, before, member.band());
         self.members[number] = Some(member);
-        made
+        changed
     }
 
     /// Moves a member from one band to another.
-    fn place(&mut self, number: usize, member: &Member, from: Option<usize>, to: Option<usize>) {
+    fn move_band(&mut self, number: usize, member: &Member, from: Option<usize>, to: Option<usize>) {
         let Some(group) = self.groups.get_mut(&member.group).filter(|_| from != to) else { return };
         if let Some(from) = from {
-            group.waiting[from].remove(&(member.turn, number));
-            if group.waiting[from].is_empty() {
-                self.order[from].remove(&(group.turn, member.group));
+            group.queued[from].remove(&(member.tag, number));
+            if group.queued[from].is_empty() {
+                self.order[from].remove(&(group.tag, member.group));
             }
         }
         if let Some(to) = to {
-            if group.waiting[to].is_empty() {
-                self.order[to].insert((group.turn, member.group));
+            if group.queued[to].is_empty() {
+                self.order[to].insert((group.tag, member.group));
             }
-            group.waiting[to].insert((member.turn, number));
+            group.queued[to].insert((member.tag, number));
         }
     }
 
-    /// The member whose turn comes after a place, or the first of all.
+    /// The member that comes after a position, or the first of all.
     pub fn next(&self, after: Option<Cursor>) -> Option<Cursor> {
-        let first = |band: usize, group: (Turn, u64)| {
-            let member = *self.groups.get(&group.1)?.waiting[band].first()?;
+        let first = |band: usize, group: (StartTag, u64)| {
+            let member = *self.groups.get(&group.1)?.queued[band].first()?;
             Some(Cursor { band, group, member })
         };
         let mut from = 0;
-        if let Some(place) = after {
-            let group = self.groups.get(&place.group.1).map(|group| &group.waiting[place.band]);
-            let inside = group.and_then(|group| group.range((Excluded(place.member), Unbounded)).next());
+        if let Some(cursor) = after {
+            let group = self.groups.get(&cursor.group.1).map(|group| &group.queued[cursor.band]);
+            let inside = group.and_then(|group| group.range((Excluded(cursor.member), Unbounded)).next());
             if let Some(member) = inside {
-                return Some(Cursor { member: *member, ..place });
+                return Some(Cursor { member: *member, ..cursor });
             }
-            let others = &self.order[place.band];
-            if let Some(group) = others.range((Excluded(place.group), Unbounded)).next() {
-                return first(place.band, *group);
+            let others = &self.order[cursor.band];
+            if let Some(group) = others.range((Excluded(cursor.group), Unbounded)).next() {
+                return first(cursor.band, *group);
             }
-            from = place.band + 1;
+            from = cursor.band + 1;
         }
         (from..BANDS).find_map(|band| first(band, *self.order[band].first()?))
     }
 
-    /// What a member has waiting, in order.
+    /// The queued requests of a member, in order.
     pub fn waiting(&self, member: usize) -> impl Iterator<Item = u64> {
         let member = self.members.get(member).and_then(Option::as_ref);
-        member.into_iter().flat_map(|member| member.waiting.iter().map(|(_, id)| *id))
+        member.into_iter().flat_map(|member| member.queued.iter().map(|(_, id)| *id))
     }
 
-    /// All that waits, in the order of its ranks, whosever it is. Costs a sort of it; idle members cost nothing.
+    /// All queued requests in the order of their ranks. Costs a sort of them; idle members cost nothing.
     pub fn sorted(&self) -> Vec<u64> {
-        // Each member that waits stands in one band of its group: that of the first of what it has.
+        // Each member with queued requests is in one band of its group: that of its first request.
         let groups = self.order.iter().enumerate().flat_map(|(band, order)| {
-            order.iter().filter_map(move |(_, id)| Some(&self.groups.get(id)?.waiting[band]))
+            order.iter().filter_map(move |(_, id)| Some(&self.groups.get(id)?.queued[band]))
         });
         let members = groups.flatten().filter_map(|(_, number)| self.members.get(*number)?.as_ref());
-        let mut all: Vec<(Rank, u64)> = members.flat_map(|member| member.waiting.iter().copied()).collect();
+        let mut all: Vec<(Rank, u64)> = members.flat_map(|member| member.queued.iter().copied()).collect();
         all.sort_unstable();
         all.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.order.iter().all(BTreeSet::is_empty)
     }
 
-    /// Charges work that was sent for a member to it and its group.
+    /// Charges work that was sent for a member to the member and its group.
     pub fn charge(&mut self, number: usize, work: f64) {
         let Some(member) = self.members.get_mut(number).and_then(Option::as_mut) else { return };
         let Some(group) = self.groups.get_mut(&member.group) else { return };
-        (self.served, group.served) = (self.served.max(group.turn), group.served.max(member.turn));
-        let (id, before) = (member.group, member.turn);
-        member.turn.0 += work / member.share;
+        self.virtual_time = self.virtual_time.max(group.tag);
+        group.virtual_time = group.virtual_time.max(member.tag);
+        let id = member.group;
+        let before = member.tag;
+        member.tag.0 += work / member.share;
         if let Some(band) = member.band() {
-            group.waiting[band].remove(&(before, number));
-            group.waiting[band].insert((member.turn, number));
+            group.queued[band].remove(&(before, number));
+            group.queued[band].insert((member.tag, number));
         }
-        self.rekey(id, |group| group.turn.0 += work / group.share.max(LEAST_SHARE));
+        self.rekey(id, |group| group.tag.0 += work / group.share.max(MIN_SHARE));
     }
 }
--- a/crates/tenancy/tests/roster.rs
+++ b/crates/tenancy/tests/roster.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use sanddyke_tenancy::{
-    AdmissionRequest, Generation, Limits, Reason, Rejection, Roster, State, Tenant, TenantId, TenantSpec,
+    AdmissionRequest, Generation, Limits, Reason, Rejection, Roster, SlotUsage, State, Tenant, TenantId,
+    TenantSpec,
 };
 use std::collections::BTreeMap;
 
@@ -109,7 +110,7 @@
             prop_assert_eq!(roster.len(), slots.len());
             for (slot, (id, open, out, _)) in &slots {
                 prop_assert_eq!(roster.tenant(*slot).unwrap().id, TenantId(*id));
-                prop_assert_eq!(roster.in_flight(*slot), (*open, *out));
+                prop_assert_eq!(roster.usage(*slot), SlotUsage { open_requests: *open, attempts: *out });
             }
         }
     }
@@ -150,7 +151,7 @@
         assert_eq!(reason(&mut roster, &ASK), expected);
     }
     let counts: Vec<(&str, u64)> =
-        roster.refusals(slot).map(|(reason, count)| (reason.code(), count)).collect();
+        roster.rejections(slot).map(|(reason, count)| (reason.code(), count)).collect();
     let codes = ["suspended", "draining", "class", "statement_bytes", "result_bytes", "open"];
     assert_eq!(
         counts,
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -65,7 +65,7 @@
         match self.roster.admit(now.0, name, &admission) {
             Ok(slot) => {
                 open.tenant_slot = Some(slot);
-                if let Some(longest_us) = self.roster.longest_us(slot) {
+                if let Some(longest_us) = self.roster.max_time_budget_us(slot) {
                     open.deadline = open.deadline.min(now + Micros(longest_us));
                 }
                 Ok(())
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -39,7 +39,7 @@
             answers: self.accounting.answers.values().cloned().collect(),
             attempts: self.accounting.attempts.clone(),
             tenants: self.roster.tenants().filter_map(|(slot, _)| self.tenant_report(slot)).collect(),
-            unknown_tenants: self.roster.unknown(),
+            unknown_tenants: self.roster.unknown_tenants(),
             stopping: self.rejects_new_requests,
         }
     }
@@ -90,15 +90,15 @@
 
     fn tenant_report(&self, slot: Slot) -> Option<TenantReport> {
         let tenant = self.roster.tenant(slot)?;
-        let (open_requests, attempts_in_flight) = self.roster.in_flight(slot);
+        let usage = self.roster.usage(slot);
         Some(TenantReport {
             id: tenant.id,
             name: tenant.name.clone(),
             state: tenant.state,
             share: self.tenant_shares.get(slot).map_or(0.0, |share| share.effective),
-            open_requests,
-            attempts_in_flight,
-            rejected: self.roster.refusals(slot).map(|(reason, count)| (reason.code(), count)).collect(),
+            open_requests: usage.open_requests,
+            attempts_in_flight: usage.attempts,
+            rejected: self.roster.rejections(slot).map(|(reason, count)| (reason.code(), count)).collect(),
         })
     }
 }
