--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The administration API: JSON over HTTP on a listener of its own, encrypted where a certificate is set up,
-//! with a bearer token. `docs/admin.md` lists it; `routes` has the calls of version 1 as a table.
+//! The administration API: JSON over HTTP on a listener of its own, with TLS where a certificate is configured, and with
+//! bearer tokens. `docs/admin.md` lists the calls; [`routes`] has those of version 1 as a table.
 
 mod bodies;
 mod metrics;
@@ -22,6 +22,7 @@
 use sanddyke_authorization::{Grant, Role, same};
 use sanddyke_tenancy::TokenBucket;
 use serde_json::json;
+use std::borrow::Cow;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -32,22 +33,45 @@
 use tokio_rustls::rustls::ServerConfig;
 
 /// Connections at once.
-const MOST: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// The longest body: a document of some thousand tenants.
-const LONGEST_BODY: usize = 1 << 20;
-/// A handshake and a write that take longer end the connection.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(3);
-const WRITE_TIME: Duration = Duration::from_secs(10);
-/// Calls of one token a second, and at once.
-const CALLS: (f64, f64) = (100.0, 200.0);
-/// Calls that look at all of what is open: each costs the service some time.
-const DEAR_CALLS: (f64, f64) = (5.0, 20.0);
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// A TLS handshake that takes longer ends the connection.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client that takes longer to read an answer loses the connection.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Calls of one token.
+const CALLS: RateLimit = RateLimit { per_second: 100.0, burst: 200.0 };
+/// Calls of one token that read all open requests: each costs the service some time.
+const EXPENSIVE_CALLS: RateLimit = RateLimit { per_second: 5.0, burst: 20.0 };
 /// Calls without a valid token, all together: guessing must not become fast.
-const STRANGERS: (f64, f64) = (10.0, 50.0);
-/// The name of the operator whose token is in the file.
+const UNAUTHORIZED_CALLS: RateLimit = RateLimit { per_second: 10.0, burst: 50.0 };
+/// The id of the operator whose token is in the file.
 const ROOT: &str = "root";
+/// The key of calls without a valid token in the table of rates; no token has it as its id.
+const UNAUTHORIZED: &str = "";
 
-/// What every connection of the API knows.
+/// A limit on the rate of calls.
+#[derive(Debug, Clone, Copy)]
+struct RateLimit {
+    per_second: f64,
+    burst: f64,
+}
+
+/// The token buckets of one caller.
+#[derive(Debug)]
+struct CallBuckets {
+    all: TokenBucket,
+    expensive: TokenBucket,
+}
+
+impl CallBuckets {
+    fn full() -> CallBuckets {
+        CallBuckets { all: TokenBucket::full(), expensive: TokenBucket::full() }
+    }
+}
+
+/// The state that all connections of the API share.
 #[derive(Debug)]
 pub struct Admin {
     handle: ServiceHandle,
@@ -57,20 +81,21 @@
     token: String,
     cluster: Option<Cluster>,
     watchers: Arc<Semaphore>,
-    rates: Mutex<HashMap<String, (TokenBucket, TokenBucket)>>,
+    /// By the id of the caller's token.
+    rates: Mutex<HashMap<String, CallBuckets>>,
 }
 
-/// Who calls.
+/// The caller of a call.
 #[derive(Debug, Clone)]
 struct Caller {
     id: String,
     grant: Grant,
 }
 
-/// What encrypts the listener; it may change while connections come.
+/// TLS of the listener, which may change while connections come.
 pub type Tls = watch::Receiver<Option<Arc<ServerConfig>>>;
 
-/// Accepts connections until it is dropped.
+/// Accepts connections until the program shuts down.
 pub async fn serve(listener: TcpListener, admin: Arc<Admin>, tls: Tls) {
     let each = |stream: TcpStream, permit| {
         let (admin, tls) = (admin.clone(), tls.borrow().clone());
@@ -79,14 +104,15 @@
             match tls {
                 None => connection(stream, &permit, &admin).await,
                 Some(config) => {
-                    let shaken = TlsAcceptor::from(config).accept(stream);
-                    let shaken = tokio::time::timeout(HANDSHAKE_TIME, shaken).await;
-                    connection(shaken.map_err(|_| std::io::ErrorKind::TimedOut)??, &permit, &admin).await
+                    let handshake = TlsAcceptor::from(config).accept(stream);
+                    let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
+                    let encrypted = accepted.map_err(|_| std::io::ErrorKind::TimedOut)??;
+                    connection(encrypted, &permit, &admin).await
                 }
             }
         }
     };
-    frontend::accept(listener, MOST, "admin", admin.lifecycle.wait_for_accept_stop(), each).await;
+    frontend::accept(listener, MAX_CONNECTIONS, "admin", admin.lifecycle.wait_for_accept_stop(), each).await;
 }
 
 async fn connection<S>(mut stream: S, permit: &ConnectionPermit, admin: &Admin) -> std::io::Result<()>
@@ -95,14 +121,14 @@
 {
     let mut buffer = BytesMut::with_capacity(4096);
     let mut by = Some(first_by());
-    while let Some(read) = read_request(&mut stream, &mut buffer, by, LONGEST_BODY).await? {
+    while let Some(read) = read_request(&mut stream, &mut buffer, by, MAX_BODY_BYTES).await? {
         by = None;
         permit.busy();
         let (response, close) = match read {
             Ok(request) => (admin.call(&request).await, request.close),
             Err(error) => (Problem::new(error.status(), "unreadable", error.to_string()).response(), true),
         };
-        tokio::time::timeout(WRITE_TIME, stream.write_all(&response.bytes(close))).await??;
+        tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&response.bytes(close))).await??;
         if close {
             permit.ending();
             return frontend::linger(&mut stream, &mut buffer).await;
@@ -113,7 +139,7 @@
 }
 
 impl Admin {
-    /// An API over a tenant_service; `token` is the root operator's.
+    /// The API of a tenant service; `token` is the root operator's.
     pub fn new(
         handle: ServiceHandle,
         lifecycle: LifecycleHandle,
@@ -140,34 +166,23 @@
     }
 
     async fn answer(&self, request: &Request) -> Result<Response, Problem> {
-        let (method, target) = (request.method.as_str(), request.target.as_str());
-        match (method, target) {
-            ("GET", "/health") => {
-                let status = if self.lifecycle.is_ready() { 200 } else { 503 };
-                return Ok(Response::json(status, json!({ "ready": self.lifecycle.is_ready() }).to_string()));
+        match (request.method.as_str(), request.target.as_str()) {
+            ("GET", "/health") => return Ok(self.health()),
+            ("GET", "/v1/openapi.json") => {
+                return Ok(Response::json(200, openapi::openapi().to_string()));
             }
-            ("GET", "/v1/openapi.json") => return Ok(Response::json(200, openapi::openapi().to_string())),
             _ => {}
         }
         let caller = self.caller(request).await?;
-        let path = target.split_once('?').map_or(target, |(path, _)| path);
-        let old = match (method, path) {
-            ("GET", "/tenants" | "/metrics") => Some(path),
-            _ => None,
-        };
-        self.pace(&caller.id, old.is_some() || path.starts_with("/v1/requests") || path == "/v1/engines")?;
-        if let Some(path) = old {
-            return self.old(&caller, path).await;
+        let path = request.target.split_once('?').map_or(request.target.as_str(), |(path, _)| path);
+        let is_unversioned = request.method == "GET" && matches!(path, "/tenants" | "/metrics");
+        let is_expensive = is_unversioned || path.starts_with("/v1/requests") || path == "/v1/engines";
+        self.limit_rate(&caller.id, is_expensive)?;
+        if is_unversioned {
+            return self.unversioned(&caller, path).await;
         }
-        // The first calls of the API, under the names that they had.
-        let path = match path {
-            "/engines" => "/v1/engines",
-            "/requests" => "/v1/requests",
-            other => other,
-        };
-        let renamed = path.strip_prefix("/requests/").map(|name| format!("/v1/requests/{name}"));
-        let path = renamed.as_deref().unwrap_or(path);
-        match routes::find(method, path) {
+        let path = versioned(path);
+        match routes::find(&request.method, &path) {
             Ok((route, name)) => self.v1(&caller, request, route, name).await,
             Err(routes::NoRoute::Path) => Err(Problem::new(404, "no_path", "no such path")),
             Err(routes::NoRoute::Method(allowed)) => {
@@ -176,44 +191,55 @@
         }
     }
 
-    /// Who calls, by the bearer token.
+    fn health(&self) -> Response {
+        let is_ready = self.lifecycle.is_ready();
+        Response::json(if is_ready { 200 } else { 503 }, json!({ "ready": is_ready }).to_string())
+    }
+
+    /// The caller, by the bearer token.
     async fn caller(&self, request: &Request) -> Result<Caller, Problem> {
-        let secret = request.field("Authorization").and_then(|told| told.strip_prefix("Bearer "));
+        let secret = request.field("Authorization").and_then(|value| value.strip_prefix("Bearer "));
         if let Some(secret) = secret {
             if same(secret, &self.token) {
-                let (tenants, note) = (BTreeSet::new(), String::new());
-                let grant = Grant { role: Role::Operator, tenants, note, expires_ms: None };
-                return Ok(Caller { id: ROOT.to_owned(), grant });
+                return Ok(root());
             }
             if let Some(token) = self.tenant_service.check(secret).await {
                 return Ok(Caller { id: token.id, grant: token.grant });
             }
         }
-        self.take("", STRANGERS, false)?;
+        self.take(UNAUTHORIZED, UNAUTHORIZED_CALLS, |buckets| &mut buckets.all)?;
         Err(Problem::new(401, "unauthorized", "a valid bearer token is needed"))
     }
 
-    fn pace(&self, caller: &str, dear: bool) -> Result<(), Problem> {
-        self.take(caller, CALLS, false)?;
-        if dear { self.take(caller, DEAR_CALLS, true) } else { Ok(()) }
+    fn limit_rate(&self, caller: &str, is_expensive: bool) -> Result<(), Problem> {
+        self.take(caller, CALLS, |buckets| &mut buckets.all)?;
+        if is_expensive {
+            self.take(caller, EXPENSIVE_CALLS, |buckets| &mut buckets.expensive)?;
+        }
+        Ok(())
     }
 
-    fn take(&self, who: &str, (rate, burst): (f64, f64), dear: bool) -> Result<(), Problem> {
+    fn take(
+        &self,
+        caller: &str,
+        limit: RateLimit,
+        bucket: fn(&mut CallBuckets) -> &mut TokenBucket,
+    ) -> Result<(), Problem> {
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
         if rates.len() > 2 * sanddyke_authorization::MOST_TOKENS {
-            rates.clear(); // tokens come and go: those that are still used begin with a full bucket
+            // Tokens come and go: those that are still in use begin with full buckets.
+            rates.clear();
         }
-        let full = || (TokenBucket::full(), TokenBucket::full());
-        let buckets = rates.entry(who.to_owned()).or_insert_with(full);
-        let bucket = if dear { &mut buckets.1 } else { &mut buckets.0 };
-        bucket.take(self.clock.now().0, rate, burst).map_err(|us| Problem {
-            retry_after_ms: Some((us / 1000.0) as i64),
+        let buckets = rates.entry(caller.to_owned()).or_insert_with(CallBuckets::full);
+        let taken = bucket(buckets).take(self.clock.now().0, limit.per_second, limit.burst);
+        taken.map_err(|wait_us| Problem {
+            retry_after_ms: Some((wait_us / 1000.0) as i64),
             ..Problem::new(429, "calls", "too many calls")
         })
     }
 
-    /// The calls that version 1 has in another form.
-    async fn old(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
+    /// Calls that version 1 has in another form.
+    async fn unversioned(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
         if !caller.grant.allows(sanddyke_authorization::Permission::See) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
         }
@@ -229,6 +255,21 @@
     }
 }
 
+/// The root operator, whose token is in the configured file.
+fn root() -> Caller {
+    let grant =
+        Grant { role: Role::Operator, tenants: BTreeSet::new(), note: String::new(), expires_ms: None };
+    Caller { id: ROOT.to_owned(), grant }
+}
+
+/// The path of version 1 for the first calls of the API, which had none.
+fn versioned(path: &str) -> Cow<'_, str> {
+    if path == "/engines" || path == "/requests" || path.starts_with("/requests/") {
+        return Cow::Owned(format!("/v1{path}"));
+    }
+    Cow::Borrowed(path)
+}
+
 fn tenants(report: &Report) -> Vec<serde_json::Value> {
     let mut answers: HashMap<&str, Vec<&AnswerCounts>> = HashMap::new();
     report.answers.iter().for_each(|counts| answers.entry(&counts.tenant).or_default().push(counts));
