--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -284,9 +284,29 @@
         assert!(kill.success());
     }
 
-    /// Stops it, or has it go on.
+    /// Suspends the process, or resumes it.
+    ///
+    /// `kill` returns once SIGSTOP is pending; each thread stops a little later, and may serve a request until then.
+    /// So this waits until all of them are stopped.
     pub fn pause(&self, paused: bool) {
-        self.signal(if paused { "-STOP" } else { "-CONT" });
+        if paused {
+            self.signal("-STOP");
+            until("every thread of the program is stopped", || self.is_stopped());
+        } else {
+            self.signal("-CONT");
+        }
+    }
+
+    /// Whether every thread of the process is in state `T` (stopped), by proc(5).
+    fn is_stopped(&self) -> bool {
+        let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
+        threads.into_iter().all(|thread| {
+            // A thread may end between the two reads; the next poll lists the threads anew.
+            let Ok(stat) = std::fs::read_to_string(thread.unwrap().path().join("stat")) else { return false };
+            // The state follows the command's name, which is in parentheses and may hold some itself.
+            let (_, after_name) = stat.rsplit_once(") ").unwrap();
+            after_name.starts_with('T')
+        })
     }
 
     /// Ends it at once, whatever it is doing.
