--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -13,7 +13,7 @@
 use crate::cluster::Cluster;
 use crate::core::{AnswerCounts, Report};
 use crate::frontend::http::message::{Request, Response};
-use crate::frontend::http::{first_by, read_request};
+use crate::frontend::http::{first_request_deadline, read_request};
 use crate::frontend::{self, ConnectionPermit};
 use crate::lifecycle::LifecycleHandle;
 use crate::service::ServiceHandle;
@@ -94,7 +94,7 @@
     S: AsyncRead + AsyncWrite + Unpin,
 {
     let mut buffer = BytesMut::with_capacity(4096);
-    let mut by = Some(first_by());
+    let mut by = Some(first_request_deadline());
     while let Some(read) = read_request(&mut stream, &mut buffer, by, LONGEST_BODY).await? {
         by = None;
         permit.busy();
--- /dev/null
+++ b/src/frontend/connection_table/tests.rs
@@ -0,0 +1,26 @@
+//! Tests of the order in which connections are evicted.
+
+use super::*;
+
+/// Guards against a burst of connections in which a new one was evicted before its request arrived, while others that
+/// had long been answered stayed.
+#[test]
+fn a_connection_whose_request_may_be_in_transit_is_evicted_last() {
+    let (start, ms) = (Instant::now(), Duration::from_millis);
+    let mut table = ConnectionTable::default();
+    let _busy = table.add(ConnectionState::Busy, start);
+    let idle = table.add(ConnectionState::Idle, start + ms(400));
+    let silent = table.add(ConnectionState::Silent, start + ms(450));
+    let new_silent = table.add(ConnectionState::Silent, start + ms(900));
+    let new_idle = table.add(ConnectionState::Idle, start + ms(950));
+    let ending = table.add(ConnectionState::Ending, start + ms(999));
+    for expected in [ending, silent, idle, new_silent, new_idle] {
+        assert_eq!(table.eviction_candidate(start + ms(1000)), Some(expected));
+        table.remove(expected);
+    }
+    assert_eq!(
+        table.eviction_candidate(start + ms(1000)),
+        None,
+        "a connection with a pending response stays"
+    );
+}
--- /dev/null
+++ b/src/frontend/http/message/mod.rs
@@ -0,0 +1,10 @@
+//! Messages of HTTP/1.1.
+
+mod request;
+mod response;
+
+pub use request::{Head, MAX_BODY_BYTES, Request, RequestError, parse_integer, read_head};
+pub use response::Response;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/frontend/http/message/request.rs
@@ -0,0 +1,203 @@
+//! Requests of HTTP/1.1 (RFC 9112): the head is parsed with winnow.
+
+use bytes::{Buf, Bytes, BytesMut};
+use thiserror::Error;
+use winnow::Parser;
+use winnow::combinator::{opt, preceded, repeat, terminated};
+use winnow::error::ContextError;
+use winnow::token::take_while;
+
+/// The longest head that is read. A value of ours, as are the next two.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The longest body of a client's request.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The most header fields that a request may have.
+const MAX_FIELDS: usize = 64;
+/// The longest method that is read, in characters.
+const MAX_METHOD_CHARS: usize = 16;
+
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// Why a request could not be read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum RequestError {
+    /// It is not HTTP/1.1, or it can be read in two ways.
+    #[error("not a request")]
+    Malformed,
+    /// The head is too long.
+    #[error("the head is too long")]
+    HeadTooLong,
+    /// The body is too long.
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// The body has a transfer coding, and so no length that is known in advance.
+    #[error("the body's length must be told")]
+    LengthRequired,
+}
+
+impl RequestError {
+    /// The status of the response to such a request.
+    pub fn status(self) -> u16 {
+        match self {
+            RequestError::Malformed => 400,
+            RequestError::HeadTooLong => 431,
+            RequestError::BodyTooLong => 413,
+            RequestError::LengthRequired => 411,
+        }
+    }
+}
+
+/// A request.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Request {
+    /// The method.
+    pub method: String,
+    /// The request target, as it was sent.
+    pub target: String,
+    /// The header fields: names and values, in the order in which they were sent.
+    pub fields: Vec<(String, String)>,
+    /// The body.
+    pub body: Bytes,
+    /// Whether the client wants the connection closed after the response.
+    pub close: bool,
+}
+
+impl Request {
+    /// The value of the first header field of this name. Names are compared without case.
+    pub fn field(&self, name: &str) -> Option<&str> {
+        let mut fields = self.fields.iter();
+        let (_, value) = fields.find(|(known, _)| known.eq_ignore_ascii_case(name))?;
+        Some(value)
+    }
+
+    /// The values of all header fields of this name.
+    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+        let same_name = move |(known, _): &&(String, String)| known.eq_ignore_ascii_case(name);
+        self.fields.iter().filter(same_name).map(|(_, value)| value.as_str())
+    }
+
+    /// Whether a header field has this value. Values are compared without case.
+    fn field_is(&self, name: &str, value: &str) -> bool {
+        self.field(name).is_some_and(|found| found.eq_ignore_ascii_case(value))
+    }
+}
+
+/// The head of a request whose body may not have been received yet.
+#[derive(Debug)]
+pub struct Head {
+    request: Request,
+    head_bytes: usize,
+    body_bytes: usize,
+    /// Whether the client waits for `100 Continue` before it sends the body.
+    pub expects_continue: bool,
+}
+
+impl Head {
+    /// Takes the complete request off the front of what was received; `None` if its body is not complete yet.
+    pub fn take(self, buffer: &mut BytesMut) -> Option<Request> {
+        if buffer.len() < self.head_bytes + self.body_bytes {
+            return None;
+        }
+        buffer.advance(self.head_bytes);
+        let body = buffer.split_to(self.body_bytes).freeze();
+        Some(Request { body, ..self.request })
+    }
+}
+
+type ParseResult<T> = Result<T, ContextError>;
+
+/// The request line and the header fields, as they were parsed.
+struct ParsedHead {
+    method: String,
+    target: String,
+    is_http_1_0: bool,
+    fields: Vec<(String, String)>,
+}
+
+/// Whether a character may be in the name of a header field (`tchar` of RFC 9110, section 5.6.2).
+fn is_token_char(c: char) -> bool {
+    c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c)
+}
+
+fn parse_field(input: &mut &str) -> ParseResult<(String, String)> {
+    let name = take_while(1.., is_token_char);
+    let value = take_while(0.., |c: char| c == '\t' || !c.is_control());
+    let line = (terminated(name, ':'), terminated(value, "\r\n"));
+    line.map(|(name, value): (&str, &str)| (name.to_owned(), value.trim_matches([' ', '\t']).to_owned()))
+        .parse_next(input)
+}
+
+fn parse_head(input: &mut &str) -> ParseResult<ParsedHead> {
+    let method = take_while(1..=MAX_METHOD_CHARS, |c: char| c.is_ascii_uppercase());
+    let target = take_while(1.., |c: char| c.is_ascii_graphic());
+    let version = preceded("HTTP/1.", winnow::token::one_of(['0', '1']));
+    let (method, _, target, _, version, _) = (method, ' ', target, ' ', version, "\r\n").parse_next(input)?;
+    let fields = repeat(0..=MAX_FIELDS, parse_field).parse_next(input)?;
+    "\r\n".parse_next(input)?;
+    Ok(ParsedHead {
+        method: method.to_owned(),
+        target: target.to_owned(),
+        is_http_1_0: version == '0',
+        fields,
+    })
+}
+
+/// Reads the head of the next request; `None` if it is not complete yet.
+///
+/// # Errors
+///
+/// The request is malformed, or its head or body is too long.
+pub fn read_head(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<Head>, RequestError> {
+    // Empty lines before a request are ignored (RFC 9112, section 2.2).
+    while buffer.starts_with(LINE_END) {
+        buffer.advance(LINE_END.len());
+    }
+    let Some(head_bytes) = head_length(buffer)? else { return Ok(None) };
+    let text = std::str::from_utf8(&buffer[..head_bytes]).map_err(|_| RequestError::Malformed)?;
+    let parsed = parse_head.parse(text).map_err(|_| RequestError::Malformed)?;
+    let mut request = Request {
+        method: parsed.method,
+        target: parsed.target,
+        fields: parsed.fields,
+        body: Bytes::new(),
+        close: false,
+    };
+    let body_bytes = body_length(&request)?;
+    if body_bytes > max_body_bytes {
+        return Err(RequestError::BodyTooLong);
+    }
+    let keeps_alive = !parsed.is_http_1_0 || request.field_is("Connection", "keep-alive");
+    request.close = request.field_is("Connection", "close") || !keeps_alive;
+    let expects_continue = request.field_is("Expect", "100-continue");
+    Ok(Some(Head { request, head_bytes, body_bytes, expects_continue }))
+}
+
+/// The length of the head; `None` if its end has not been received yet.
+fn head_length(buffer: &[u8]) -> Result<Option<usize>, RequestError> {
+    let end = buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END);
+    match end.map(|start| start + HEAD_END.len()) {
+        Some(length) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
+        None if buffer.len() <= MAX_HEAD_BYTES => Ok(None),
+        _ => Err(RequestError::HeadTooLong),
+    }
+}
+
+/// The length of the body, by `Content-Length`. With two lengths, or with a length and a transfer coding, a proxy and
+/// we could disagree on where the next request begins (request smuggling).
+fn body_length(request: &Request) -> Result<usize, RequestError> {
+    if request.field("Transfer-Encoding").is_some() {
+        return Err(RequestError::LengthRequired);
+    }
+    let mut lengths = request.values("Content-Length");
+    match (lengths.next(), lengths.next()) {
+        (None, _) => Ok(0),
+        (Some(length), None) => parse_integer(length).ok_or(RequestError::Malformed),
+        (Some(_), Some(_)) => Err(RequestError::Malformed),
+    }
+}
+
+/// Parses a decimal integer without a sign; one space after it is accepted.
+pub fn parse_integer(text: &str) -> Option<usize> {
+    terminated(winnow::ascii::dec_uint::<_, usize, ContextError>, opt(' ')).parse(text).ok()
+}
--- /dev/null
+++ b/src/frontend/http/reader.rs
@@ -0,0 +1,66 @@
+//! Reads requests from a connection, with a deadline for each.
+
+use super::message::{self, Request, RequestError};
+use bytes::BytesMut;
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::time::Instant;
+
+/// A request must be complete within this time: the first one from the connection's start, others from their first
+/// byte. A value of ours.
+pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A connection without a request is closed after this time. The platform's clients close theirs after 4 s.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// When the first request of a connection that has just been accepted must be complete.
+pub fn first_request_deadline() -> Instant {
+    Instant::now() + READ_TIMEOUT
+}
+
+/// Reads the next request, whose body may have at most `max_body_bytes`.
+///
+/// It must be complete by `deadline`, or, where that is `None`, within a fixed time from its first byte. The result is
+/// `None` if the client closed the connection, or did not send a request in time.
+///
+/// # Errors
+///
+/// The connection broke. What is read, but is no valid request, is the inner error.
+pub async fn read_request<S: AsyncRead + AsyncWrite + Unpin>(
+    stream: &mut S,
+    buffer: &mut BytesMut,
+    deadline: Option<Instant>,
+    max_body_bytes: usize,
+) -> io::Result<Option<Result<Request, RequestError>>> {
+    let mut continued = false;
+    let mut begun = deadline.is_some() || !buffer.is_empty();
+    let timeout = if begun { READ_TIMEOUT } else { IDLE_TIMEOUT };
+    let mut deadline = deadline.unwrap_or(Instant::now() + timeout);
+    loop {
+        let head = match message::read_head(buffer, max_body_bytes) {
+            Ok(head) => head,
+            Err(error) => return Ok(Some(Err(error))),
+        };
+        if let Some(head) = head {
+            let expects_continue = head.expects_continue;
+            if let Some(request) = head.take(buffer) {
+                return Ok(Some(Ok(request)));
+            }
+            if expects_continue && !continued {
+                continued = true;
+                stream.write_all(CONTINUE).await?;
+            }
+        }
+        match tokio::time::timeout_at(deadline, stream.read_buf(buffer)).await {
+            Ok(Ok(1..)) => {}
+            Ok(Err(error)) => return Err(error),
+            Ok(Ok(0)) | Err(_) => return Ok(None),
+        }
+        if !begun {
+            begun = true;
+            deadline = Instant::now() + READ_TIMEOUT;
+        }
+    }
+}
--- /dev/null
+++ b/src/frontend/http/result_pages.rs
@@ -0,0 +1,106 @@
+//! Results that are split into pages because they are too long for one response.
+//!
+//! A page can be read until its result is deleted, or is evicted for newer ones.
+
+use crate::core::Row;
+use std::collections::{HashMap, VecDeque};
+
+/// The most results that are retained. A value of ours, as is the next.
+const MAX_RESULTS: usize = 512;
+/// The most bytes of pages that are retained.
+const MAX_BYTES: usize = 4 << 20;
+
+/// The pages that clients may still read, by the name of their request.
+#[derive(Debug, Default)]
+pub struct ResultPages {
+    results: HashMap<String, Vec<String>>,
+    /// The names in the order in which their results were inserted.
+    insertion_order: VecDeque<String>,
+    bytes: usize,
+}
+
+impl ResultPages {
+    /// Retains a result of several pages, and returns the body of the first. Each body names the path of the next.
+    pub fn insert(&mut self, name: &str, pages: Vec<String>) -> String {
+        let last = pages.len() - 1;
+        let bodies = pages.iter().enumerate().map(|(number, rows)| {
+            let next_path = (number < last).then(|| format!("/page/{name}/{}", number + 1));
+            page_body(rows, next_path.as_deref())
+        });
+        let bodies: Vec<String> = bodies.collect();
+        let first = bodies[0].clone();
+        self.bytes += total_bytes(&bodies);
+        self.remove_result(name);
+        self.results.insert(name.to_owned(), bodies);
+        self.insertion_order.push_back(name.to_owned());
+        while self.insertion_order.len() > MAX_RESULTS || self.bytes > MAX_BYTES {
+            let Some(oldest) = self.insertion_order.front().cloned() else { break };
+            self.remove_result(&oldest);
+        }
+        first
+    }
+
+    /// The body of the page at a path.
+    pub fn get(&self, path: &str) -> Option<String> {
+        let page = PagePath::parse(path)?;
+        self.results.get(page.name)?.get(page.number).cloned()
+    }
+
+    /// Removes the result that has a page at this path; false if there is none.
+    pub fn remove(&mut self, path: &str) -> bool {
+        PagePath::parse(path).is_some_and(|page| self.remove_result(page.name))
+    }
+
+    fn remove_result(&mut self, name: &str) -> bool {
+        let Some(bodies) = self.results.remove(name) else { return false };
+        self.bytes = self.bytes.saturating_sub(total_bytes(&bodies));
+        self.insertion_order.retain(|other| other != name);
+        true
+    }
+}
+
+/// A page's path: `/page/NAME/NUMBER`.
+struct PagePath<'a> {
+    name: &'a str,
+    number: usize,
+}
+
+impl PagePath<'_> {
+    fn parse(path: &str) -> Option<PagePath<'_>> {
+        let (name, number) = path.strip_prefix("/page/")?.split_once('/')?;
+        Some(PagePath { name, number: number.parse().ok()? })
+    }
+}
+
+fn total_bytes(bodies: &[String]) -> usize {
+    bodies.iter().map(String::len).sum()
+}
+
+/// The body of a page with these rows, and the path of the next page.
+pub fn page_body(rows: &str, next_path: Option<&str>) -> String {
+    match next_path {
+        Some(path) => format!("{{\"more\":\"{path}\",\"result\":[{rows}]}}"),
+        None => format!("{{\"result\":[{rows}]}}"),
+    }
+}
+
+/// The rows as JSON, in pages of at most `max_page_bytes`. A longer row has a page of its own.
+pub fn split_into_pages(rows: &[Row], max_page_bytes: usize) -> Vec<String> {
+    let mut pages = vec![String::new()];
+    for row in rows {
+        // Text always has a JSON form.
+        let json = serde_json::to_string(row).unwrap_or_default();
+        let full =
+            pages.last().is_some_and(|page| !page.is_empty() && page.len() + json.len() > max_page_bytes);
+        if full {
+            pages.push(String::new());
+        }
+        if let Some(page) = pages.last_mut() {
+            if !page.is_empty() {
+                page.push(',');
+            }
+            page.push_str(&json);
+        }
+    }
+    pages
+}
--- /dev/null
+++ b/src/frontend/http/routes.rs
@@ -0,0 +1,84 @@
+//! The paths of the frontend, and the header fields of a request.
+
+use super::Http;
+use super::connection::Client;
+use super::message::{self, Request, Response};
+use super::responses::unusable;
+use crate::clock::Micros;
+use crate::core::IncomingRequest;
+
+/// The length of a request's name, in hexadecimal digits.
+const NAME_DIGITS: usize = 16;
+
+impl Http {
+    /// Answers a request; `None` if the client closed the connection first.
+    pub(super) async fn route(&self, client: &mut Client, request: &Request) -> Option<Response> {
+        let response = match (request.method.as_str(), request.target.as_str()) {
+            ("GET", "/check") => self.readiness(),
+            ("POST", target) => {
+                let Some(class) = target.strip_prefix("/do/") else { return Some(no_such_path()) };
+                match incoming_request(class, request) {
+                    Ok(incoming) => return client.submit(self, incoming).await,
+                    Err(response) => response,
+                }
+            }
+            ("GET", target) => match self.result_pages().get(target) {
+                Some(body) => Response::json(200, body),
+                None => no_such_path(),
+            },
+            ("DELETE", target) => match self.result_pages().remove(target) {
+                true => empty(),
+                false => no_such_path(),
+            },
+            _ => unusable(405, "no such method"),
+        };
+        Some(response)
+    }
+
+    fn readiness(&self) -> Response {
+        if self.lifecycle.is_ready() { empty() } else { unusable(503, "not ready") }
+    }
+}
+
+fn empty() -> Response {
+    Response::json(200, "{}".to_owned())
+}
+
+fn no_such_path() -> Response {
+    unusable(404, "no such path")
+}
+
+/// The request for the service that a client's request stands for. The error is the response to an invalid one.
+fn incoming_request(class: &str, request: &Request) -> Result<IncomingRequest, Response> {
+    let name = required_field(request, "X-Txn")?;
+    if name.len() != NAME_DIGITS || !name.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(unusable(400, "X-Txn must be 16 hex digits"));
+    }
+    let ttl_ms = message::parse_integer(required_field(request, "X-Ttl-Ms")?);
+    let ttl_ms = ttl_ms.ok_or_else(|| unusable(400, "X-Ttl-Ms must be a whole number"))?;
+    let statement = std::str::from_utf8(&request.body);
+    let statement = statement.map_err(|_| unusable(400, "the statement must be UTF-8"))?;
+    Ok(IncomingRequest {
+        id: 0,
+        name: name.to_owned(),
+        class: class.to_owned(),
+        tenant: optional_field(request, "X-Merchant")?.map(str::to_owned),
+        idempotency_key: optional_field(request, "X-Txn-Key")?.map(str::to_owned),
+        statement: statement.into(),
+        time_budget: Micros::from_ms(ttl_ms as f64),
+    })
+}
+
+fn required_field<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, Response> {
+    optional_field(request, name)?.ok_or_else(|| unusable(400, &format!("{name} is missing")))
+}
+
+/// The value of a header field. A field that is sent twice is rejected: an intermediary may read the one value, and
+/// this program the other.
+fn optional_field<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Response> {
+    let mut values = request.values(name);
+    match (values.next(), values.next()) {
+        (_, Some(_)) => Err(unusable(400, &format!("{name} is there twice"))),
+        (value, None) => Ok(value),
+    }
+}
--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -283,7 +283,7 @@
         let hint = |name: &str| hints.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
         let left = match hint("ttl_ms") {
             Some(told) => {
-                let ms = crate::frontend::http::message::whole_number(told);
+                let ms = crate::frontend::http::message::parse_integer(told);
                 Micros::from_ms(ms.ok_or("ttl_ms must be a whole number")? as f64)
             }
             None => self.budget,
--- a/src/operations_endpoint.rs
+++ b/src/operations_endpoint.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::{Clock, Micros};
 use crate::frontend::http::message::{Request, Response};
-use crate::frontend::http::{first_by, read_request};
+use crate::frontend::http::{first_request_deadline, read_request};
 use crate::frontend::{self, ConnectionPermit};
 use crate::lifecycle::LifecycleHandle;
 use crate::service::ServiceHandle;
@@ -106,7 +106,8 @@
     ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
-        let read = read_request(&mut stream, &mut buffer, Some(first_by()), MAX_BODY_BYTES).await?;
+        let read =
+            read_request(&mut stream, &mut buffer, Some(first_request_deadline()), MAX_BODY_BYTES).await?;
         let Some(request) = read else { return Ok(()) };
         permit.busy();
         let response = match request {
