--- /dev/null
+++ b/src/frontend/tds/connection.rs
@@ -0,0 +1,153 @@
+//! A client's connection: the login, then its requests one after another.
+
+use super::tls::Stream;
+use super::{Tds, error_number, prelogin};
+use crate::frontend::ConnectionPermit;
+use crate::tds::packet::{self, Message, Messages};
+use crate::tds::token::{self, ResponseKind};
+use crate::tds::{Malformed, login};
+use bytes::BytesMut;
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// A connection must be logged in within this time. A value of ours.
+const LOGIN_TIMEOUT: Duration = Duration::from_millis(2800);
+/// A message must be complete within this time from its first byte. A value of ours.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A connection without a request is closed after this time. A value of ours.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1800);
+/// The first capacity of a connection's buffer.
+const BUFFER_BYTES: usize = 8192;
+/// The severity of a failed login.
+const LOGIN_SEVERITY: u8 = 14;
+
+/// A stream from which messages are read.
+pub(super) struct MessageStream<S = Box<dyn Stream>> {
+    pub(super) stream: S,
+    /// What was received and is not read yet.
+    pub(super) received: BytesMut,
+    /// The message whose packets are being read.
+    pub(super) messages: Messages,
+}
+
+impl<S: AsyncRead + Unpin> MessageStream<S> {
+    pub(super) fn new(stream: S) -> MessageStream<S> {
+        let received = BytesMut::with_capacity(BUFFER_BYTES);
+        MessageStream { stream, received, messages: Messages::default() }
+    }
+
+    /// The next message; `None` if the client closed the connection.
+    pub(super) async fn next(&mut self) -> io::Result<Option<Message>> {
+        loop {
+            if let Some(message) = self.messages.next(&mut self.received).map_err(malformed)? {
+                return Ok(Some(message));
+            }
+            if self.stream.read_buf(&mut self.received).await? == 0 {
+                return Ok(None);
+            }
+        }
+    }
+}
+
+impl MessageStream {
+    /// Writes a response.
+    pub(super) async fn respond(&mut self, data: &[u8]) -> io::Result<()> {
+        self.stream.write_all(&packet::message(packet::RESULT, data)).await
+    }
+}
+
+impl MessageStream<TcpStream> {
+    pub(super) fn boxed(self) -> MessageStream {
+        MessageStream { stream: Box::new(self.stream), received: self.received, messages: self.messages }
+    }
+}
+
+pub(super) fn malformed(error: Malformed) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
+}
+
+fn timed_out(_elapsed: tokio::time::error::Elapsed) -> io::Error {
+    io::ErrorKind::TimedOut.into()
+}
+
+/// Serves a connection until it is closed.
+pub(super) async fn serve(stream: TcpStream, permit: &ConnectionPermit, frontend: &Tds) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let _tracked_connection = frontend.lifecycle.track_connection();
+    let opened = tokio::time::timeout(LOGIN_TIMEOUT, Connection::open(stream, frontend)).await;
+    match opened.map_err(timed_out)?? {
+        Some(connection) => connection.run(permit).await,
+        None => Ok(()),
+    }
+}
+
+/// Reads LOGIN7 and answers it. The result is the tenant; `None` if the login is denied.
+async fn log_in(input: &mut MessageStream, frontend: &Tds) -> io::Result<Option<String>> {
+    let Some(message) = input.next().await? else { return Ok(None) };
+    if message.kind != packet::LOGIN7 {
+        return Ok(None);
+    }
+    let login = login::read_login(&message.data).map_err(malformed)?;
+    match frontend.directory.tenant(&login).await {
+        Ok(tenant) => {
+            input.respond(&token::login_ack(&tenant)).await?;
+            Ok(Some(tenant))
+        }
+        Err(error) => {
+            log::info!("TDS: login denied: {error}");
+            let number = error_number::LOGIN_FAILED;
+            let response = token::error(ResponseKind::Batch, number, LOGIN_SEVERITY, "Login failed.");
+            input.respond(&response).await?;
+            Ok(None)
+        }
+    }
+}
+
+/// A connection whose login was granted.
+pub(super) struct Connection<'a> {
+    pub(super) input: MessageStream,
+    pub(super) frontend: &'a Tds,
+    pub(super) tenant: String,
+}
+
+impl<'a> Connection<'a> {
+    /// Negotiates encryption and reads the login; `None` if the connection is to be closed.
+    async fn open(stream: TcpStream, frontend: &'a Tds) -> io::Result<Option<Connection<'a>>> {
+        let Some(mut input) = prelogin::negotiate(stream, frontend).await? else { return Ok(None) };
+        let tenant = log_in(&mut input, frontend).await?;
+        Ok(tenant.map(|tenant| Connection { input, frontend, tenant }))
+    }
+
+    async fn run(mut self, permit: &ConnectionPermit) -> io::Result<()> {
+        loop {
+            permit.idle();
+            if !self.wait_for_request().await? {
+                return Ok(());
+            }
+            let message = tokio::time::timeout(MESSAGE_TIMEOUT, self.input.next()).await;
+            let Some(message) = message.map_err(timed_out)?? else { return Ok(()) };
+            permit.busy();
+            if !self.serve_request(message).await? {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Waits for the first bytes of a request; false if the client closed the connection, or if idle connections are
+    /// being closed: TDS has no message that sends a client elsewhere.
+    async fn wait_for_request(&mut self) -> io::Result<bool> {
+        if !self.input.received.is_empty() {
+            return Ok(true);
+        }
+        let MessageStream { stream, received, .. } = &mut self.input;
+        tokio::select! {
+            biased;
+            read = tokio::time::timeout(IDLE_TIMEOUT, stream.read_buf(received)) => {
+                Ok(read.map_err(timed_out)?? > 0)
+            }
+            () = self.frontend.lifecycle.wait_for_idle_close() => Ok(false),
+        }
+    }
+}
--- /dev/null
+++ b/src/frontend/tds/prelogin.rs
@@ -0,0 +1,50 @@
+//! PRELOGIN: the negotiation of encryption (MS-TDS 2.2.6.5), and the TLS handshake.
+
+use super::Tds;
+use super::connection::{MessageStream, malformed};
+use super::tls;
+use crate::tds::login::{self, ENCRYPT_NOT_SUPPORTED, ENCRYPT_ON, ENCRYPT_REQUIRED};
+use crate::tds::packet;
+use std::io;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio_rustls::TlsAcceptor;
+
+/// Reads the client's PRELOGIN, answers it, and encrypts the connection if the frontend has a certificate. Then the
+/// whole connection is encrypted, otherwise none of it.
+///
+/// `None` if the client closed the connection, sent another message, or does not agree on encryption.
+///
+/// # Errors
+///
+/// The connection broke, a message is malformed, or the TLS handshake failed.
+pub(super) async fn negotiate(stream: TcpStream, frontend: &Tds) -> io::Result<Option<MessageStream>> {
+    let mut plain = MessageStream::new(stream);
+    let Some(message) = plain.next().await? else { return Ok(None) };
+    if message.kind != packet::PRELOGIN {
+        return Ok(None);
+    }
+    let requested = login::read_prelogin(&message.data).map_err(malformed)?.unwrap_or(ENCRYPT_NOT_SUPPORTED);
+    let client_requires = matches!(requested, ENCRYPT_ON | ENCRYPT_REQUIRED);
+    let offered = match &frontend.tls {
+        None => ENCRYPT_NOT_SUPPORTED,
+        Some(_) if client_requires => ENCRYPT_ON,
+        Some(_) => ENCRYPT_REQUIRED,
+    };
+    let response = packet::message(packet::RESULT, &login::prelogin(offered));
+    plain.stream.write_all(&response).await?;
+    let Some(config) = &frontend.tls else {
+        if client_requires {
+            log::info!("TDS: a client wants encryption, which this listener does not have");
+            return Ok(None);
+        }
+        return Ok(Some(plain.boxed()));
+    };
+    if requested == ENCRYPT_NOT_SUPPORTED {
+        log::info!("TDS: a client without encryption, which this listener requires");
+        return Ok(None);
+    }
+    let acceptor = TlsAcceptor::from(config.clone());
+    let encrypted = tls::accept(&acceptor, plain.stream, plain.received.split()).await?;
+    Ok(Some(MessageStream { stream: encrypted, received: plain.received, messages: plain.messages }))
+}
--- a/src/frontend/tds/tls.rs
+++ b/src/frontend/tds/tls.rs
@@ -1,4 +1,4 @@
-//! TLS under TDS 7: the handshake's records travel in PRELOGIN packets, and what follows on the bare stream.
+//! TLS under TDS 7: the records of the handshake are wrapped in PRELOGIN packets (MS-TDS 2.2.6.5), later ones are not.
 
 use crate::tds::packet;
 use bytes::{Buf, BytesMut};
@@ -11,35 +11,52 @@
 use tokio::net::TcpStream;
 use tokio_rustls::TlsAcceptor;
 
+/// How much is read at once during the handshake.
+const READ_BYTES: usize = 4096;
+
 /// A client's connection, encrypted or not.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
 
-/// A stream whose bytes are wrapped in PRELOGIN packets for as long as the handshake lasts.
-struct Wrapped {
+/// A stream whose bytes are wrapped in PRELOGIN packets during the handshake.
+struct HandshakeStream {
     stream: TcpStream,
-    handshake: Arc<AtomicBool>,
+    /// Whether the handshake lasts.
+    handshaking: Arc<AtomicBool>,
+    /// What was received, packet headers included.
     received: BytesMut,
+    /// The data of packets that TLS has not read yet.
     unwrapped: BytesMut,
+    /// Packets that are not written yet.
     unwritten: BytesMut,
 }
 
-/// Shakes hands with a client; `received` is what it sent after its PRELOGIN.
+/// Does the handshake with a client. `received` is what it sent after its PRELOGIN.
+///
+/// # Errors
+///
+/// The connection broke, or the handshake failed.
 pub async fn accept(
     acceptor: &TlsAcceptor,
     stream: TcpStream,
     received: BytesMut,
 ) -> io::Result<Box<dyn Stream>> {
-    let handshake = Arc::new(AtomicBool::new(true));
-    let (unwrapped, unwritten) = (BytesMut::new(), BytesMut::new());
-    let wrapped = Wrapped { stream, handshake: handshake.clone(), received, unwrapped, unwritten };
+    let handshaking = Arc::new(AtomicBool::new(true));
+    let wrapped = HandshakeStream {
+        stream,
+        handshaking: handshaking.clone(),
+        received,
+        unwrapped: BytesMut::new(),
+        unwritten: BytesMut::new(),
+    };
     let encrypted = acceptor.accept(wrapped).await?;
-    handshake.store(false, Ordering::Relaxed);
+    handshaking.store(false, Ordering::Relaxed);
     Ok(Box::new(encrypted))
 }
 
-impl Wrapped {
-    fn write_out(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+impl HandshakeStream {
+    /// Writes the packets that are not written yet.
+    fn write_packets(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.unwritten.is_empty() {
             let written = ready!(Pin::new(&mut self.stream).poll_write(context, &self.unwritten))?;
             if written == 0 {
@@ -50,9 +67,9 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads on into `received`; false at the stream's end.
-    fn read_in(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        let mut space = [0; 4096];
+    /// Reads more into `received`; false at the end of the stream.
+    fn read_more(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        let mut space = [0; READ_BYTES];
         let mut read = ReadBuf::new(&mut space);
         ready!(Pin::new(&mut self.stream).poll_read(context, &mut read))?;
         self.received.extend_from_slice(read.filled());
@@ -60,7 +77,7 @@
     }
 }
 
-impl AsyncRead for Wrapped {
+impl AsyncRead for HandshakeStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -68,8 +85,8 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         while this.unwrapped.is_empty() {
-            if !this.handshake.load(Ordering::Relaxed) {
-                // What came close behind the handshake is bare already.
+            if !this.handshaking.load(Ordering::Relaxed) {
+                // What was received right after the handshake is not wrapped any more.
                 match this.received.is_empty() {
                     true => return Pin::new(&mut this.stream).poll_read(context, out),
                     false => this.unwrapped = this.received.split(),
@@ -80,7 +97,7 @@
             match packet.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))? {
                 Some(packet) if packet.kind == packet::PRELOGIN => this.unwrapped = packet.data,
                 Some(_) => return Poll::Ready(Err(io::ErrorKind::InvalidData.into())),
-                None if ready!(this.read_in(context))? => {}
+                None if ready!(this.read_more(context))? => {}
                 None => return Poll::Ready(Ok(())),
             }
         }
@@ -90,27 +107,27 @@
     }
 }
 
-impl AsyncWrite for Wrapped {
+impl AsyncWrite for HandshakeStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if this.handshake.load(Ordering::Relaxed) {
-            // Gathered to the flush, so that a flight goes out as few packets.
+        if this.handshaking.load(Ordering::Relaxed) {
+            // Collected until the flush, so that a flight is written at once.
             this.unwritten.extend_from_slice(&packet::message(packet::PRELOGIN, data));
             return Poll::Ready(Ok(data.len()));
         }
-        ready!(this.write_out(context))?;
+        ready!(this.write_packets(context))?;
         Pin::new(&mut this.stream).poll_write(context, data)
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.write_out(context))?;
+        ready!(this.write_packets(context))?;
         Pin::new(&mut this.stream).poll_flush(context)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.write_out(context))?;
+        ready!(this.write_packets(context))?;
         Pin::new(&mut this.stream).poll_shutdown(context)
     }
 }
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -73,14 +73,14 @@
     async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
         let listener = bind(settings.listen).await?;
         let frontend = Tds {
-            handle: self.handles.service.clone(),
+            service: self.handles.service.clone(),
             lifecycle: self.handles.lifecycle.clone(),
             directory: settings.directory,
             tls: settings.tls,
-            class: settings.class,
-            budget: settings.budget,
-            seed,
-            named: AtomicU64::new(1),
+            default_class: settings.class,
+            default_time_budget: settings.budget,
+            name_seed: seed,
+            next_request: AtomicU64::new(1),
         };
         let max_connections = self.descriptors.max_tds_connections();
         self.accept_loops.push(tokio::spawn(tds::serve(listener, Arc::new(frontend), max_connections)));
--- a/src/tds/token.rs
+++ b/src/tds/token.rs
@@ -189,28 +189,28 @@
     out
 }
 
-/// Whether an answer is to a batch or to a call.
+/// Whether a response is to a batch or to a call of a procedure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum To {
+pub enum ResponseKind {
     /// A batch.
     Batch,
     /// A call of a procedure.
     Call,
 }
 
-fn put_done(out: &mut Vec<u8>, to: To, status: u16, count: u64) {
-    if to == To::Call {
+fn put_done(out: &mut Vec<u8>, kind: ResponseKind, status: u16, count: u64) {
+    if kind == ResponseKind::Call {
         out.push(RETURNSTATUS);
         out.extend(u32::from(status & DONE_ERROR != 0).to_le_bytes());
     }
-    out.push(if to == To::Call { DONEPROC } else { DONE });
+    out.push(if kind == ResponseKind::Call { DONEPROC } else { DONE });
     out.extend(status.to_le_bytes());
     out.extend(0xc1u16.to_le_bytes()); // of a SELECT
     out.extend(count.to_le_bytes());
 }
 
 /// A whole result.
-pub fn table(to: To, table: &Table) -> Vec<u8> {
+pub fn table(kind: ResponseKind, table: &Table) -> Vec<u8> {
     let mut out = Vec::new();
     let width = table.rows.iter().map(Vec::len).max().unwrap_or(0).max(table.columns.len());
     if width > 0 {
@@ -234,12 +234,12 @@
             }
         }
     }
-    put_done(&mut out, to, DONE_COUNT, table.rows.len() as u64);
+    put_done(&mut out, kind, DONE_COUNT, table.rows.len() as u64);
     out
 }
 
 /// An error, and the end of the answer.
-pub fn error(to: To, number: u32, severity: u8, text: &str) -> Vec<u8> {
+pub fn error(kind: ResponseKind, number: u32, severity: u8, text: &str) -> Vec<u8> {
     let text: String = text.chars().take(1000).collect();
     let mut data = Vec::new();
     data.extend(number.to_le_bytes());
@@ -252,14 +252,14 @@
     let mut out = vec![ERROR];
     out.extend((data.len() as u16).to_le_bytes());
     out.extend(data);
-    put_done(&mut out, to, DONE_ERROR, 0);
+    put_done(&mut out, kind, DONE_ERROR, 0);
     out
 }
 
 /// The one word on an attention.
 pub fn attention_done() -> Vec<u8> {
     let mut out = Vec::new();
-    put_done(&mut out, To::Batch, DONE_ATTN, 0);
+    put_done(&mut out, ResponseKind::Batch, DONE_ATTN, 0);
     out
 }
 
@@ -285,7 +285,7 @@
     out.push(LOGINACK);
     out.extend((data.len() as u16).to_le_bytes());
     out.extend(data);
-    put_done(&mut out, To::Batch, 0, 0);
+    put_done(&mut out, ResponseKind::Batch, 0, 0);
     out
 }
 
@@ -310,7 +310,7 @@
         let long = "x".repeat(5000);
         let rows: Vec<Row> = vec![vec![Some("a".into()), None], vec![Some(String::new()), Some(long)]];
         let sent = Table { columns: vec!["day".into()], rows: rows.clone() };
-        let tokens = read_all(&table(To::Batch, &sent));
+        let tokens = read_all(&table(ResponseKind::Batch, &sent));
         let back: Vec<Row> = tokens
             .iter()
             .filter_map(|one| match one {
@@ -324,7 +324,7 @@
 
     #[test]
     fn what_is_cut_is_not_read() {
-        let data = error(To::Batch, 40501, 16, "busy");
+        let data = error(ResponseKind::Batch, 40501, 16, "busy");
         for cut in 0..data.len() - 13 {
             assert!(read(&[], &mut &data[..cut]).is_err(), "cut at {cut}");
         }
