--- a/src/frontend/tds/connection.rs
+++ b/src/frontend/tds/connection.rs
@@ -5,7 +5,7 @@
 use crate::frontend::ConnectionPermit;
 use crate::tds::packet::{self, Message, Messages};
 use crate::tds::token::{self, ResponseKind};
-use crate::tds::{Malformed, login};
+use crate::tds::{TdsError, login};
 use bytes::BytesMut;
 use std::io;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     }
 }
 
-pub(super) fn malformed(error: Malformed) -> io::Error {
+pub(super) fn malformed(error: TdsError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, error)
 }
 
--- a/src/tds/mod.rs
+++ b/src/tds/mod.rs
@@ -1,5 +1,6 @@
-//! TDS (MS-TDS) as both the front and the way to engines use it: packets, logins, values and tokens. All
-//! that is received is read by winnow; what is sent is written by hand.
+//! TDS (MS-TDS), for the frontend as well as for connections to engines: packets, logins, values and tokens.
+//!
+//! What is received is parsed with winnow; what is sent is written by hand.
 
 pub mod login;
 pub mod packet;
@@ -9,29 +10,32 @@
 use thiserror::Error;
 use winnow::error::ContextError;
 
-/// What a parser gives.
-pub type Out<T> = Result<T, ContextError>;
+/// The result of a parser.
+pub type ParseResult<T> = Result<T, ContextError>;
 
-/// Why what was received could not be read.
+/// The most characters of a text whose length is written in one byte.
+const MAX_SHORT_TEXT_CHARS: usize = 120;
+
+/// Why received data could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Malformed {
-    /// A packet whose header can't be.
+pub enum TdsError {
+    /// The header of a packet is invalid.
     #[error("a packet's header can't be read")]
-    Packet,
-    /// A message that is longer than any taken.
+    PacketHeader,
+    /// A message is longer than [`packet::MAX_MESSAGE_BYTES`].
     #[error("a message is too long")]
-    Long,
-    /// A message that can't be read.
+    MessageTooLong,
+    /// A message of this kind is malformed.
     #[error("a {0} can't be read")]
     Message(&'static str),
 }
 
-/// Text as UTF-16, the form of all text on this wire.
+/// Encodes text as UTF-16, little endian: the form of all text in TDS.
 pub fn utf16(text: &str) -> Vec<u8> {
     text.encode_utf16().flat_map(u16::to_le_bytes).collect()
 }
 
-/// Text from UTF-16; `None` where it is none.
+/// Decodes text from UTF-16, little endian; `None` if it is invalid.
 pub fn from_utf16(bytes: &[u8]) -> Option<String> {
     if !bytes.len().is_multiple_of(2) {
         return None;
@@ -40,9 +44,9 @@
     String::from_utf16(&units).ok()
 }
 
-/// Text with its length in one byte; what is too long for that is cut.
-pub fn put_short(out: &mut Vec<u8>, text: &str) {
-    let cut: String = text.chars().take(120).collect();
-    out.push(cut.encode_utf16().count() as u8);
-    out.extend(utf16(&cut));
+/// Writes text with its length in one byte (`B_VARCHAR`). Longer text is truncated.
+pub fn put_short_text(out: &mut Vec<u8>, text: &str) {
+    let truncated: String = text.chars().take(MAX_SHORT_TEXT_CHARS).collect();
+    out.push(truncated.encode_utf16().count() as u8);
+    out.extend(utf16(&truncated));
 }
--- /dev/null
+++ b/src/tds/packet/tests.rs
@@ -0,0 +1,22 @@
+//! Tests of packets and messages.
+
+use super::*;
+
+#[test]
+fn a_message_is_complete_however_its_packets_are_split() {
+    let data: Vec<u8> = (0..10_000u32).map(|at| at as u8).collect();
+    let sent = message(SQL_BATCH, &data);
+    for cut in (0..sent.len()).step_by(7) {
+        let (mut messages, mut buffer) = (Messages::default(), BytesMut::from(&sent[..cut]));
+        assert_eq!(messages.next(&mut buffer).unwrap(), None, "cut at {cut}");
+        buffer.extend_from_slice(&sent[cut..]);
+        let complete = messages.next(&mut buffer).unwrap().unwrap();
+        assert_eq!((complete.kind, &complete.data), (SQL_BATCH, &data));
+    }
+}
+
+#[test]
+fn packets_with_an_invalid_header_are_malformed() {
+    assert!(next_packet(&mut BytesMut::from(&[1, 1, 0, 7, 0, 0, 0, 0][..])).is_err());
+    assert!(next_packet(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n"[..])).is_err());
+}
--- /dev/null
+++ b/src/tds/token/mod.rs
@@ -0,0 +1,32 @@
+//! Tokens of responses (MS-TDS 2.2.7), and the contents of batches and calls.
+
+mod request;
+mod response_reader;
+mod response_writer;
+
+pub use request::{batch, read_batch, read_call};
+pub use response_reader::{Column, Token, read};
+pub use response_writer::{ResponseKind, attention_done, error, login_ack, table};
+
+const COLMETADATA: u8 = 0x81;
+const RETURNSTATUS: u8 = 0x79;
+const ORDER: u8 = 0xa9;
+const ERROR: u8 = 0xaa;
+const INFO: u8 = 0xab;
+const LOGINACK: u8 = 0xad;
+const ROW: u8 = 0xd1;
+/// A row with a bitmap of its null values.
+const NBCROW: u8 = 0xd2;
+const ENVCHANGE: u8 = 0xe3;
+const DONE: u8 = 0xfd;
+const DONEPROC: u8 = 0xfe;
+const DONEINPROC: u8 = 0xff;
+
+// Bits of a DONE token's status (MS-TDS 2.2.7.6).
+const DONE_MORE: u16 = 0x01;
+const DONE_ERROR: u16 = 0x02;
+const DONE_COUNT: u16 = 0x10;
+const DONE_ATTN: u16 = 0x20;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/tds/token/request.rs
@@ -0,0 +1,105 @@
+//! The contents of batches and calls.
+
+use super::response_reader::parse_short_text;
+use crate::sql;
+use crate::tds::value::{self, Value};
+use crate::tds::{ParseResult, TdsError, from_utf16, utf16};
+use winnow::Parser;
+use winnow::binary::{le_u8, le_u16, le_u32};
+use winnow::combinator::repeat;
+use winnow::error::ContextError;
+use winnow::token::take;
+
+/// The most parameters that are read. A value of ours.
+const MAX_PARAMETERS: usize = 256;
+/// The length of a procedure's name that says that its number follows instead.
+const PROCEDURE_BY_NUMBER: u16 = 0xffff;
+/// The number of `sp_executesql`.
+const SP_EXECUTESQL: u16 = 10;
+/// The type of the transaction descriptor header, which every batch has to have.
+const TRANSACTION_HEADER: u16 = 2;
+/// The length of that header.
+const TRANSACTION_HEADER_BYTES: u32 = 18;
+/// The length of all headers, with the length itself.
+const HEADERS_BYTES: u32 = 4 + TRANSACTION_HEADER_BYTES;
+
+/// Skips the headers before the contents of a request (ALL_HEADERS, MS-TDS 2.2.5.3).
+fn skip_headers(input: &mut &[u8]) -> ParseResult<()> {
+    let length = le_u32.parse_next(input)? as usize;
+    let rest = length.checked_sub(size_of::<u32>()).ok_or_else(ContextError::new)?;
+    take(rest).void().parse_next(input)
+}
+
+/// Reads the statement of a batch (MS-TDS 2.2.6.7).
+///
+/// # Errors
+///
+/// The batch is malformed.
+pub fn read_batch(data: &[u8]) -> Result<String, TdsError> {
+    let mut input = data;
+    let malformed = TdsError::Message("SQLBatch");
+    skip_headers(&mut input).map_err(|_| malformed)?;
+    from_utf16(input).ok_or(malformed)
+}
+
+struct Parameter {
+    name: String,
+    value: Value,
+}
+
+fn parse_parameter(input: &mut &[u8]) -> ParseResult<Parameter> {
+    let name = parse_short_text(input)?;
+    let _status = le_u8.parse_next(input)?;
+    let value_type = value::read_type(input)?;
+    let value = value::read(value_type, input)?;
+    Ok(Parameter { name, value })
+}
+
+/// Whether the procedure that is called, by its number or its name, is `sp_executesql`.
+fn parse_is_executesql(input: &mut &[u8]) -> ParseResult<bool> {
+    match le_u16.parse_next(input)? {
+        PROCEDURE_BY_NUMBER => Ok(le_u16.parse_next(input)? == SP_EXECUTESQL),
+        count => {
+            let name: &[u8] = take(usize::from(count) * 2).parse_next(input)?;
+            Ok(from_utf16(name).is_some_and(|name| name.eq_ignore_ascii_case("sp_executesql")))
+        }
+    }
+}
+
+fn parse_call(input: &mut &[u8]) -> ParseResult<String> {
+    skip_headers(input)?;
+    let is_executesql = parse_is_executesql(input)?;
+    let _flags = le_u16.parse_next(input)?;
+    let parameters: Vec<Parameter> = repeat(0..=MAX_PARAMETERS, parse_parameter).parse_next(input)?;
+    if !is_executesql || !input.is_empty() {
+        return Err(ContextError::new());
+    }
+    // The first parameter is the statement, the second declares the others.
+    let mut parameters = parameters.into_iter();
+    let statement = parameters.next().and_then(|parameter| parameter.value.into_text());
+    let statement = statement.ok_or_else(ContextError::new)?;
+    let bindings: Vec<(String, String)> =
+        parameters.skip(1).map(|parameter| (parameter.name, parameter.value.literal())).collect();
+    Ok(sql::bind(&statement, &bindings))
+}
+
+/// Reads a call of `sp_executesql` (MS-TDS 2.2.6.6): its statement, with literals in place of its parameters.
+///
+/// # Errors
+///
+/// The call is malformed, has a value of an unknown type, or is of another procedure.
+pub fn read_call(data: &[u8]) -> Result<String, TdsError> {
+    parse_call(&mut &data[..]).map_err(|_| TdsError::Message("call of sp_executesql"))
+}
+
+/// Writes a batch, with the headers that it needs.
+pub fn batch(statement: &str) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADERS_BYTES as usize + statement.len() * 2);
+    out.extend(HEADERS_BYTES.to_le_bytes());
+    out.extend(TRANSACTION_HEADER_BYTES.to_le_bytes());
+    out.extend(TRANSACTION_HEADER.to_le_bytes());
+    out.extend([0; 8]); // no transaction
+    out.extend(1u32.to_le_bytes()); // one outstanding request
+    out.extend(utf16(statement));
+    out
+}
--- /dev/null
+++ b/src/tds/token/response_reader.rs
@@ -0,0 +1,150 @@
+//! Reads the tokens of a response.
+
+use super::{
+    COLMETADATA, DONE, DONE_ATTN, DONE_ERROR, DONE_MORE, DONEINPROC, DONEPROC, ENVCHANGE, ERROR, INFO,
+    LOGINACK, NBCROW, ORDER, RETURNSTATUS, ROW,
+};
+use crate::core::Row;
+use crate::tds::value::{self, ValueType};
+use crate::tds::{ParseResult, from_utf16};
+use winnow::Parser;
+use winnow::binary::{le_u8, le_u16, le_u32, le_u64};
+use winnow::combinator::repeat;
+use winnow::error::ContextError;
+use winnow::token::take;
+
+/// The most columns that are read. A value of ours.
+const MAX_COLUMNS: u16 = 256;
+/// The count of columns that says that there is no metadata.
+const NO_METADATA: u16 = 0xffff;
+
+/// A column of a result.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Column {
+    /// The name.
+    pub name: String,
+    /// The type of its values.
+    pub value_type: ValueType,
+}
+
+/// A token of a response, as an engine sends it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Token {
+    /// The columns.
+    Columns(Vec<Column>),
+    /// A row.
+    Row(Row),
+    /// An error.
+    Error {
+        /// The number.
+        number: u32,
+        /// The text.
+        text: String,
+    },
+    /// A message that is no error.
+    Info {
+        /// The number.
+        number: u32,
+        /// The text.
+        text: String,
+    },
+    /// The login was granted.
+    LoginAck,
+    /// A statement has ended.
+    Done {
+        /// More results follow.
+        more: bool,
+        /// It failed.
+        error: bool,
+        /// It acknowledges an attention.
+        attention: bool,
+    },
+    /// A token that is ignored.
+    Other,
+}
+
+/// The part that ERROR and INFO have in common, as far as it is used.
+struct ServerMessage {
+    number: u32,
+    text: String,
+}
+
+fn parse_message(input: &mut &[u8]) -> ParseResult<ServerMessage> {
+    let length = le_u16.parse_next(input)?;
+    let mut data: &[u8] = take(length).parse_next(input)?;
+    let data = &mut data;
+    let (number, _state, _class, count) = (le_u32, le_u8, le_u8, le_u16).parse_next(data)?;
+    let text: &[u8] = take(usize::from(count) * 2).parse_next(data)?;
+    let text = from_utf16(text).ok_or_else(ContextError::new)?;
+    Ok(ServerMessage { number, text })
+}
+
+/// Reads text with its length in one byte.
+pub(super) fn parse_short_text(input: &mut &[u8]) -> ParseResult<String> {
+    let count = le_u8.parse_next(input)?;
+    let text: &[u8] = take(usize::from(count) * 2).parse_next(input)?;
+    from_utf16(text).ok_or_else(ContextError::new)
+}
+
+fn parse_columns(input: &mut &[u8]) -> ParseResult<Vec<Column>> {
+    let count = le_u16.parse_next(input)?;
+    if count == NO_METADATA {
+        return Ok(Vec::new());
+    }
+    if count > MAX_COLUMNS {
+        return Err(ContextError::new());
+    }
+    let column = |input: &mut &[u8]| {
+        let _user_type_and_flags = (le_u32, le_u16).parse_next(input)?;
+        let value_type = value::read_type(input)?;
+        let name = parse_short_text(input)?;
+        Ok(Column { name, value_type })
+    };
+    repeat(usize::from(count), column).parse_next(input)
+}
+
+/// Reads a row. `null_bitmap` has a bit for each column whose value is null, or is empty.
+fn parse_row(columns: &[Column], null_bitmap: &[u8], input: &mut &[u8]) -> ParseResult<Row> {
+    let mut row = Row::with_capacity(columns.len());
+    for (index, column) in columns.iter().enumerate() {
+        let is_null = null_bitmap.get(index / 8).is_some_and(|bits| bits >> (index % 8) & 1 == 1);
+        row.push(if is_null { None } else { value::read(column.value_type, input)?.into_text() });
+    }
+    Ok(row)
+}
+
+/// Reads the next token. `columns` are those of the last [`Token::Columns`].
+///
+/// # Errors
+///
+/// The token is unknown, malformed, or not complete yet.
+pub fn read(columns: &[Column], input: &mut &[u8]) -> ParseResult<Token> {
+    match le_u8.parse_next(input)? {
+        COLMETADATA => parse_columns(input).map(Token::Columns),
+        ROW => parse_row(columns, &[], input).map(Token::Row),
+        NBCROW => {
+            let null_bitmap: &[u8] = take(columns.len().div_ceil(8)).parse_next(input)?;
+            parse_row(columns, null_bitmap, input).map(Token::Row)
+        }
+        ERROR => {
+            let ServerMessage { number, text } = parse_message(input)?;
+            Ok(Token::Error { number, text })
+        }
+        INFO => {
+            let ServerMessage { number, text } = parse_message(input)?;
+            Ok(Token::Info { number, text })
+        }
+        kind @ (LOGINACK | ENVCHANGE | ORDER) => {
+            let length = le_u16.parse_next(input)?;
+            let _data: &[u8] = take(length).parse_next(input)?;
+            Ok(if kind == LOGINACK { Token::LoginAck } else { Token::Other })
+        }
+        RETURNSTATUS => le_u32.parse_next(input).map(|_| Token::Other),
+        DONE | DONEPROC | DONEINPROC => {
+            let (status, _command, _count) = (le_u16, le_u16, le_u64).parse_next(input)?;
+            let has = |bit: u16| status & bit != 0;
+            Ok(Token::Done { more: has(DONE_MORE), error: has(DONE_ERROR), attention: has(DONE_ATTN) })
+        }
+        _ => Err(ContextError::new()),
+    }
+}
--- /dev/null
+++ b/src/tds/token/response_writer.rs
@@ -0,0 +1,149 @@
+//! Writes the tokens of a response.
+
+use super::{
+    COLMETADATA, DONE, DONE_ATTN, DONE_COUNT, DONE_ERROR, DONEPROC, ENVCHANGE, ERROR, LOGINACK, RETURNSTATUS,
+    ROW,
+};
+use crate::core::Table;
+use crate::tds::packet::PACKET_BYTES;
+use crate::tds::value::{self, TextLength};
+use crate::tds::{put_short_text, utf16};
+
+/// The command of a DONE token, where it is a SELECT.
+const COMMAND_SELECT: u16 = 0xc1;
+/// The longest text of an error, in characters. A value of ours.
+const MAX_ERROR_CHARS: usize = 1000;
+/// The state of an error, which is the server's own choice.
+const ERROR_STATE: u8 = 1;
+/// The name of the server in errors and login acknowledgements.
+const SERVER_NAME: &str = "sanddyke";
+/// A column that may be null and updated (`fNullable` and `usUpdateable` of MS-TDS 2.2.7.4).
+const COLUMN_FLAGS: [u8; 2] = [0x09, 0];
+/// Changes of the session (MS-TDS 2.2.7.9): the database, and the size of packets.
+const ENV_DATABASE: u8 = 1;
+const ENV_PACKET_BYTES: u8 = 4;
+/// The database of a session before its login.
+const INITIAL_DATABASE: &str = "master";
+/// The T-SQL interface, TDS 7.4 (big endian here), and the program's version.
+const INTERFACE_SQL: u8 = 1;
+const TDS_74: [u8; 4] = [0x74, 0, 0, 0x04];
+const SERVER_VERSION: [u8; 4] = [16, 0, 0, 0];
+
+/// What a response is to; this decides on the tokens at its end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ResponseKind {
+    /// A batch.
+    Batch,
+    /// A call of a procedure.
+    Call,
+}
+
+/// Writes the end of a response.
+fn put_done(out: &mut Vec<u8>, kind: ResponseKind, status: u16, rows: u64) {
+    match kind {
+        ResponseKind::Batch => out.push(DONE),
+        ResponseKind::Call => {
+            let return_status = u32::from(status & DONE_ERROR != 0);
+            out.push(RETURNSTATUS);
+            out.extend(return_status.to_le_bytes());
+            out.push(DONEPROC);
+        }
+    }
+    out.extend(status.to_le_bytes());
+    out.extend(COMMAND_SELECT.to_le_bytes());
+    out.extend(rows.to_le_bytes());
+}
+
+/// Writes a token with its length.
+fn put_token(out: &mut Vec<u8>, token: u8, data: &[u8]) {
+    out.push(token);
+    out.extend((data.len() as u16).to_le_bytes());
+    out.extend(data);
+}
+
+/// A response with a complete result.
+pub fn table(kind: ResponseKind, table: &Table) -> Vec<u8> {
+    let mut out = Vec::new();
+    let lengths = column_lengths(table);
+    if !lengths.is_empty() {
+        put_columns(&mut out, table, &lengths);
+        for row in &table.rows {
+            out.push(ROW);
+            for (index, length) in lengths.iter().enumerate() {
+                let text = row.get(index).and_then(|cell| cell.as_deref());
+                value::put_text(&mut out, *length, text);
+            }
+        }
+    }
+    put_done(&mut out, kind, DONE_COUNT, table.rows.len() as u64);
+    out
+}
+
+/// Which length each column's type has to allow, by its longest text.
+fn column_lengths(table: &Table) -> Vec<TextLength> {
+    let widest_row = table.rows.iter().map(Vec::len).max().unwrap_or(0);
+    let width = widest_row.max(table.columns.len());
+    let longest_bytes = |index: usize| {
+        let cells = table.rows.iter().filter_map(|row| row.get(index)?.as_deref());
+        cells.map(|text| text.encode_utf16().count() * 2).max().unwrap_or(0)
+    };
+    (0..width).map(|index| TextLength::for_bytes(longest_bytes(index))).collect()
+}
+
+fn put_columns(out: &mut Vec<u8>, table: &Table, lengths: &[TextLength]) {
+    out.push(COLMETADATA);
+    out.extend((lengths.len() as u16).to_le_bytes());
+    for (index, length) in lengths.iter().enumerate() {
+        out.extend([0; 4]); // no user type
+        out.extend(COLUMN_FLAGS);
+        value::put_text_type(out, *length);
+        let default_name = format!("column{}", index + 1);
+        put_short_text(out, table.columns.get(index).unwrap_or(&default_name));
+    }
+}
+
+/// A response with an error.
+pub fn error(kind: ResponseKind, number: u32, severity: u8, text: &str) -> Vec<u8> {
+    let text: String = text.chars().take(MAX_ERROR_CHARS).collect();
+    let mut data = Vec::new();
+    data.extend(number.to_le_bytes());
+    data.extend([ERROR_STATE, severity]);
+    data.extend((text.encode_utf16().count() as u16).to_le_bytes());
+    data.extend(utf16(&text));
+    put_short_text(&mut data, SERVER_NAME);
+    put_short_text(&mut data, ""); // no procedure
+    data.extend(0u32.to_le_bytes()); // no line
+    let mut out = Vec::new();
+    put_token(&mut out, ERROR, &data);
+    put_done(&mut out, kind, DONE_ERROR, 0);
+    out
+}
+
+/// The acknowledgement of an attention.
+pub fn attention_done() -> Vec<u8> {
+    let mut out = Vec::new();
+    put_done(&mut out, ResponseKind::Batch, DONE_ATTN, 0);
+    out
+}
+
+fn put_env_change(out: &mut Vec<u8>, change: u8, new: &str, old: &str) {
+    let mut data = vec![change];
+    put_short_text(&mut data, new);
+    put_short_text(&mut data, old);
+    put_token(out, ENVCHANGE, &data);
+}
+
+/// The response to a login that is granted.
+pub fn login_ack(database: &str) -> Vec<u8> {
+    let mut out = Vec::new();
+    put_env_change(&mut out, ENV_DATABASE, database, INITIAL_DATABASE);
+    let packet_bytes = PACKET_BYTES.to_string();
+    put_env_change(&mut out, ENV_PACKET_BYTES, &packet_bytes, &packet_bytes);
+    let mut data = vec![INTERFACE_SQL];
+    data.extend(TDS_74);
+    put_short_text(&mut data, SERVER_NAME);
+    data.extend(SERVER_VERSION);
+    put_token(&mut out, LOGINACK, &data);
+    put_done(&mut out, ResponseKind::Batch, 0, 0);
+    out
+}
--- a/src/tds/value.rs
+++ b/src/tds/value.rs
@@ -1,11 +1,12 @@
-//! Values: their types as the wire tells them, and their text. Types that no one here sends are refused.
+//! Values and their types (MS-TDS 2.2.5.4). Types that neither clients nor engines use are rejected.
 
-use super::{Out, from_utf16, utf16};
+use super::{ParseResult, from_utf16, utf16};
 use winnow::Parser;
 use winnow::binary::{le_f32, le_f64, le_i16, le_i32, le_i64, le_u16, le_u32, le_u64, u8 as byte};
 use winnow::error::ContextError;
 use winnow::token::take;
 
+// Types of variable length (MS-TDS 2.2.5.4.2).
 const NVARCHAR: u8 = 0xe7;
 const NCHAR: u8 = 0xef;
 const VARCHAR: u8 = 0xa7;
@@ -13,33 +14,72 @@
 const INTN: u8 = 0x26;
 const BITN: u8 = 0x68;
 const FLTN: u8 = 0x6d;
-/// The length that stands for "any".
-const MAX: u16 = 0xffff;
+
+// Types of fixed length (MS-TDS 2.2.5.4.1).
+const INT1: u8 = 0x30;
+const BIT: u8 = 0x32;
+const INT2: u8 = 0x34;
+const INT4: u8 = 0x38;
+const FLT4: u8 = 0x3b;
+const FLT8: u8 = 0x3e;
+const INT8: u8 = 0x7f;
+
+/// The length of a type without a limit, and of a null of a type with one.
+const NO_LENGTH: u16 = 0xffff;
+/// The length of a null of a type without a limit.
+const NO_LONG_LENGTH: u64 = u64::MAX;
+/// The collation of the text that is written: `SQL_Latin1_General_CP1_CI_AS`.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
-/// The longest text, in bytes, of a column that is not "any".
-const LONGEST_PLAIN: usize = 8000;
-const LONGEST_VALUE: usize = 1 << 20;
+/// The longest text of a type with a limit.
+const MAX_LIMITED_BYTES: usize = 8000;
+/// The longest value that is read. A value of ours.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+
+/// The encoding of text.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TextEncoding {
+    /// UTF-16.
+    Utf16,
+    /// Bytes, which are read as UTF-8.
+    Bytes,
+}
+
+/// The length that a type of text allows. Values are written in different forms for the two.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TextLength {
+    /// At most 8000 bytes.
+    Limited,
+    /// Any length.
+    Unlimited,
+}
+
+impl TextLength {
+    /// The length that a type needs for a text of this many bytes.
+    pub fn for_bytes(bytes: usize) -> TextLength {
+        if bytes > MAX_LIMITED_BYTES { TextLength::Unlimited } else { TextLength::Limited }
+    }
+}
 
 /// The type of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Type {
-    /// Text, as UTF-16 or bytes, of bounded length or any.
+pub enum ValueType {
+    /// Text.
     Text {
-        /// Whether it is UTF-16.
-        wide: bool,
-        /// Whether it is of any length.
-        any: bool,
+        /// Its encoding.
+        encoding: TextEncoding,
+        /// The length that it may have.
+        length: TextLength,
     },
-    /// A whole number, a bit or a float, with its length before it.
+    /// An integer, a bit or a float, with its length before it.
     Number(u8),
-    /// One of fixed length.
+    /// An integer, a bit or a float of fixed length.
     Fixed(u8),
 }
 
 /// A value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
-    /// Missing.
+    /// A null.
     Null,
     /// Text.
     Text(String),
@@ -48,7 +88,7 @@
 }
 
 impl Value {
-    /// Its text; `None` where it is missing.
+    /// The value as text; `None` for a null.
     pub fn into_text(self) -> Option<String> {
         match self {
             Value::Null => None,
@@ -56,7 +96,7 @@
         }
     }
 
-    /// It as a literal of SQL.
+    /// The value as a literal of SQL.
     pub fn literal(&self) -> String {
         match self {
             Value::Null => "NULL".to_owned(),
@@ -67,23 +107,31 @@
 }
 
 /// Reads a type.
-pub fn read_type(input: &mut &[u8]) -> Out<Type> {
+///
+/// # Errors
+///
+/// The type is unknown, or not complete yet.
+pub fn read_type(input: &mut &[u8]) -> ParseResult<ValueType> {
     let kind = byte.parse_next(input)?;
     match kind {
         NVARCHAR | NCHAR | VARCHAR | CHAR => {
             let (length, _collation) = (le_u16, take(5usize)).parse_next(input)?;
-            Ok(Type::Text { wide: matches!(kind, NVARCHAR | NCHAR), any: length == MAX })
+            let is_wide = matches!(kind, NVARCHAR | NCHAR);
+            let encoding = if is_wide { TextEncoding::Utf16 } else { TextEncoding::Bytes };
+            let length = if length == NO_LENGTH { TextLength::Unlimited } else { TextLength::Limited };
+            Ok(ValueType::Text { encoding, length })
         }
         INTN | BITN | FLTN => {
             let _length = byte.parse_next(input)?;
-            Ok(Type::Number(kind))
+            Ok(ValueType::Number(kind))
         }
-        0x30 | 0x32 | 0x34 | 0x38 | 0x3b | 0x3e | 0x7f => Ok(Type::Fixed(kind)),
+        INT1 | BIT | INT2 | INT4 | FLT4 | FLT8 | INT8 => Ok(ValueType::Fixed(kind)),
         _ => Err(ContextError::new()),
     }
 }
 
-fn number(kind: u8, length: u8, input: &mut &[u8]) -> Out<Value> {
+/// Reads a number of `length` bytes; `kind` is its type of variable length.
+fn parse_number(kind: u8, length: u8, input: &mut &[u8]) -> ParseResult<Value> {
     let text = match (kind, length) {
         (_, 0) => return Ok(Value::Null),
         (INTN | BITN, 1) => byte.parse_next(input)?.to_string(),
@@ -97,72 +145,81 @@
     Ok(Value::Number(text))
 }
 
-fn text(wide: bool, bytes: &[u8]) -> Out<Value> {
-    let text = if wide { from_utf16(bytes) } else { String::from_utf8(bytes.to_vec()).ok() };
+fn decode_text(encoding: TextEncoding, bytes: &[u8]) -> ParseResult<Value> {
+    let text = match encoding {
+        TextEncoding::Utf16 => from_utf16(bytes),
+        TextEncoding::Bytes => String::from_utf8(bytes.to_vec()).ok(),
+    };
     text.map(Value::Text).ok_or_else(ContextError::new)
 }
 
 /// Reads a value of a type.
-pub fn read(kind: Type, input: &mut &[u8]) -> Out<Value> {
-    match kind {
-        Type::Text { wide, any: false } => match le_u16.parse_next(input)? {
-            MAX => Ok(Value::Null),
-            length => text(wide, take(length).parse_next(input)?),
+///
+/// # Errors
+///
+/// The value is malformed, too long, or not complete yet.
+pub fn read(value_type: ValueType, input: &mut &[u8]) -> ParseResult<Value> {
+    match value_type {
+        ValueType::Text { encoding, length: TextLength::Limited } => match le_u16.parse_next(input)? {
+            NO_LENGTH => Ok(Value::Null),
+            length => decode_text(encoding, take(length).parse_next(input)?),
         },
-        Type::Text { wide, any: true } => {
-            if le_u64.parse_next(input)? == u64::MAX {
-                return Ok(Value::Null);
-            }
-            let mut bytes = Vec::new();
-            loop {
-                let length = le_u32.parse_next(input)?;
-                if length == 0 {
-                    return text(wide, &bytes);
-                }
-                let part: &[u8] = take(length).parse_next(input)?;
-                if bytes.len() + part.len() > LONGEST_VALUE {
-                    return Err(ContextError::new());
-                }
-                bytes.extend_from_slice(part);
-            }
-        }
-        Type::Number(kind) => {
+        ValueType::Text { encoding, length: TextLength::Unlimited } => parse_unlimited_text(encoding, input),
+        ValueType::Number(kind) => {
             let length = byte.parse_next(input)?;
-            number(kind, length, input)
+            parse_number(kind, length, input)
         }
-        Type::Fixed(kind) => match kind {
-            0x30 | 0x32 => number(INTN, 1, input),
-            0x34 => number(INTN, 2, input),
-            0x38 => number(INTN, 4, input),
-            0x7f => number(INTN, 8, input),
-            0x3b => number(FLTN, 4, input),
-            _ => number(FLTN, 8, input),
+        ValueType::Fixed(kind) => match kind {
+            INT1 | BIT => parse_number(INTN, 1, input),
+            INT2 => parse_number(INTN, 2, input),
+            INT4 => parse_number(INTN, 4, input),
+            INT8 => parse_number(INTN, 8, input),
+            FLT4 => parse_number(FLTN, 4, input),
+            _ => parse_number(FLTN, 8, input),
         },
     }
 }
 
-/// Whether text of so many bytes needs a column of any length.
-pub fn is_long(bytes: usize) -> bool {
-    bytes > LONGEST_PLAIN
+/// Reads text of a type without a limit: its length, which may be unknown, then parts up to an empty one.
+fn parse_unlimited_text(encoding: TextEncoding, input: &mut &[u8]) -> ParseResult<Value> {
+    if le_u64.parse_next(input)? == NO_LONG_LENGTH {
+        return Ok(Value::Null);
+    }
+    let mut bytes = Vec::new();
+    loop {
+        let length = le_u32.parse_next(input)?;
+        if length == 0 {
+            return decode_text(encoding, &bytes);
+        }
+        let part: &[u8] = take(length).parse_next(input)?;
+        if bytes.len() + part.len() > MAX_VALUE_BYTES {
+            return Err(ContextError::new());
+        }
+        bytes.extend_from_slice(part);
+    }
 }
 
 /// Writes the type of a column of text.
-pub fn put_text_type(out: &mut Vec<u8>, any: bool) {
+pub fn put_text_type(out: &mut Vec<u8>, length: TextLength) {
+    let length = match length {
+        TextLength::Limited => MAX_LIMITED_BYTES as u16,
+        TextLength::Unlimited => NO_LENGTH,
+    };
     out.push(NVARCHAR);
-    out.extend(if any { MAX } else { LONGEST_PLAIN as u16 }.to_le_bytes());
+    out.extend(length.to_le_bytes());
     out.extend(COLLATION);
 }
 
-/// Writes a text of such a column.
-pub fn put_text(out: &mut Vec<u8>, any: bool, text: Option<&str>) {
-    match (any, text.map(utf16)) {
-        (false, None) => out.extend(MAX.to_le_bytes()),
-        (false, Some(bytes)) => {
+/// Writes a value of such a column; `None` is a null.
+pub fn put_text(out: &mut Vec<u8>, length: TextLength, text: Option<&str>) {
+    match (length, text.map(utf16)) {
+        (TextLength::Limited, None) => out.extend(NO_LENGTH.to_le_bytes()),
+        (TextLength::Limited, Some(bytes)) => {
             out.extend((bytes.len() as u16).to_le_bytes());
             out.extend(bytes);
         }
-        (true, None) => out.extend(u64::MAX.to_le_bytes()),
-        (true, Some(bytes)) => {
+        (TextLength::Unlimited, None) => out.extend(NO_LONG_LENGTH.to_le_bytes()),
+        (TextLength::Unlimited, Some(bytes)) => {
             out.extend((bytes.len() as u64).to_le_bytes());
             if !bytes.is_empty() {
                 out.extend((bytes.len() as u32).to_le_bytes());
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -197,7 +197,7 @@
     async fn token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
         match token {
             Token::Columns(columns) => {
-                self.table.columns = columns.into_iter().map(|(name, _)| name).collect();
+                self.table.columns = columns.into_iter().map(|column| column.name).collect();
             }
             Token::Row(row) => self.row(row)?,
             Token::Info { number: INFO_PROGRESS, text } => match progress(&text) {
@@ -296,6 +296,7 @@
             _ => {}
         }
     }
-    let pairs = columns.iter().zip(row).filter_map(|((name, _), cell)| Some(format!("{name}:{}", cell?)));
+    let cells = columns.iter().zip(row);
+    let pairs = cells.filter_map(|(column, cell)| Some(format!("{}:{}", column.name, cell?)));
     Ok(load_report(&pairs.collect::<Vec<_>>().join(";")))
 }
--- a/src/upstream/tds/session.rs
+++ b/src/upstream/tds/session.rs
@@ -3,8 +3,7 @@
 use super::Login;
 use crate::clock::Micros;
 use crate::core::ConnectionEnd;
-use crate::tds::token::{self, Token};
-use crate::tds::value::Type;
+use crate::tds::token::{self, Column, Token};
 use crate::tds::{login, packet};
 use crate::upstream::{failed_connect, failed_io};
 use bytes::{Buf, BytesMut};
@@ -23,7 +22,7 @@
     stream: TcpStream,
     received: BytesMut,
     tokens: BytesMut,
-    columns: Vec<(String, Type)>,
+    columns: Vec<Column>,
     /// Whether the last packet of the engine's message is here.
     message_complete: bool,
     /// When the last token came.
@@ -92,7 +91,7 @@
                 Ok(Some(packet)) => {
                     self.tokens.extend_from_slice(&packet.data);
                     self.message_complete = packet.last;
-                    return match self.tokens.len() > packet::LONGEST_MESSAGE {
+                    return match self.tokens.len() > packet::MAX_MESSAGE_BYTES {
                         true => Err(ConnectionEnd::Malformed),
                         false => Ok(()),
                     };
