--- a/crates/trace/src/generate.rs
+++ b/crates/trace/src/generate.rs
@@ -2,7 +2,8 @@
 //! loads that two of them see.
 
 use crate::{
-    Answer, Decision, Ended, Header, Held, Known, Program, Record, Sent, Taken, TraceError, What, Writer,
+    AttemptDispatched, AttemptEnded, Decision, EngineSnapshot, Event, Header, ProgramEvent, Record,
+    RequestQueued, RequestReceived, Response, TraceError, Writer,
 };
 use oorandom::Rand64;
 use std::cmp::Reverse;
@@ -33,10 +34,10 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Taken,
-    Held,
-    Sent(u32),
-    Ended(u32),
+    RequestReceived,
+    RequestQueued,
+    AttemptDispatched(u32),
+    AttemptEnded(u32),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +45,7 @@
     client: u64,
     class: usize,
     tenant: u32,
-    client_try: u32,
+    client_attempt: u32,
     manager: usize,
     request: u64,
     engine: u64,
@@ -62,16 +63,16 @@
             program: env!("CARGO_PKG_VERSION").to_owned(),
             manager: format!("m{manager}"),
             unix_us: 1_700_000_000_000_000 - skew,
-            made_by: vec![format!("generated from seed {}", plan.seed)],
+            derivation: vec![format!("generated from seed {}", plan.seed)],
             ..Header::default()
         };
         let mut writer = Writer::new(open(manager)?, header)?;
-        let event = writer.string("start");
+        let name = writer.string("start");
         writer.write(&Record {
             at_us: *skew,
             request: 0,
             manager: 0,
-            what: Some(What::Program(Program { event })),
+            event: Some(Event::ProgramEvent(ProgramEvent { name })),
         })?;
         writers.push(writer);
     }
@@ -88,9 +89,9 @@
             let tenant = (rng.rand_float().powi(2) * f64::from(plan.tenants)) as u32;
             let manager = rng.rand_range(0..writers.len() as u64) as usize;
             let story =
-                Story { client: clients, class, tenant, client_try: 1, manager, request: 0, engine: 0 };
+                Story { client: clients, class, tenant, client_attempt: 1, manager, request: 0, engine: 0 };
             order += 1;
-            due.push(Reverse((arrival as u64, order, Step::Taken, story)));
+            due.push(Reverse((arrival as u64, order, Step::RequestReceived, story)));
             arrival += -(1.0 - rng.rand_float()).ln() * EVERY_US;
             continue;
         }
@@ -102,115 +103,131 @@
             due.push(Reverse((at + after.max(1.0) as u64, order, step, story)));
         };
         match step {
-            Step::Taken => {
+            Step::RequestReceived => {
                 next_request[manager] += 1;
                 story.request = next_request[manager];
                 let load = CLASSES[story.class].0 == "load";
-                let taken = Taken {
+                let taken = RequestReceived {
                     budget_us: 20_000_000,
                     statement_bytes: 40 + rng.rand_range(0..400) as u32,
-                    client_try: story.client_try,
+                    client_attempt: story.client_attempt,
                     class: writer.string(CLASSES[story.class].0),
                     tenant: writer.string(&format!("council-{}", story.tenant)),
-                    name: writer.string(&format!("c{:x}-{}", story.client, story.client_try)),
+                    name: writer.string(&format!("c{:x}-{}", story.client, story.client_attempt)),
                     key: if load { writer.string(&format!("k{:x}", story.client)) } else { 0 },
-                    front: writer.string("http"),
+                    frontend: writer.string("http"),
                 };
                 writer.write(&Record {
                     at_us: mine,
                     request: story.request,
                     manager: 0,
-                    what: Some(What::Taken(taken)),
+                    event: Some(Event::RequestReceived(taken)),
                 })?;
                 let waits = rng.rand_float() < 0.2;
-                later(if waits { 20.0 } else { 50.0 }, if waits { Step::Held } else { Step::Sent(0) }, story);
+                later(
+                    if waits { 20.0 } else { 50.0 },
+                    if waits { Step::RequestQueued } else { Step::AttemptDispatched(0) },
+                    story,
+                );
             }
-            Step::Held => {
+            Step::RequestQueued => {
                 let reason = writer.string("no_room");
                 writer.write(&Record {
                     at_us: mine,
                     request: story.request,
                     manager: 0,
-                    what: Some(What::Held(Held { reason })),
+                    event: Some(Event::RequestQueued(RequestQueued { reason })),
                 })?;
                 let wait = -(1.0 - rng.rand_float()).ln() * 200_000.0;
-                later(wait, Step::Sent(0), story);
+                later(wait, Step::AttemptDispatched(0), story);
             }
-            Step::Sent(0) if rng.rand_float() < REFUSED => {
+            Step::AttemptDispatched(0) if rng.rand_float() < REFUSED => {
                 let (end, reason) = (writer.string("refused"), writer.string("no_time"));
                 // Half of them may come back at once.
                 let wait = if rng.rand_float() < 0.5 { 0.0 } else { 500_000.0 };
-                let answer = Answer { retry_after_us: wait as u64, bytes: 0, end, reason };
+                let answer = Response { retry_after_us: wait as u64, bytes: 0, end, reason };
                 writer.write(&Record {
                     at_us: mine,
                     request: story.request,
                     manager: 0,
-                    what: Some(What::Answer(answer)),
+                    event: Some(Event::Response(answer)),
                 })?;
-                if story.client_try < MOST_TRIES {
-                    story.client_try += 1;
+                if story.client_attempt < MOST_TRIES {
+                    story.client_attempt += 1;
                     story.manager = rng.rand_range(0..plan.skews_us.len() as u64) as usize;
                     // The answer travels to the client, and the next try to a manager.
                     let way = 300.0 - (1.0 - rng.rand_float()).ln() * 300.0;
-                    later(wait + way, Step::Taken, story);
+                    later(wait + way, Step::RequestReceived, story);
                 }
             }
-            Step::Sent(attempt) => {
+            Step::AttemptDispatched(attempt) => {
                 story.engine = rng.rand_range(0..ENGINES);
                 let other = (story.engine + 1 + rng.rand_range(0..ENGINES - 1)) % ENGINES;
                 let weight = rng.rand_float() as f32;
-                let mut known = |number: u64, weight: f32| Known {
+                let mut known = |number: u64, weight: f32| EngineSnapshot {
                     number,
-                    own: 3,
-                    others: 1.5,
-                    slow: 1.0,
+                    own_in_flight: 3,
+                    other_in_flight: 1.5,
+                    slowdown: 1.0,
                     weight,
                     engine: writer.string(&format!("e{number}")),
                 };
                 let (picked, other) = (Some(known(story.engine, weight)), Some(known(other, weight + 0.1)));
-                let decision = Decision { picked, other, reason: writer.string("lighter") };
+                let decision =
+                    Decision { selected: picked, alternative: other, reason: writer.string("lighter") };
                 let request = story.request;
                 writer.write(&Record {
                     at_us: mine,
                     request,
                     manager: 0,
-                    what: Some(What::Decision(decision)),
+                    event: Some(Event::Decision(decision)),
+                })?;
+                let sent =
+                    AttemptDispatched { attempt, engine: writer.string(&format!("e{}", story.engine)) };
+                writer.write(&Record {
+                    at_us: mine,
+                    request,
+                    manager: 0,
+                    event: Some(Event::AttemptDispatched(sent)),
                 })?;
-                let sent = Sent { attempt, engine: writer.string(&format!("e{}", story.engine)) };
-                writer.write(&Record { at_us: mine, request, manager: 0, what: Some(What::Sent(sent)) })?;
                 let took = -(1.0 - rng.rand_float()).ln() * CLASSES[story.class].1;
-                later(took.max(300.0), Step::Ended(attempt), story);
+                later(took.max(300.0), Step::AttemptEnded(attempt), story);
             }
-            Step::Ended(attempt) => {
+            Step::AttemptEnded(attempt) => {
                 let lost = rng.rand_float() < LOST;
                 let outcome = writer.string(if lost { "ConnectionLost" } else { "Served" });
                 let engine = writer.string(&format!("e{}", story.engine));
-                let ended = Ended { attempt, work_us: 1000, outcome, engine };
+                let ended = AttemptEnded { attempt, work_us: 1000, outcome, engine };
                 let request = story.request;
-                writer.write(&Record { at_us: mine, request, manager: 0, what: Some(What::Ended(ended)) })?;
+                writer.write(&Record {
+                    at_us: mine,
+                    request,
+                    manager: 0,
+                    event: Some(Event::AttemptEnded(ended)),
+                })?;
                 if lost && attempt == 0 {
-                    later(200.0, Step::Sent(1), story);
+                    later(200.0, Step::AttemptDispatched(1), story);
                     continue;
                 }
                 let end = writer.string(if lost { "failed" } else { "served" });
-                let answer = Answer { end, bytes: 900, ..Answer::default() };
+                let answer = Response { end, bytes: 900, ..Response::default() };
                 writer.write(&Record {
                     at_us: mine,
                     request,
                     manager: 0,
-                    what: Some(What::Answer(answer)),
+                    event: Some(Event::Response(answer)),
                 })?;
             }
         }
     }
     for (mut writer, skew) in writers.into_iter().zip(&plan.skews_us) {
-        let event = writer.string("stop");
+        let name = writer.string("stop");
         let at_us = arrival as i64 + 60_000_000 + skew;
         writer.write(&Record {
             at_us,
             request: 0,
             manager: 0,
-            what: Some(What::Program(Program { event })),
+            event: Some(Event::ProgramEvent(ProgramEvent { name })),
         })?;
         writer.finish()?;
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -12,13 +12,13 @@
 //! copied as they are.
 //!
 //! ```
-//! use sanddyke_trace::{Header, Reader, Record, Taken, What, Writer};
+//! use sanddyke_trace::{Header, Reader, Record, RequestReceived, Event, Writer};
 //!
 //! let mut file = Vec::new();
 //! let mut writer = Writer::new(&mut file, Header { manager: "m1".into(), ..Header::default() }).unwrap();
 //! let class = writer.string("report");
-//! let what = What::Taken(Taken { class, ..Taken::default() });
-//! writer.write(&Record { at_us: 5, request: 1, manager: 0, what: Some(what) }).unwrap();
+//! let event = Event::RequestReceived(RequestReceived { class, ..RequestReceived::default() });
+//! writer.write(&Record { at_us: 5, request: 1, manager: 0, event: Some(event) }).unwrap();
 //! writer.finish().unwrap();
 //! let mut reader = Reader::new(std::io::Cursor::new(file)).unwrap();
 //! let entry = reader.next().unwrap().unwrap();
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -3,7 +3,7 @@
 //! whatever order, the result is the same.
 
 use crate::clocks::{Clocks, Offset, Untold};
-use crate::{Entry, Header, Manager, Reader, TraceError, What, Writer};
+use crate::{Entry, Event, Header, Manager, Reader, TraceError, Writer};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{Read, Seek, Write};
@@ -84,13 +84,13 @@
     while let Some(entry) = source.next() {
         let entry = entry?;
         let (record, at) = (&entry.record, (manager, entry.record.at_us));
-        match &record.what {
-            Some(What::Taken(taken)) if taken.key > 0 && taken.client_try > 0 => {
-                let key = (entry.string(taken.key).to_owned(), taken.client_try);
+        match &record.event {
+            Some(Event::RequestReceived(taken)) if taken.key > 0 && taken.client_attempt > 0 => {
+                let key = (entry.string(taken.key).to_owned(), taken.client_attempt);
                 tries.entry(key.clone()).or_default().taken = Some(at);
                 open.insert(record.request, key);
             }
-            Some(What::Answer(_)) => {
+            Some(Event::Response(_)) => {
                 if let Some(key) = open.remove(&record.request) {
                     tries.entry(key).or_default().answered = Some(at);
                 }
@@ -142,7 +142,7 @@
     let offsets = clocks.offsets()?;
     let told = all.iter().zip(&offsets).map(|((_, _, manager), offset)| Manager {
         offset_us: offset.ahead_us,
-        within_us: offset.within_us,
+        error_bound_us: offset.within_us,
         ..manager.clone()
     });
     let unix_us = all.first().map_or(0, |(_, _, manager)| manager.unix_us);
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -72,8 +72,8 @@
         if let Some((Kind::Header, payload, next)) = reader.block(at)?
             && let Ok(header) = Header::decode(&payload[..])
         {
-            if header.form > FORM {
-                return Err(TraceError::Newer(header.form));
+            if header.format_version > FORM {
+                return Err(TraceError::Newer(header.format_version));
             }
             (reader.header, reader.at) = (header, next);
         }
@@ -232,7 +232,7 @@
     fn a_later_form_is_told() {
         let file = |form| {
             let mut file = MAGIC.to_vec();
-            let header = Header { form, ..Header::default() };
+            let header = Header { format_version: form, ..Header::default() };
             frame::write(&mut file, Kind::Header, &header.encode_to_vec()).unwrap();
             Reader::new(Cursor::new(file))
         };
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,30 +1,33 @@
-//! What is written, as protobuf messages. Fields 16 to 31 of each kind of record are numbers of strings in the
-//! table of its block, 0 for none; a later version keeps to that, so that tools of this one can copy its records.
+//! The protobuf messages of a trace file.
+//!
+//! Fields 16 to 31 of each event are references into the string table of its block; 0 stands for no string. Later
+//! versions keep to this rule, so that the tools of this version can copy their records. The tags are the file
+//! format: they never change.
 
 use prost::{Message, Oneof};
 
-/// What a file is of.
+/// The first block: where and by what the trace was recorded.
 #[derive(Clone, PartialEq, Message)]
 pub struct Header {
-    /// The form of the file.
+    /// Version of the file format.
     #[prost(uint32, tag = "1")]
-    pub form: u32,
-    /// The version of the program that wrote it.
+    pub format_version: u32,
+    /// Version of the program that recorded the trace.
     #[prost(string, tag = "2")]
     pub program: String,
     /// The manager's name.
     #[prost(string, tag = "3")]
     pub manager: String,
-    /// Unix time (us) at the manager's clock's 0.
+    /// Unix time (us) at time 0 of the manager's clock.
     #[prost(sint64, tag = "4")]
     pub unix_us: i64,
     /// SHA-256 of the settings, in hexadecimal.
     #[prost(string, tag = "5")]
     pub settings: String,
-    /// What made this file of others, one line a step.
+    /// The tool steps that derived this file from others, oldest first.
     #[prost(string, repeated, tag = "6")]
-    pub made_by: Vec<String>,
-    /// The managers, by number from 1, where the file was merged of several.
+    pub derivation: Vec<String>,
+    /// The managers of a merged file, by their number from 1; empty in an unmerged one.
     #[prost(message, repeated, tag = "7")]
     pub managers: Vec<Manager>,
 }
@@ -35,302 +38,328 @@
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Unix time (us) at its clock's 0.
+    /// Unix time (us) at time 0 of its clock.
     #[prost(sint64, tag = "2")]
     pub unix_us: i64,
-    /// How far its clock is ahead of the first one's (us), as it was estimated.
+    /// Estimated offset of its clock from the first manager's (us), positive where it is ahead.
     #[prost(sint64, tag = "3")]
     pub offset_us: i64,
-    /// The true value lies no further off than this (us).
+    /// Maximum error of `offset_us` (us).
     #[prost(sint64, tag = "4")]
-    pub within_us: i64,
+    pub error_bound_us: i64,
 }
 
-/// One thing that happened.
+/// One event at one time.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
-    /// When, on the manager's clock (us).
+    /// Time on the manager's clock (us).
     #[prost(sint64, tag = "1")]
     pub at_us: i64,
-    /// The request that it is about, 0 for none.
+    /// Number of the request that the event concerns, 0 for none.
     #[prost(uint64, tag = "2")]
     pub request: u64,
-    /// The number of its manager in a merged file, 0 in others.
+    /// Number of the manager in a merged file, 0 in an unmerged one.
     #[prost(uint32, tag = "14")]
     pub manager: u32,
-    /// What.
-    #[prost(oneof = "What", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
-    pub what: Option<What>,
+    /// The event; `None` for a kind of a later version.
+    #[prost(oneof = "Event", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
+    pub event: Option<Event>,
 }
 
-/// The kinds of things.
+/// The kinds of events.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum What {
-    /// A request was taken.
+pub enum Event {
+    /// A request was received.
     #[prost(message, tag = "3")]
-    Taken(Taken),
-    /// It waits, for want of something.
+    RequestReceived(RequestReceived),
+    /// The request waits in the queue.
     #[prost(message, tag = "4")]
-    Held(Held),
-    /// It was decided where it goes.
+    RequestQueued(RequestQueued),
+    /// An engine was selected for the request, or the request was given up.
     #[prost(message, tag = "5")]
     Decision(Decision),
-    /// An attempt was sent.
+    /// An attempt was dispatched to an engine.
     #[prost(message, tag = "6")]
-    Sent(Sent),
-    /// Word of a running attempt.
+    AttemptDispatched(AttemptDispatched),
+    /// A running attempt reported a figure.
     #[prost(message, tag = "7")]
-    Note(Note),
+    AttemptProgress(AttemptProgress),
     /// An attempt ended.
     #[prost(message, tag = "8")]
-    Ended(Ended),
-    /// The final answer.
+    AttemptEnded(AttemptEnded),
+    /// The final response was sent.
     #[prost(message, tag = "9")]
-    Answer(Answer),
-    /// An engine's place in the list changed.
+    Response(Response),
+    /// An engine's state in the endpoint list changed.
     #[prost(message, tag = "10")]
-    Engine(Engine),
+    EngineChanged(EngineChanged),
     /// A tenant changed.
     #[prost(message, tag = "11")]
-    Tenant(Tenant),
-    /// The program: start, stop, configuration read.
+    TenantChanged(TenantChanged),
+    /// The program started, stopped or read its configuration.
     #[prost(message, tag = "12")]
-    Program(Program),
-    /// Records that were dropped for want of room.
+    ProgramEvent(ProgramEvent),
+    /// The recorder dropped records because its buffer was full.
     #[prost(message, tag = "13")]
-    Dropped(Dropped),
+    RecordsDropped(RecordsDropped),
 }
 
-/// A request was taken.
+/// A request was received.
 #[derive(Clone, PartialEq, Message)]
-pub struct Taken {
-    /// Its time budget (us).
+pub struct RequestReceived {
+    /// Latency budget (us).
     #[prost(uint64, tag = "1")]
     pub budget_us: u64,
-    /// Bytes of its statement.
+    /// Length of the statement (bytes).
     #[prost(uint32, tag = "2")]
     pub statement_bytes: u32,
-    /// Which try of the client's this is, where that is known, from 1.
+    /// Number of the client's attempt, from 1; 0 where the client did not state it.
     #[prost(uint32, tag = "3")]
-    pub client_try: u32,
-    /// Its class.
+    pub client_attempt: u32,
+    /// Query class (string).
     #[prost(uint32, tag = "16")]
     pub class: u32,
-    /// Its tenant.
+    /// Tenant (string).
     #[prost(uint32, tag = "17")]
     pub tenant: u32,
-    /// The client's name for it.
+    /// The client's name for the request (string).
     #[prost(uint32, tag = "18")]
     pub name: u32,
-    /// Its idempotency key.
+    /// Idempotency key (string).
     #[prost(uint32, tag = "19")]
     pub key: u32,
-    /// The front that took it.
+    /// Frontend that received the request (string): `http` or `tds`.
     #[prost(uint32, tag = "20")]
-    pub front: u32,
+    pub frontend: u32,
 }
 
-/// A request waits.
+/// A request waits in the queue.
 #[derive(Clone, PartialEq, Message)]
-pub struct Held {
-    /// For want of what.
+pub struct RequestQueued {
+    /// Code of what it waits for (string).
     #[prost(uint32, tag = "16")]
     pub reason: u32,
 }
 
-/// What was known of an engine when it was drawn.
+/// The state of a sampled engine on which a decision was based.
 #[derive(Clone, PartialEq, Message)]
-pub struct Known {
-    /// Its number.
+pub struct EngineSnapshot {
+    /// Number of the engine.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Own attempts there.
+    /// This manager's attempts in flight at the engine.
     #[prost(uint32, tag = "2")]
-    pub own: u32,
-    /// The others' queries there, by reports.
+    pub own_in_flight: u32,
+    /// Other managers' queries in flight at the engine, by its load reports.
     #[prost(float, tag = "3")]
-    pub others: f32,
-    /// How much slower than alone it answers.
+    pub other_in_flight: f32,
+    /// Factor by which the engine is slower than with a single query.
     #[prost(float, tag = "4")]
-    pub slow: f32,
-    /// Its weight in the draw: the lighter is taken.
+    pub slowdown: f32,
+    /// Weight in the comparison of the sampled engines; the lowest is selected.
     #[prost(float, tag = "5")]
     pub weight: f32,
-    /// Its name.
+    /// Name of the engine (string).
     #[prost(uint32, tag = "16")]
     pub engine: u32,
 }
 
-/// A decision: where a request goes, or that it is given up.
+/// An engine was selected for a request, or the request was given up.
 #[derive(Clone, PartialEq, Message)]
 pub struct Decision {
-    /// The engine that was taken.
+    /// The selected engine.
     #[prost(message, optional, tag = "1")]
-    pub picked: Option<Known>,
-    /// The other one that was drawn.
+    pub selected: Option<EngineSnapshot>,
+    /// The sampled engine that was not selected.
     #[prost(message, optional, tag = "2")]
-    pub other: Option<Known>,
-    /// Why.
+    pub alternative: Option<EngineSnapshot>,
+    /// Code of the reason (string).
     #[prost(uint32, tag = "16")]
     pub reason: u32,
 }
 
-/// An attempt was sent.
+/// An attempt was dispatched to an engine.
 #[derive(Clone, PartialEq, Message)]
-pub struct Sent {
-    /// Its number, from 0.
+pub struct AttemptDispatched {
+    /// Number of the attempt, from 0.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// Where to.
+    /// Name of the engine (string).
     #[prost(uint32, tag = "16")]
     pub engine: u32,
 }
 
-/// Word of a running attempt.
+/// A running attempt reported a figure.
 #[derive(Clone, PartialEq, Message)]
-pub struct Note {
-    /// Its number.
+pub struct AttemptProgress {
+    /// Number of the attempt.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// Share done, or another figure.
+    /// The figure, such as the completed fraction.
     #[prost(float, tag = "2")]
     pub value: f32,
-    /// What it is a figure of.
+    /// What the figure measures (string).
     #[prost(uint32, tag = "16")]
-    pub what: u32,
+    pub measure: u32,
 }
 
 /// An attempt ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ended {
-    /// Its number.
+pub struct AttemptEnded {
+    /// Number of the attempt.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// Work that it took (us of one thread), where told.
+    /// Work done, as single-thread time (us); 0 where it was not reported.
     #[prost(uint64, tag = "2")]
     pub work_us: u64,
-    /// How.
+    /// Outcome (string).
     #[prost(uint32, tag = "16")]
     pub outcome: u32,
-    /// Where it ran.
+    /// Name of the engine (string).
     #[prost(uint32, tag = "17")]
     pub engine: u32,
 }
 
-/// The final answer.
+/// The final response to a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct Answer {
-    /// Advice to stay away (us).
+pub struct Response {
+    /// Advised wait before a retry (us), 0 for none.
     #[prost(uint64, tag = "1")]
     pub retry_after_us: u64,
-    /// Bytes of its result.
+    /// Length of the result (bytes).
     #[prost(uint64, tag = "2")]
     pub bytes: u64,
-    /// `served`, `refused`, `failed`, `cancelled`, `left` or `invalid`.
+    /// How the request ended (string): `served`, `refused`, `failed`, `cancelled`, `left` or `invalid`.
     #[prost(uint32, tag = "16")]
     pub end: u32,
-    /// Why, where there is a code.
+    /// Code of the reason, where there is one (string).
     #[prost(uint32, tag = "17")]
     pub reason: u32,
 }
 
-/// An engine's place in the list.
+/// An engine's state in the endpoint list changed.
 #[derive(Clone, PartialEq, Message)]
-pub struct Engine {
-    /// The list's number.
+pub struct EngineChanged {
+    /// Revision of the endpoint list.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The engine.
+    /// Name of the engine (string).
     #[prost(uint32, tag = "16")]
     pub engine: u32,
-    /// Its state.
+    /// New state (string).
     #[prost(uint32, tag = "17")]
     pub state: u32,
-    /// Its zone.
+    /// Zone (string).
     #[prost(uint32, tag = "18")]
     pub zone: u32,
 }
 
 /// A tenant changed.
 #[derive(Clone, PartialEq, Message)]
-pub struct Tenant {
-    /// The registry's generation.
+pub struct TenantChanged {
+    /// Generation of the tenant registry.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// Its effective share.
+    /// Effective quota, as a fraction of the total capacity.
     #[prost(double, tag = "2")]
-    pub share: f64,
-    /// The tenant.
+    pub quota: f64,
+    /// Tenant (string).
     #[prost(uint32, tag = "16")]
     pub tenant: u32,
-    /// Its state.
+    /// New state (string).
     #[prost(uint32, tag = "17")]
     pub state: u32,
 }
 
-/// The program itself.
+/// The program started, stopped or read its configuration.
 #[derive(Clone, PartialEq, Message)]
-pub struct Program {
-    /// `start`, `stop` or `configuration`.
+pub struct ProgramEvent {
+    /// `start`, `stop` or `configuration` (string).
     #[prost(uint32, tag = "16")]
-    pub event: u32,
+    pub name: u32,
 }
 
-/// Records that were dropped.
+/// The recorder dropped records.
 #[derive(Clone, PartialEq, Message)]
-pub struct Dropped {
-    /// How many.
+pub struct RecordsDropped {
+    /// Number of records.
     #[prost(uint64, tag = "1")]
     pub records: u64,
-    /// Why.
+    /// Code of the reason (string).
     #[prost(uint32, tag = "16")]
     pub reason: u32,
 }
 
-/// A block of records. Records stay bytes here, so that what is not known of them is not lost.
+/// A block of records. The records stay encoded, so that unknown fields survive a copy.
 #[derive(Clone, PartialEq, Message)]
 pub struct Block {
-    /// The strings, by number from 1.
+    /// The string table; references count from 1.
     #[prost(string, repeated, tag = "1")]
     pub strings: Vec<String>,
-    /// The records.
+    /// The encoded records.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub records: Vec<Vec<u8>>,
 }
 
-/// What the index tells of a block of records.
+/// The index entry of a block of records.
 #[derive(Clone, PartialEq, Message)]
-pub struct Indexed {
-    /// Where its frame begins.
+pub struct BlockSummary {
+    /// Offset of its frame in the file (bytes).
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// The first and the last time in it.
+    /// Earliest time in the block (us).
     #[prost(sint64, tag = "2")]
     pub first_us: i64,
-    /// The last.
+    /// Latest time in the block (us).
     #[prost(sint64, tag = "3")]
     pub last_us: i64,
-    /// Its records.
+    /// Number of records.
     #[prost(uint64, tag = "4")]
     pub records: u64,
-    /// The requests in it, each as the difference to the one before.
+    /// Keys of the requests in the block, ascending, each as the difference to the previous one.
     #[prost(uint64, repeated, tag = "5")]
     pub requests: Vec<u64>,
-    /// The tenants in it, by their place in [`Index::tenants`].
+    /// The tenants in the block, by their position in [`Index::tenants`].
     #[prost(uint32, repeated, tag = "6")]
     pub tenants: Vec<u32>,
 }
 
-/// The index, in the last block; its frame's offset stands in the file's last 8 bytes.
+/// The index, in the last block. The last 8 bytes of the file are the offset of its frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Index {
-    /// The blocks.
+    /// One entry for each block of records.
     #[prost(message, repeated, tag = "1")]
-    pub blocks: Vec<Indexed>,
-    /// Names of tenants.
+    pub blocks: Vec<BlockSummary>,
+    /// Names of the tenants.
     #[prost(string, repeated, tag = "2")]
     pub tenants: Vec<String>,
-    /// Records of each kind, by the field's number in [`Record`].
+    /// Number of records of each kind of event, by its tag in [`Record`].
     #[prost(uint64, repeated, tag = "3")]
     pub kinds: Vec<u64>,
 }
+
+impl Record {
+    /// A key of the request that is unique in the file, also in a merged one: the manager's number is in the upper
+    /// 16 bits.
+    pub fn key(&self) -> u64 {
+        u64::from(self.manager) << 48 | self.request
+    }
+
+    /// The protobuf tag of the event; 0 for an unknown kind.
+    pub fn event_tag(&self) -> usize {
+        match &self.event {
+            None => 0,
+            Some(Event::RequestReceived(_)) => 3,
+            Some(Event::RequestQueued(_)) => 4,
+            Some(Event::Decision(_)) => 5,
+            Some(Event::AttemptDispatched(_)) => 6,
+            Some(Event::AttemptProgress(_)) => 7,
+            Some(Event::AttemptEnded(_)) => 8,
+            Some(Event::Response(_)) => 9,
+            Some(Event::EngineChanged(_)) => 10,
+            Some(Event::TenantChanged(_)) => 11,
+            Some(Event::ProgramEvent(_)) => 12,
+            Some(Event::RecordsDropped(_)) => 13,
+        }
+    }
+}
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -1,7 +1,7 @@
 //! What the command's sub-commands do, on readers and writers: each reads its file record by record, and holds
 //! no more of it than the stories that are open.
 
-use crate::{Entry, Header, Reader, Record, TraceError, What, Writer};
+use crate::{Entry, Event, Header, Reader, Record, TraceError, Writer};
 use hdrhistogram::Histogram;
 use hmac::{Hmac, KeyInit, Mac};
 use roaring::RoaringTreemap;
@@ -89,16 +89,16 @@
     for entry in reader.by_ref() {
         let record = entry?.record;
         records += 1;
-        *kinds.entry(record.kind()).or_default() += 1;
+        *kinds.entry(record.event_tag()).or_default() += 1;
         (from_us, until_us) = (from_us.min(record.at_us), until_us.max(record.at_us));
     }
     let header = reader.header().clone();
     let faults = reader.faults().iter().map(|fault| (fault.offset, fault.until, fault.why.to_owned()));
     Ok(Info {
-        form: header.form,
+        form: header.format_version,
         manager: header.manager,
         program: header.program,
-        made_by: header.made_by,
+        made_by: header.derivation,
         blocks: reader.blocks(),
         records,
         kinds,
@@ -139,7 +139,7 @@
     mut wanted: impl FnMut(&Entry) -> bool,
 ) -> Result<u64, TraceError> {
     let mut header = reader.header().clone();
-    header.made_by.push(step);
+    header.derivation.push(step);
     let mut writer = Writer::new(out, header)?;
     let mut copied = 0;
     for entry in reader.by_ref() {
@@ -177,7 +177,7 @@
 
 impl Filter {
     fn taken(&self, entry: &Entry) -> bool {
-        let Some(What::Taken(taken)) = &entry.record.what else { return false };
+        let Some(Event::RequestReceived(taken)) = &entry.record.event else { return false };
         let at = entry.record.at_us;
         let is =
             |wanted: &Option<String>, number| wanted.as_ref().is_none_or(|name| entry.string(number) == name);
@@ -197,7 +197,7 @@
         if filter.taken(&entry) {
             taken.insert(entry.record.key());
         }
-        if let (Some(What::Answer(answer)), Some(end)) = (&entry.record.what, &filter.end)
+        if let (Some(Event::Response(answer)), Some(end)) = (&entry.record.event, &filter.end)
             && entry.string(answer.end) == end
         {
             ended.insert(entry.record.key());
@@ -239,7 +239,7 @@
     };
     let managers = reader.header().managers.clone().into_iter().enumerate().map(number).collect();
     let (manager, made_by) = ("anonymous".to_owned(), vec!["anonymise".to_owned()]);
-    let header = Header { manager, made_by, managers, ..Header::default() };
+    let header = Header { manager, derivation: made_by, managers, ..Header::default() };
     let mut writer = Writer::new(out, header)?;
     let vocabulary: HashSet<&str> = VOCABULARY.iter().copied().collect();
     let mut classes: HashSet<String> = HashSet::new();
@@ -253,7 +253,7 @@
     let (mut copied, mut first) = (0, None);
     for entry in reader.by_ref() {
         let entry = entry?;
-        if let Some(What::Taken(taken)) = &entry.record.what {
+        if let Some(Event::RequestReceived(taken)) = &entry.record.event {
             classes.insert(entry.string(taken.class).to_owned());
         }
         let from = *first.get_or_insert(entry.record.at_us);
@@ -333,8 +333,8 @@
     for entry in reader.by_ref() {
         let entry = entry?;
         let (record, text) = (&entry.record, |number| entry.string(number).to_owned());
-        match &record.what {
-            Some(What::Taken(taken)) => {
+        match &record.event {
+            Some(Event::RequestReceived(taken)) => {
                 let (tenant, class) = (text(taken.tenant), text(taken.class));
                 let next = rows.len();
                 let number = *numbers.entry((tenant.clone(), class.clone())).or_insert(next);
@@ -348,19 +348,19 @@
                 }
                 open.insert(record.key(), Open { row: number, taken_us: record.at_us, work_us: 0 });
             }
-            Some(What::Sent(_)) => {
+            Some(Event::AttemptDispatched(_)) => {
                 if let Some(story) = open.get(&record.key()) {
                     rows[story.row].row.attempts += 1;
                 }
             }
-            Some(What::Ended(ended)) => {
+            Some(Event::AttemptEnded(ended)) => {
                 let of = engines.entry(text(ended.engine)).or_default();
                 *of.entry(text(ended.outcome)).or_default() += 1;
                 if let Some(story) = open.get_mut(&record.key()) {
                     story.work_us = ended.work_us;
                 }
             }
-            Some(What::Answer(answer)) => {
+            Some(Event::Response(answer)) => {
                 let Some(story) = open.remove(&record.key()) else { continue };
                 let counted = &mut rows[story.row];
                 let end = text(answer.end);
@@ -373,8 +373,8 @@
                     *counted.row.reasons.entry(text(answer.reason)).or_default() += 1;
                 }
             }
-            Some(What::Tenant(tenant)) => drop(shares.insert(text(tenant.tenant), tenant.share)),
-            Some(What::Dropped(lost)) => dropped += lost.records,
+            Some(Event::TenantChanged(tenant)) => drop(shares.insert(text(tenant.tenant), tenant.quota)),
+            Some(Event::RecordsDropped(lost)) => dropped += lost.records,
             _ => {}
         }
     }
@@ -417,34 +417,38 @@
 /// One record in words.
 pub fn words(entry: &Entry) -> String {
     let text = |number: u32| entry.string(number);
-    let known = |known: &Option<crate::Known>| {
+    let known = |known: &Option<crate::EngineSnapshot>| {
         known.as_ref().map_or("-".to_owned(), |known| {
-            let (engine, own, others) = (text(known.engine), known.own, known.others);
+            let (engine, own, others) = (text(known.engine), known.own_in_flight, known.other_in_flight);
             format!(
                 "{engine} (own {own}, others {others:.1}, slow {:.2}, weight {:.3})",
-                known.slow, known.weight
+                known.slowdown, known.weight
             )
         })
     };
-    match &entry.record.what {
-        Some(What::Taken(taken)) => format!(
+    match &entry.record.event {
+        Some(Event::RequestReceived(taken)) => format!(
             "taken: {} of {}, {} bytes, {:.0} ms to go, try {}",
             text(taken.class),
             text(taken.tenant),
             taken.statement_bytes,
             taken.budget_us as f64 / 1000.0,
-            taken.client_try.max(1)
+            taken.client_attempt.max(1)
         ),
-        Some(What::Held(held)) => format!("held: {}", text(held.reason)),
-        Some(What::Decision(decision)) => format!(
+        Some(Event::RequestQueued(held)) => format!("held: {}", text(held.reason)),
+        Some(Event::Decision(decision)) => format!(
             "decided: {} ({}), not {}",
-            known(&decision.picked),
+            known(&decision.selected),
             text(decision.reason),
-            known(&decision.other)
+            known(&decision.alternative)
         ),
-        Some(What::Sent(sent)) => format!("attempt {} sent to {}", sent.attempt, text(sent.engine)),
-        Some(What::Note(note)) => format!("attempt {}: {} {}", note.attempt, text(note.what), note.value),
-        Some(What::Ended(ended)) => {
+        Some(Event::AttemptDispatched(sent)) => {
+            format!("attempt {} sent to {}", sent.attempt, text(sent.engine))
+        }
+        Some(Event::AttemptProgress(note)) => {
+            format!("attempt {}: {} {}", note.attempt, text(note.measure), note.value)
+        }
+        Some(Event::AttemptEnded(ended)) => {
             let (outcome, engine) = (text(ended.outcome), text(ended.engine));
             format!(
                 "attempt {} ended on {engine}: {outcome}, {:.1} ms of work",
@@ -452,16 +456,18 @@
                 ended.work_us as f64 / 1000.0
             )
         }
-        Some(What::Answer(answer)) => {
+        Some(Event::Response(answer)) => {
             let reason = if answer.reason > 0 { format!(", {}", text(answer.reason)) } else { String::new() };
             format!("answered: {}{reason}, {} bytes", text(answer.end), answer.bytes)
         }
-        Some(What::Engine(engine)) => format!("engine {}: {}", text(engine.engine), text(engine.state)),
-        Some(What::Tenant(tenant)) => {
-            format!("tenant {}: {}, share {:.4}", text(tenant.tenant), text(tenant.state), tenant.share)
+        Some(Event::EngineChanged(engine)) => {
+            format!("engine {}: {}", text(engine.engine), text(engine.state))
+        }
+        Some(Event::TenantChanged(tenant)) => {
+            format!("tenant {}: {}, share {:.4}", text(tenant.tenant), text(tenant.state), tenant.quota)
         }
-        Some(What::Program(program)) => format!("program: {}", text(program.event)),
-        Some(What::Dropped(dropped)) => {
+        Some(Event::ProgramEvent(program)) => format!("program: {}", text(program.name)),
+        Some(Event::RecordsDropped(dropped)) => {
             format!("{} records dropped: {}", dropped.records, text(dropped.reason))
         }
         None => format!("a record of a later version, {} bytes", entry.bytes.len()),
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{self, FORM, Kind, MAGIC};
 use crate::strings::with_manager;
-use crate::{Block, Header, Index, Indexed, Record, Strings, TraceError, What, remap};
+use crate::{Block, BlockSummary, Event, Header, Index, Record, Strings, TraceError, remap};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -18,7 +18,7 @@
     strings: Strings,
     records: Vec<Vec<u8>>,
     bytes: usize,
-    indexed: Indexed,
+    indexed: BlockSummary,
     requests: BTreeSet<u64>,
     tenants: BTreeSet<u32>,
     index: Index,
@@ -29,7 +29,7 @@
     /// Begins a trace with its header.
     pub fn new(mut out: W, header: Header) -> Result<Writer<W>, TraceError> {
         out.write_all(&MAGIC)?;
-        let header = Header { form: FORM, ..header };
+        let header = Header { format_version: FORM, ..header };
         let length = frame::write(&mut out, Kind::Header, &header.encode_to_vec())?;
         Ok(Writer {
             out,
@@ -37,7 +37,7 @@
             strings: Strings::default(),
             records: Vec::new(),
             bytes: 0,
-            indexed: Indexed::default(),
+            indexed: BlockSummary::default(),
             requests: BTreeSet::new(),
             tenants: BTreeSet::new(),
             index: Index::default(),
@@ -93,9 +93,9 @@
         if record.request > 0 {
             self.requests.insert(record.key());
         }
-        let tenant = match &record.what {
-            Some(What::Taken(taken)) => taken.tenant,
-            Some(What::Tenant(tenant)) => tenant.tenant,
+        let tenant = match &record.event {
+            Some(Event::RequestReceived(taken)) => taken.tenant,
+            Some(Event::TenantChanged(tenant)) => tenant.tenant,
             _ => 0,
         };
         if tenant > 0 {
@@ -107,7 +107,7 @@
             }
             self.tenants.insert(number);
         }
-        let kind = record.kind();
+        let kind = record.event_tag();
         self.index.kinds.resize(self.index.kinds.len().max(kind + 1), 0);
         self.index.kinds[kind] += 1;
         self.bytes += bytes.len();
@@ -130,7 +130,13 @@
         let requests = requests.map(|request| request - std::mem::replace(&mut before, request)).collect();
         let tenants = std::mem::take(&mut self.tenants).into_iter().collect();
         let indexed = std::mem::take(&mut self.indexed);
-        self.index.blocks.push(Indexed { offset: self.offset, records: many, requests, tenants, ..indexed });
+        self.index.blocks.push(BlockSummary {
+            offset: self.offset,
+            records: many,
+            requests,
+            tenants,
+            ..indexed
+        });
         self.offset += length;
         self.bytes = 0;
         self.out.flush()?;
@@ -146,29 +152,3 @@
         Ok(self.out)
     }
 }
-
-impl Record {
-    /// A number for its request that no other has in the file, also where that was merged: the manager's number
-    /// in the upper 16 bits.
-    pub fn key(&self) -> u64 {
-        u64::from(self.manager) << 48 | self.request
-    }
-
-    /// The number of the field that says what happened; 0 for a kind that is not known.
-    pub fn kind(&self) -> usize {
-        match &self.what {
-            None => 0,
-            Some(What::Taken(_)) => 3,
-            Some(What::Held(_)) => 4,
-            Some(What::Decision(_)) => 5,
-            Some(What::Sent(_)) => 6,
-            Some(What::Note(_)) => 7,
-            Some(What::Ended(_)) => 8,
-            Some(What::Answer(_)) => 9,
-            Some(What::Engine(_)) => 10,
-            Some(What::Tenant(_)) => 11,
-            Some(What::Program(_)) => 12,
-            Some(What::Dropped(_)) => 13,
-        }
-    }
-}
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -4,7 +4,9 @@
 use proptest::prelude::*;
 use sanddyke_trace::generate::{Plan, generate};
 use sanddyke_trace::tools::{self, Filter};
-use sanddyke_trace::{Header, Reader, Record, Sent, Taken, TraceError, What, Writer, remap};
+use sanddyke_trace::{
+    AttemptDispatched, Event, Header, Reader, Record, RequestReceived, TraceError, Writer, remap,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Cursor;
 use std::sync::{Arc, Mutex};
@@ -56,8 +58,8 @@
         let mut writer = Writer::new(&mut file, Header { manager: "m".into(), ..Header::default() }).unwrap();
         for (number, (at_us, request, name, attempt)) in records.iter().enumerate() {
             let engine = writer.string(name);
-            let what = Some(What::Sent(Sent { attempt: *attempt, engine }));
-            writer.write(&Record { at_us: *at_us, request: *request, manager: 0, what }).unwrap();
+            let event = Some(Event::AttemptDispatched(AttemptDispatched { attempt: *attempt, engine }));
+            writer.write(&Record { at_us: *at_us, request: *request, manager: 0, event }).unwrap();
             if number % flush == 0 {
                 writer.flush().unwrap();
             }
@@ -66,7 +68,7 @@
         let mut reader = open(&file);
         for (at_us, request, name, attempt) in &records {
             let entry = reader.next().unwrap().unwrap();
-            let Some(What::Sent(sent)) = &entry.record.what else { panic!("{entry:?}") };
+            let Some(Event::AttemptDispatched(sent)) = &entry.record.event else { panic!("{entry:?}") };
             prop_assert_eq!((entry.record.at_us, entry.record.request, sent.attempt), (*at_us, *request, *attempt));
             prop_assert_eq!(entry.string(sent.engine), name);
         }
@@ -149,7 +151,7 @@
     let word = writer.string("a word of a later version");
     // Field 40 of the record: a message with the string in field 16, and a number in field 7.
     let later = |string: u8| vec![0x08, 0x02, 0x10, 0x05, 0xc2, 0x02, 0x05, 0x38, 0x2a, 0x80, 0x01, string];
-    let record = Record { at_us: 1, request: 5, manager: 0, what: None };
+    let record = Record { at_us: 1, request: 5, manager: 0, event: None };
     writer.copy(&record, &later(word as u8), |_| "a word of a later version".to_owned()).unwrap();
     writer.finish().unwrap();
     let mut copy = Vec::new();
@@ -207,8 +209,8 @@
     let mut seen = BTreeMap::new();
     for (one, other) in open(file).zip(open(&copy)) {
         let (one, other) = (one.unwrap(), other.unwrap());
-        if let (Some(What::Taken(one_taken)), Some(What::Taken(other_taken))) =
-            (&one.record.what, &other.record.what)
+        if let (Some(Event::RequestReceived(one_taken)), Some(Event::RequestReceived(other_taken))) =
+            (&one.record.event, &other.record.event)
         {
             let (name, hidden) = (one.string(one_taken.tenant), other.string(other_taken.tenant));
             assert_eq!(seen.entry(name.to_owned()).or_insert(hidden.to_owned()), hidden);
@@ -243,8 +245,11 @@
         let (first, last) = (story.first().unwrap(), story.last().unwrap());
         assert!(first.starts_with("taken: ") && last.starts_with("answered: "), "{request}: {story:?}");
     }
-    let taken = Taken { class: 1, ..Taken::default() };
-    assert_eq!(Record { at_us: 0, request: 1, manager: 0, what: Some(What::Taken(taken)) }.kind(), 3);
+    let taken = RequestReceived { class: 1, ..RequestReceived::default() };
+    assert_eq!(
+        Record { at_us: 0, request: 1, manager: 0, event: Some(Event::RequestReceived(taken)) }.event_tag(),
+        3
+    );
 }
 
 fn skewed(skews: &[i64], requests: u64) -> Vec<Vec<u8>> {
@@ -279,14 +284,14 @@
         let at = &mut last[entry.record.manager as usize];
         assert!(entry.record.at_us >= *at, "each manager's own order stays");
         *at = entry.record.at_us;
-        match &entry.record.what {
-            Some(What::Taken(taken)) if taken.key > 0 => {
+        match &entry.record.event {
+            Some(Event::RequestReceived(taken)) if taken.key > 0 => {
                 let key = entry.string(taken.key).to_owned();
-                let before = tries.insert(key.clone(), taken.client_try).unwrap_or(0);
-                assert_eq!(before + 1, taken.client_try, "{key}: a try before the one that it follows");
+                let before = tries.insert(key.clone(), taken.client_attempt).unwrap_or(0);
+                assert_eq!(before + 1, taken.client_attempt, "{key}: a try before the one that it follows");
                 open_keys.insert(entry.record.key(), key);
             }
-            Some(What::Answer(_)) => drop(open_keys.remove(&entry.record.key())),
+            Some(Event::Response(_)) => drop(open_keys.remove(&entry.record.key())),
             _ => {}
         }
     }
