--- a/crates/trace/src/main.rs
+++ b/crates/trace/src/main.rs
@@ -186,7 +186,7 @@
 
 fn faults(reader: &In) -> Result<(), Failed> {
     for fault in reader.faults() {
-        eprintln!("sanddyke-trace: bytes {} to {}: {}", fault.offset, fault.until, fault.why);
+        eprintln!("sanddyke-trace: bytes {} to {}: {}", fault.offset, fault.until, fault.reason);
     }
     match reader.faults().len() {
         0 => Ok(()),
@@ -207,7 +207,7 @@
             "{:<20} {:<10} {:>8} {:>8} {:>8} {:>8} {:>9.1} {:>9.1} {:>9.1}",
             row.tenant,
             row.class,
-            row.taken,
+            row.received,
             end("served"),
             end("refused"),
             end("failed"),
@@ -245,7 +245,7 @@
             for entry in reader.by_ref() {
                 let entry = entry.map_err(|error| Failed::Read(file.clone(), error))?;
                 let (at_us, request, words) =
-                    (entry.record.at_us, entry.record.request, tools::words(&entry));
+                    (entry.record.at_us, entry.record.request, tools::describe(&entry));
                 match json {
                     true => writeln!(out, "{}", json!({"at_us": at_us, "request": request, "what": words}))?,
                     false => writeln!(out, "{:>14.3} ms {request:>8}  {words}", at_us as f64 / 1000.0)?,
@@ -267,7 +267,7 @@
             let mut reader = open(file)?;
             let copied = create(to, |part| tools::recover(&mut reader, part))?;
             for fault in reader.faults() {
-                writeln!(out, "missing: bytes {} to {}: {}", fault.offset, fault.until, fault.why)?;
+                writeln!(out, "missing: bytes {} to {}: {}", fault.offset, fault.until, fault.reason)?;
             }
             Ok(writeln!(out, "{copied} records")?)
         }
@@ -333,7 +333,8 @@
                 let entry = entry.map_err(|error| Failed::Read(file.clone(), error))?;
                 if entry.record.request == *id {
                     let from = *first.get_or_insert(entry.record.at_us);
-                    let (after, words) = ((entry.record.at_us - from) as f64 / 1000.0, tools::words(&entry));
+                    let (after, words) =
+                        ((entry.record.at_us - from) as f64 / 1000.0, tools::describe(&entry));
                     match json {
                         true => writeln!(out, "{}", json!({"after_ms": after, "what": words}))?,
                         false => writeln!(out, "{after:>+12.3} ms  {words}")?,
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -18,7 +18,7 @@
     /// Where what can be read begins again, or the file ends.
     pub until: u64,
     /// What is wrong.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// A record with the strings that it names.
@@ -185,8 +185,8 @@
                 None => {
                     let (from, found) = (self.at, self.seek_block(self.at + 1)?);
                     let until = found.unwrap_or(self.length);
-                    let why = if found.is_some() { "damaged" } else { "cut short or damaged" };
-                    self.fault(from, until, why);
+                    let reason = if found.is_some() { "damaged" } else { "cut short or damaged" };
+                    self.fault(from, until, reason);
                     self.at = until;
                 }
             }
@@ -204,8 +204,8 @@
         }
     }
 
-    fn fault(&mut self, offset: u64, until: u64, why: &'static str) {
-        self.faults.push(Fault { offset, until, why });
+    fn fault(&mut self, offset: u64, until: u64, reason: &'static str) {
+        self.faults.push(Fault { offset, until, reason });
     }
 }
 
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -42,7 +42,7 @@
     let all = reader
         .by_ref()
         .map(|entry| entry.unwrap())
-        .map(|entry| (entry.record.at_us, entry.record.request, tools::words(&entry)))
+        .map(|entry| (entry.record.at_us, entry.record.request, tools::describe(&entry)))
         .collect();
     (all, reader.faults().len())
 }
@@ -174,8 +174,8 @@
     let file = &traces(4000, 1)[0];
     let whole = tools::summary(&mut open(file)).unwrap();
     let info = tools::info(&mut open(file)).unwrap();
-    let taken: u64 = whole.rows.iter().map(|row| row.taken).sum();
-    assert_eq!(info.kinds[&3], taken);
+    let taken: u64 = whole.rows.iter().map(|row| row.received).sum();
+    assert_eq!(info.records_by_tag[&3], taken);
     assert_eq!(whole.unfinished, 0);
     let tenants: BTreeSet<String> = whole.rows.iter().map(|row| row.tenant.clone()).collect();
     let mut parts = Vec::new();
@@ -196,7 +196,7 @@
     let refused = tools::select(&mut open(file), &filter).unwrap();
     let counted: u64 = whole.rows.iter().filter_map(|row| row.ends.get("refused")).sum();
     assert_eq!(refused.len(), counted);
-    let service: f64 = whole.service.values().map(|(_, part)| part).sum();
+    let service: f64 = whole.service.values().map(|service| service.fraction).sum();
     assert!((service - 1.0).abs() < 1e-9);
 }
 
@@ -224,7 +224,7 @@
     assert_eq!(seen.values().collect::<BTreeSet<_>>().len(), 7);
     let reader = open(&copy);
     assert_eq!((reader.header().manager.as_str(), reader.header().unix_us), ("anonymous", 0));
-    let counts = |file: &[u8]| tools::info(&mut open(file)).unwrap().kinds;
+    let counts = |file: &[u8]| tools::info(&mut open(file)).unwrap().records_by_tag;
     assert_eq!(counts(file), counts(&copy));
     let mut again = Vec::new();
     tools::anonymise(&mut open(file), &[8; 32], &mut again).unwrap();
