--- a/crates/trace/src/generate.rs
+++ b/crates/trace/src/generate.rs
@@ -1,5 +1,9 @@
-//! Synthetic traces from a seed: managers whose clocks differ, clients that try again at another manager, keyed
-//! loads that two of them see.
+//! Synthetic traces from a seed.
+//!
+//! The simulated managers have clocks with different offsets. Clients whose request is rejected retry it at a random
+//! manager; loads carry an idempotency key, so that their attempts at different managers can be matched.
+//!
+//! The same plan gives the same bytes: the order of the random draws and of the strings is part of the output.
 
 use crate::{
     AttemptDispatched, AttemptEnded, Decision, EngineSnapshot, Event, Header, ProgramEvent, Record,
@@ -13,223 +17,332 @@
 /// What is generated.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Requests of clients, first tries only.
+    /// Number of client requests, retries not counted.
     pub requests: u64,
-    /// How far each manager's clock is ahead of the true one (us); as many managers.
-    pub skews_us: Vec<i64>,
-    /// Seed of it all.
+    /// Offset of each manager's clock from the true time (us), positive where it is ahead. Its length is the number
+    /// of managers.
+    pub clock_offsets_us: Vec<i64>,
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u32,
 }
 
-const CLASSES: [(&str, f64); 3] = [("lookup", 5_000.0), ("report", 400_000.0), ("load", 900_000.0)];
-/// Mean time between two requests (us).
-const EVERY_US: f64 = 1000.0;
+/// A query class of the synthetic load.
+struct Class {
+    name: &'static str,
+    mean_execution_us: f64,
+    has_idempotency_key: bool,
+}
+
+const CLASSES: [Class; 3] = [
+    Class { name: "lookup", mean_execution_us: 5_000.0, has_idempotency_key: false },
+    Class { name: "report", mean_execution_us: 400_000.0, has_idempotency_key: false },
+    Class { name: "load", mean_execution_us: 900_000.0, has_idempotency_key: true },
+];
+/// Draws from 0 to 1 above which a request is a report, and above which it is a load.
+const REPORT_ABOVE: f64 = 0.7;
+const LOAD_ABOVE: f64 = 0.95;
+
+/// Unix time at true time 0 (us).
+const START_UNIX_US: i64 = 1_700_000_000_000_000;
+const MEAN_INTERARRIVAL_US: f64 = 1000.0;
 const ENGINES: u64 = 8;
-/// Parts of the attempts that end in each way.
-const REFUSED: f64 = 0.05;
-const LOST: f64 = 0.01;
-const MOST_TRIES: u32 = 3;
+const BUDGET_US: u64 = 20_000_000;
+/// Fraction of the requests that wait in the queue, and for how long on average.
+const QUEUED_FRACTION: f64 = 0.2;
+const MEAN_QUEUE_WAIT_US: f64 = 200_000.0;
+/// Time from reception to the queue, and to the dispatch of a request that does not wait (us).
+const QUEUE_DELAY_US: f64 = 20.0;
+const DISPATCH_DELAY_US: f64 = 50.0;
+/// Fraction of the requests that are rejected, and the wait that half of them are advised (us).
+const REJECTED_FRACTION: f64 = 0.05;
+const RETRY_AFTER_US: f64 = 500_000.0;
+const MAX_CLIENT_ATTEMPTS: u32 = 3;
+/// Minimum, and mean above it, of the time from a rejection to the reception of the retry (us).
+const MIN_RETRY_TRAVEL_US: f64 = 300.0;
+const MEAN_EXTRA_RETRY_TRAVEL_US: f64 = 300.0;
+/// Fraction of the attempts whose connection is lost, and the time to the second attempt (us).
+const LOST_FRACTION: f64 = 0.01;
+const RETRY_DELAY_US: f64 = 200.0;
+const MIN_EXECUTION_US: f64 = 300.0;
+const WORK_US: u64 = 1000;
+const RESULT_BYTES: u64 = 900;
+/// Time from the last arrival to the end of the traces (us).
+const DRAIN_US: i64 = 60_000_000;
 
+/// What happens next to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    RequestReceived,
-    RequestQueued,
-    AttemptDispatched(u32),
-    AttemptEnded(u32),
+    Receive,
+    Queue,
+    Dispatch { attempt: u32 },
+    EndAttempt { attempt: u32 },
 }
 
+/// A client's request at one manager.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Story {
+struct Request {
     client: u64,
+    /// Position in [`CLASSES`].
     class: usize,
     tenant: u32,
     client_attempt: u32,
     manager: usize,
-    request: u64,
+    /// Number of the request at its manager; 0 before it is received.
+    number: u64,
+    /// Engine of the current attempt.
     engine: u64,
 }
 
-/// Writes one trace a manager.
-pub fn generate<W: Write>(
-    plan: &Plan,
-    mut open: impl FnMut(usize) -> std::io::Result<W>,
-) -> Result<(), TraceError> {
-    let mut rng = Rand64::new(plan.seed.into());
-    let mut writers = Vec::new();
-    for (manager, skew) in plan.skews_us.iter().enumerate() {
+/// A step at a time. The order is that of the times, then that of scheduling.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledStep {
+    at_us: u64,
+    sequence: u64,
+    step: Step,
+    request: Request,
+}
+
+/// The steps to come.
+#[derive(Default)]
+struct Schedule {
+    steps: BinaryHeap<Reverse<ScheduledStep>>,
+    last_sequence: u64,
+}
+
+impl Schedule {
+    fn add(&mut self, at_us: u64, step: Step, request: Request) {
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.steps.push(Reverse(ScheduledStep { at_us, sequence, step, request }));
+    }
+
+    fn add_after(&mut self, now_us: u64, delay_us: f64, step: Step, request: Request) {
+        self.add(now_us + delay_us.max(1.0) as u64, step, request);
+    }
+
+    fn next_at_us(&self) -> Option<u64> {
+        self.steps.peek().map(|Reverse(scheduled)| scheduled.at_us)
+    }
+
+    fn pop(&mut self) -> Option<ScheduledStep> {
+        self.steps.pop().map(|Reverse(scheduled)| scheduled)
+    }
+}
+
+/// The trace of one manager.
+struct ManagerTrace<W> {
+    writer: Writer<W>,
+    clock_offset_us: i64,
+    last_request: u64,
+}
+
+impl<W: Write> ManagerTrace<W> {
+    fn start(plan: &Plan, manager: usize, clock_offset_us: i64, out: W) -> Result<Self, TraceError> {
         let header = Header {
             program: env!("CARGO_PKG_VERSION").to_owned(),
             manager: format!("m{manager}"),
-            unix_us: 1_700_000_000_000_000 - skew,
+            unix_us: START_UNIX_US - clock_offset_us,
             derivation: vec![format!("generated from seed {}", plan.seed)],
             ..Header::default()
         };
-        let mut writer = Writer::new(open(manager)?, header)?;
-        let name = writer.string("start");
-        writer.write(&Record {
-            at_us: *skew,
-            request: 0,
-            manager: 0,
-            event: Some(Event::ProgramEvent(ProgramEvent { name })),
-        })?;
-        writers.push(writer);
-    }
-    let mut next_request = vec![0u64; writers.len()];
-    let mut due: BinaryHeap<Reverse<(u64, u64, Step, Story)>> = BinaryHeap::new();
-    let (mut clients, mut arrival, mut order) = (0, 0.0, 0);
-    while clients < plan.requests || !due.is_empty() {
-        let now = due.peek().map_or(u64::MAX, |Reverse((at, ..))| *at);
-        if clients < plan.requests && arrival as u64 <= now {
-            clients += 1;
-            let drawn = rng.rand_float();
-            let class = usize::from(drawn > 0.7) + usize::from(drawn > 0.95);
-            // The first tenants ask for more than the last.
-            let tenant = (rng.rand_float().powi(2) * f64::from(plan.tenants)) as u32;
-            let manager = rng.rand_range(0..writers.len() as u64) as usize;
-            let story =
-                Story { client: clients, class, tenant, client_attempt: 1, manager, request: 0, engine: 0 };
-            order += 1;
-            due.push(Reverse((arrival as u64, order, Step::RequestReceived, story)));
-            arrival += -(1.0 - rng.rand_float()).ln() * EVERY_US;
-            continue;
-        }
-        let Some(Reverse((at, _, step, mut story))) = due.pop() else { break };
-        let manager = story.manager;
-        let (writer, mine) = (&mut writers[manager], at as i64 + plan.skews_us[manager]);
-        let mut later = |after: f64, step: Step, story: Story| {
-            order += 1;
-            due.push(Reverse((at + after.max(1.0) as u64, order, step, story)));
-        };
-        match step {
-            Step::RequestReceived => {
-                next_request[manager] += 1;
-                story.request = next_request[manager];
-                let load = CLASSES[story.class].0 == "load";
-                let taken = RequestReceived {
-                    budget_us: 20_000_000,
-                    statement_bytes: 40 + rng.rand_range(0..400) as u32,
-                    client_attempt: story.client_attempt,
-                    class: writer.string(CLASSES[story.class].0),
-                    tenant: writer.string(&format!("council-{}", story.tenant)),
-                    name: writer.string(&format!("c{:x}-{}", story.client, story.client_attempt)),
-                    key: if load { writer.string(&format!("k{:x}", story.client)) } else { 0 },
-                    frontend: writer.string("http"),
-                };
-                writer.write(&Record {
-                    at_us: mine,
-                    request: story.request,
-                    manager: 0,
-                    event: Some(Event::RequestReceived(taken)),
-                })?;
-                let waits = rng.rand_float() < 0.2;
-                later(
-                    if waits { 20.0 } else { 50.0 },
-                    if waits { Step::RequestQueued } else { Step::AttemptDispatched(0) },
-                    story,
-                );
-            }
-            Step::RequestQueued => {
-                let reason = writer.string("no_room");
-                writer.write(&Record {
-                    at_us: mine,
-                    request: story.request,
-                    manager: 0,
-                    event: Some(Event::RequestQueued(RequestQueued { reason })),
-                })?;
-                let wait = -(1.0 - rng.rand_float()).ln() * 200_000.0;
-                later(wait, Step::AttemptDispatched(0), story);
-            }
-            Step::AttemptDispatched(0) if rng.rand_float() < REFUSED => {
-                let (end, reason) = (writer.string("refused"), writer.string("no_time"));
-                // Half of them may come back at once.
-                let wait = if rng.rand_float() < 0.5 { 0.0 } else { 500_000.0 };
-                let answer = Response { retry_after_us: wait as u64, bytes: 0, end, reason };
-                writer.write(&Record {
-                    at_us: mine,
-                    request: story.request,
-                    manager: 0,
-                    event: Some(Event::Response(answer)),
-                })?;
-                if story.client_attempt < MOST_TRIES {
-                    story.client_attempt += 1;
-                    story.manager = rng.rand_range(0..plan.skews_us.len() as u64) as usize;
-                    // The answer travels to the client, and the next try to a manager.
-                    let way = 300.0 - (1.0 - rng.rand_float()).ln() * 300.0;
-                    later(wait + way, Step::RequestReceived, story);
-                }
-            }
-            Step::AttemptDispatched(attempt) => {
-                story.engine = rng.rand_range(0..ENGINES);
-                let other = (story.engine + 1 + rng.rand_range(0..ENGINES - 1)) % ENGINES;
-                let weight = rng.rand_float() as f32;
-                let mut known = |number: u64, weight: f32| EngineSnapshot {
-                    number,
-                    own_in_flight: 3,
-                    other_in_flight: 1.5,
-                    slowdown: 1.0,
-                    weight,
-                    engine: writer.string(&format!("e{number}")),
-                };
-                let (picked, other) = (Some(known(story.engine, weight)), Some(known(other, weight + 0.1)));
-                let decision =
-                    Decision { selected: picked, alternative: other, reason: writer.string("lighter") };
-                let request = story.request;
-                writer.write(&Record {
-                    at_us: mine,
-                    request,
-                    manager: 0,
-                    event: Some(Event::Decision(decision)),
-                })?;
-                let sent =
-                    AttemptDispatched { attempt, engine: writer.string(&format!("e{}", story.engine)) };
-                writer.write(&Record {
-                    at_us: mine,
-                    request,
-                    manager: 0,
-                    event: Some(Event::AttemptDispatched(sent)),
-                })?;
-                let took = -(1.0 - rng.rand_float()).ln() * CLASSES[story.class].1;
-                later(took.max(300.0), Step::AttemptEnded(attempt), story);
+        let mut trace = ManagerTrace { writer: Writer::new(out, header)?, clock_offset_us, last_request: 0 };
+        let name = trace.writer.string("start");
+        trace.record(0, 0, Event::ProgramEvent(ProgramEvent { name }))?;
+        Ok(trace)
+    }
+
+    /// Records an event of a request, 0 for none, at a true time (us).
+    fn record(&mut self, at_us: i64, request: u64, event: Event) -> Result<(), TraceError> {
+        let at_us = at_us + self.clock_offset_us;
+        self.writer.write(&Record { at_us, request, manager: 0, event: Some(event) })
+    }
+
+    fn finish(mut self, at_us: i64) -> Result<(), TraceError> {
+        let name = self.writer.string("stop");
+        self.record(at_us, 0, Event::ProgramEvent(ProgramEvent { name }))?;
+        self.writer.finish()?;
+        Ok(())
+    }
+}
+
+/// Writes one trace for each manager of the plan; `open` gives the output for a manager's position.
+///
+/// # Errors
+/// Fails where an output cannot be opened or written.
+pub fn generate<W: Write>(
+    plan: &Plan,
+    mut open: impl FnMut(usize) -> std::io::Result<W>,
+) -> Result<(), TraceError> {
+    let mut traces = Vec::new();
+    for (manager, clock_offset_us) in plan.clock_offsets_us.iter().enumerate() {
+        traces.push(ManagerTrace::start(plan, manager, *clock_offset_us, open(manager)?)?);
+    }
+    let rng = Rand64::new(plan.seed.into());
+    let mut generator = Generator { plan, rng, traces, schedule: Schedule::default() };
+    let last_arrival_us = generator.run()?;
+    for trace in generator.traces {
+        trace.finish(last_arrival_us as i64 + DRAIN_US)?;
+    }
+    Ok(())
+}
+
+struct Generator<'a, W> {
+    plan: &'a Plan,
+    rng: Rand64,
+    traces: Vec<ManagerTrace<W>>,
+    schedule: Schedule,
+}
+
+impl<W: Write> Generator<'_, W> {
+    /// Generates all requests and their steps; returns the time after the last arrival (us).
+    fn run(&mut self) -> Result<f64, TraceError> {
+        let mut clients = 0;
+        let mut arrival_us = 0.0;
+        loop {
+            let next_step_us = self.schedule.next_at_us().unwrap_or(u64::MAX);
+            if clients < self.plan.requests && arrival_us as u64 <= next_step_us {
+                clients += 1;
+                let request = self.draw_request(clients);
+                self.schedule.add(arrival_us as u64, Step::Receive, request);
+                arrival_us += self.draw_exponential(MEAN_INTERARRIVAL_US);
+                continue;
             }
-            Step::AttemptEnded(attempt) => {
-                let lost = rng.rand_float() < LOST;
-                let outcome = writer.string(if lost { "ConnectionLost" } else { "Served" });
-                let engine = writer.string(&format!("e{}", story.engine));
-                let ended = AttemptEnded { attempt, work_us: 1000, outcome, engine };
-                let request = story.request;
-                writer.write(&Record {
-                    at_us: mine,
-                    request,
-                    manager: 0,
-                    event: Some(Event::AttemptEnded(ended)),
-                })?;
-                if lost && attempt == 0 {
-                    later(200.0, Step::AttemptDispatched(1), story);
-                    continue;
+            let Some(ScheduledStep { at_us, step, request, .. }) = self.schedule.pop() else {
+                return Ok(arrival_us);
+            };
+            match step {
+                Step::Receive => self.receive(at_us, request)?,
+                Step::Queue => self.queue(at_us, request)?,
+                Step::Dispatch { attempt: 0 } if self.rng.rand_float() < REJECTED_FRACTION => {
+                    self.reject(at_us, request)?;
                 }
-                let end = writer.string(if lost { "failed" } else { "served" });
-                let answer = Response { end, bytes: 900, ..Response::default() };
-                writer.write(&Record {
-                    at_us: mine,
-                    request,
-                    manager: 0,
-                    event: Some(Event::Response(answer)),
-                })?;
+                Step::Dispatch { attempt } => self.dispatch(at_us, request, attempt)?,
+                Step::EndAttempt { attempt } => self.end_attempt(at_us, request, attempt)?,
             }
         }
     }
-    for (mut writer, skew) in writers.into_iter().zip(&plan.skews_us) {
-        let name = writer.string("stop");
-        let at_us = arrival as i64 + 60_000_000 + skew;
-        writer.write(&Record {
-            at_us,
-            request: 0,
-            manager: 0,
-            event: Some(Event::ProgramEvent(ProgramEvent { name })),
-        })?;
-        writer.finish()?;
+
+    fn draw_exponential(&mut self, mean: f64) -> f64 {
+        -(1.0 - self.rng.rand_float()).ln() * mean
+    }
+
+    fn draw_manager(&mut self) -> usize {
+        self.rng.rand_range(0..self.plan.clock_offsets_us.len() as u64) as usize
+    }
+
+    fn draw_request(&mut self, client: u64) -> Request {
+        let class_draw = self.rng.rand_float();
+        let class = usize::from(class_draw > REPORT_ABOVE) + usize::from(class_draw > LOAD_ABOVE);
+        // The square makes the first tenants busier than the last.
+        let tenant = (self.rng.rand_float().powi(2) * f64::from(self.plan.tenants)) as u32;
+        let manager = self.draw_manager();
+        Request { client, class, tenant, client_attempt: 1, manager, number: 0, engine: 0 }
+    }
+
+    fn receive(&mut self, at_us: u64, mut request: Request) -> Result<(), TraceError> {
+        let trace = &mut self.traces[request.manager];
+        trace.last_request += 1;
+        request.number = trace.last_request;
+        let class = &CLASSES[request.class];
+        let writer = &mut trace.writer;
+        let received = RequestReceived {
+            budget_us: BUDGET_US,
+            statement_bytes: 40 + self.rng.rand_range(0..400) as u32,
+            client_attempt: request.client_attempt,
+            class: writer.string(class.name),
+            tenant: writer.string(&format!("council-{}", request.tenant)),
+            name: writer.string(&format!("c{:x}-{}", request.client, request.client_attempt)),
+            key: match class.has_idempotency_key {
+                true => writer.string(&format!("k{:x}", request.client)),
+                false => 0,
+            },
+            frontend: writer.string("http"),
+        };
+        trace.record(at_us as i64, request.number, Event::RequestReceived(received))?;
+        if self.rng.rand_float() < QUEUED_FRACTION {
+            self.schedule.add_after(at_us, QUEUE_DELAY_US, Step::Queue, request);
+        } else {
+            self.schedule.add_after(at_us, DISPATCH_DELAY_US, Step::Dispatch { attempt: 0 }, request);
+        }
+        Ok(())
+    }
+
+    fn queue(&mut self, at_us: u64, request: Request) -> Result<(), TraceError> {
+        let trace = &mut self.traces[request.manager];
+        let reason = trace.writer.string("no_room");
+        trace.record(at_us as i64, request.number, Event::RequestQueued(RequestQueued { reason }))?;
+        let wait_us = self.draw_exponential(MEAN_QUEUE_WAIT_US);
+        self.schedule.add_after(at_us, wait_us, Step::Dispatch { attempt: 0 }, request);
+        Ok(())
+    }
+
+    fn reject(&mut self, at_us: u64, mut request: Request) -> Result<(), TraceError> {
+        let trace = &mut self.traces[request.manager];
+        let end = trace.writer.string("refused");
+        let reason = trace.writer.string("no_time");
+        // The other half may retry at once.
+        let retry_after_us = if self.rng.rand_float() < 0.5 { 0.0 } else { RETRY_AFTER_US };
+        let response = Response { retry_after_us: retry_after_us as u64, bytes: 0, end, reason };
+        trace.record(at_us as i64, request.number, Event::Response(response))?;
+        if request.client_attempt < MAX_CLIENT_ATTEMPTS {
+            request.client_attempt += 1;
+            request.manager = self.draw_manager();
+            let travel_us = MIN_RETRY_TRAVEL_US + self.draw_exponential(MEAN_EXTRA_RETRY_TRAVEL_US);
+            self.schedule.add_after(at_us, retry_after_us + travel_us, Step::Receive, request);
+        }
+        Ok(())
+    }
+
+    fn dispatch(&mut self, at_us: u64, mut request: Request, attempt: u32) -> Result<(), TraceError> {
+        request.engine = self.rng.rand_range(0..ENGINES);
+        let alternative = (request.engine + 1 + self.rng.rand_range(0..ENGINES - 1)) % ENGINES;
+        let weight = self.rng.rand_float() as f32;
+        let trace = &mut self.traces[request.manager];
+        let decision = Decision {
+            selected: Some(engine_snapshot(&mut trace.writer, request.engine, weight)),
+            alternative: Some(engine_snapshot(&mut trace.writer, alternative, weight + 0.1)),
+            reason: trace.writer.string("lighter"),
+        };
+        trace.record(at_us as i64, request.number, Event::Decision(decision))?;
+        let engine = trace.writer.string(&engine_name(request.engine));
+        let dispatched = AttemptDispatched { attempt, engine };
+        trace.record(at_us as i64, request.number, Event::AttemptDispatched(dispatched))?;
+        let execution_us = self.draw_exponential(CLASSES[request.class].mean_execution_us);
+        let execution_us = execution_us.max(MIN_EXECUTION_US);
+        self.schedule.add_after(at_us, execution_us, Step::EndAttempt { attempt }, request);
+        Ok(())
+    }
+
+    fn end_attempt(&mut self, at_us: u64, request: Request, attempt: u32) -> Result<(), TraceError> {
+        let lost = self.rng.rand_float() < LOST_FRACTION;
+        let trace = &mut self.traces[request.manager];
+        let outcome = trace.writer.string(if lost { "ConnectionLost" } else { "Served" });
+        let engine = trace.writer.string(&engine_name(request.engine));
+        let ended = AttemptEnded { attempt, work_us: WORK_US, outcome, engine };
+        trace.record(at_us as i64, request.number, Event::AttemptEnded(ended))?;
+        if lost && attempt == 0 {
+            self.schedule.add_after(at_us, RETRY_DELAY_US, Step::Dispatch { attempt: 1 }, request);
+            return Ok(());
+        }
+        let end = trace.writer.string(if lost { "failed" } else { "served" });
+        let response = Response { end, bytes: RESULT_BYTES, ..Response::default() };
+        trace.record(at_us as i64, request.number, Event::Response(response))
+    }
+}
+
+fn engine_name(number: u64) -> String {
+    format!("e{number}")
+}
+
+fn engine_snapshot<W: Write>(writer: &mut Writer<W>, number: u64, weight: f32) -> EngineSnapshot {
+    EngineSnapshot {
+        number,
+        own_in_flight: 3,
+        other_in_flight: 1.5,
+        slowdown: 1.0,
+        weight,
+        engine: writer.string(&engine_name(number)),
     }
-    Ok(())
 }
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -27,7 +27,7 @@
 /// Traces of some requests, one a manager.
 fn traces(requests: u64, managers: usize) -> Vec<Vec<u8>> {
     let files: Vec<Shared> = (0..managers).map(|_| Shared::default()).collect();
-    let plan = Plan { requests, skews_us: vec![0; managers], seed: 5, tenants: 7 };
+    let plan = Plan { requests, clock_offsets_us: vec![0; managers], seed: 5, tenants: 7 };
     generate(&plan, |manager| Ok(files[manager].clone())).unwrap();
     files.into_iter().map(|file| file.0.lock().unwrap().clone()).collect()
 }
@@ -254,7 +254,7 @@
 
 fn skewed(skews: &[i64], requests: u64) -> Vec<Vec<u8>> {
     let files: Vec<Shared> = skews.iter().map(|_| Shared::default()).collect();
-    let plan = Plan { requests, skews_us: skews.to_vec(), seed: 9, tenants: 5 };
+    let plan = Plan { requests, clock_offsets_us: skews.to_vec(), seed: 9, tenants: 5 };
     generate(&plan, |manager| Ok(files[manager].clone())).unwrap();
     files.into_iter().map(|file| file.0.lock().unwrap().clone()).collect()
 }
