--- a/crates/trace/src/bin/sanddyke-trace/output.rs
+++ b/crates/trace/src/bin/sanddyke-trace/output.rs
@@ -16,9 +16,13 @@
 /// Prints the offsets of the clocks and the number of records.
 pub fn print_merged(merged: &Merged, out: &mut impl Write) -> Result<()> {
     for offset in &merged.offsets {
-        writeln!(out, "{}: {} us ahead, within {} us", offset.manager, offset.ahead_us, offset.within_us)?;
+        writeln!(
+            out,
+            "{}: {} us ahead, within {} us",
+            offset.manager, offset.ahead_us, offset.error_bound_us
+        )?;
     }
-    writeln!(out, "{} ties, {} records", merged.ties, merged.records)
+    writeln!(out, "{} ties, {} records", merged.constraints, merged.records)
 }
 
 /// Prints a table of tenants and classes, and a line for each engine.
--- a/crates/trace/src/frame.rs
+++ b/crates/trace/src/frame.rs
@@ -1,110 +1,150 @@
-//! Blocks in their frames.
+//! Frames: the header of a block with its lengths and checksums, and the compression of its payload.
+//!
+//! ```text
+//! byte  0  marker              byte 12  length of the payload as stored
+//!       4  kind of the block        16  CRC-32 of the payload as stored
+//!       5  codec                    20  CRC-32 of bytes 0 to 19
+//!       8  length of the payload    24  payload as stored
+//! ```
 
 use crate::TraceError;
 use std::io::Write;
 
-/// How a file begins.
+/// The first bytes of a trace file.
 pub const MAGIC: [u8; 8] = *b"SDTRACE\x01";
-/// The form that is written, and the newest that is read.
-pub const FORM: u32 = 1;
-/// How a block begins: readers look for it past what is damaged.
-pub const MARK: [u8; 4] = [0xd7, b'S', b'D', 0xb1];
-/// Bytes of a frame before its payload.
-pub const FRAME: usize = 24;
-/// The longest payload, as it is stored and as it is read.
-pub const LONGEST: usize = 8 << 20;
+/// The version of the format that is written, and the latest that is read.
+pub const FORMAT_VERSION: u32 = 1;
+/// The first bytes of a frame, for which readers search past a damaged part.
+pub const FRAME_MARKER: [u8; 4] = [0xd7, b'S', b'D', 0xb1];
+/// Length of a frame without its payload.
+pub const FRAME_BYTES: usize = 24;
+/// Maximum length of a payload, stored and decompressed: what a reader allocates for a file that it does not trust.
+pub const MAX_PAYLOAD_BYTES: usize = 8 << 20;
 
-/// What a block holds.
+const KIND_OFFSET: usize = 4;
+const CODEC_OFFSET: usize = 5;
+const RAW_LENGTH_OFFSET: usize = 8;
+const STORED_LENGTH_OFFSET: usize = 12;
+const PAYLOAD_CHECKSUM_OFFSET: usize = 16;
+const FRAME_CHECKSUM_OFFSET: usize = 20;
+
+/// What a block contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// The header, in the first block.
+pub enum BlockKind {
+    /// The file's header, in the first block.
     Header,
     /// Records.
     Records,
     /// The index, in the last block.
     Index,
-    /// Something of a later version: copied, not read.
+    /// A kind of a later version, which is skipped.
     Other(u8),
 }
 
-impl Kind {
-    fn byte(self) -> u8 {
-        match self {
-            Kind::Header => 0,
-            Kind::Records => 1,
-            Kind::Index => 2,
-            Kind::Other(byte) => byte,
+impl From<u8> for BlockKind {
+    fn from(byte: u8) -> BlockKind {
+        match byte {
+            0 => BlockKind::Header,
+            1 => BlockKind::Records,
+            2 => BlockKind::Index,
+            other => BlockKind::Other(other),
         }
     }
+}
 
-    fn of(byte: u8) -> Kind {
-        match byte {
-            0 => Kind::Header,
-            1 => Kind::Records,
-            2 => Kind::Index,
-            other => Kind::Other(other),
+impl From<BlockKind> for u8 {
+    fn from(kind: BlockKind) -> u8 {
+        match kind {
+            BlockKind::Header => 0,
+            BlockKind::Records => 1,
+            BlockKind::Index => 2,
+            BlockKind::Other(byte) => byte,
         }
     }
 }
 
-/// How a payload is stored.
-const STORED: u8 = 0;
-const LZ4: u8 = 1;
+/// Codec of a payload that is stored as it is.
+const CODEC_STORED: u8 = 0;
+/// Codec of a payload that is stored as one LZ4 block.
+const CODEC_LZ4: u8 = 1;
 
-/// A frame as it was read.
+/// A frame that was read, without its payload.
 #[derive(Debug, Clone, Copy)]
 pub struct Frame {
-    /// What the block holds.
-    pub kind: Kind,
+    /// What the block contains.
+    pub kind: BlockKind,
+    /// Length of the payload as stored (bytes).
+    pub stored_bytes: usize,
     codec: u8,
-    raw: usize,
-    /// Bytes of the payload as it is stored.
-    pub stored: usize,
-    checksum: u32,
+    raw_bytes: usize,
+    payload_checksum: u32,
 }
 
-/// Writes a block; gives its length with its frame.
-pub fn write(out: &mut impl Write, kind: Kind, payload: &[u8]) -> Result<u64, TraceError> {
-    if payload.len() > LONGEST {
+/// Writes a block, compressed where that makes it shorter; returns its length with the frame (bytes).
+///
+/// # Errors
+/// [`TraceError::TooLarge`] where the payload exceeds [`MAX_PAYLOAD_BYTES`].
+pub fn write(out: &mut impl Write, kind: BlockKind, payload: &[u8]) -> Result<u64, TraceError> {
+    if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(TraceError::TooLarge(payload.len()));
     }
-    let packed = lz4_flex::block::compress(payload);
-    let (codec, stored) = if packed.len() < payload.len() { (LZ4, &packed[..]) } else { (STORED, payload) };
-    let mut frame = [0; FRAME];
-    frame[..4].copy_from_slice(&MARK);
-    (frame[4], frame[5]) = (kind.byte(), codec);
-    frame[8..12].copy_from_slice(&(payload.len() as u32).to_le_bytes());
-    frame[12..16].copy_from_slice(&(stored.len() as u32).to_le_bytes());
-    frame[16..20].copy_from_slice(&crc32fast::hash(stored).to_le_bytes());
-    let own = crc32fast::hash(&frame[..20]);
-    frame[20..].copy_from_slice(&own.to_le_bytes());
+    let compressed = lz4_flex::block::compress(payload);
+    let (codec, stored) = match compressed.len() < payload.len() {
+        true => (CODEC_LZ4, &compressed[..]),
+        false => (CODEC_STORED, payload),
+    };
+    let mut frame = [0; FRAME_BYTES];
+    frame[..FRAME_MARKER.len()].copy_from_slice(&FRAME_MARKER);
+    frame[KIND_OFFSET] = kind.into();
+    frame[CODEC_OFFSET] = codec;
+    put_u32(&mut frame, RAW_LENGTH_OFFSET, payload.len() as u32);
+    put_u32(&mut frame, STORED_LENGTH_OFFSET, stored.len() as u32);
+    put_u32(&mut frame, PAYLOAD_CHECKSUM_OFFSET, crc32fast::hash(stored));
+    let frame_checksum = crc32fast::hash(&frame[..FRAME_CHECKSUM_OFFSET]);
+    put_u32(&mut frame, FRAME_CHECKSUM_OFFSET, frame_checksum);
     out.write_all(&frame)?;
     out.write_all(stored)?;
-    Ok((FRAME + stored.len()) as u64)
+    Ok((FRAME_BYTES + stored.len()) as u64)
+}
+
+fn put_u32(frame: &mut [u8; FRAME_BYTES], offset: usize, value: u32) {
+    frame[offset..offset + 4].copy_from_slice(&value.to_le_bytes());
 }
 
-fn number(bytes: &[u8], at: usize) -> u32 {
-    bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map_or(0, u32::from_le_bytes)
+fn get_u32(frame: &[u8; FRAME_BYTES], offset: usize) -> u32 {
+    let mut bytes = [0; 4];
+    bytes.copy_from_slice(&frame[offset..offset + 4]);
+    u32::from_le_bytes(bytes)
 }
 
 impl Frame {
-    /// Reads a frame; `None` where these bytes are none, or a damaged one.
-    pub fn read(bytes: &[u8; FRAME]) -> Option<Frame> {
-        let whole = bytes[..4] == MARK && number(bytes, 20) == crc32fast::hash(&bytes[..20]);
-        let (raw, stored) = (number(bytes, 8) as usize, number(bytes, 12) as usize);
-        let frame =
-            Frame { kind: Kind::of(bytes[4]), codec: bytes[5], raw, stored, checksum: number(bytes, 16) };
-        Some(frame).filter(|_| whole && raw <= LONGEST && stored <= LONGEST)
+    /// Reads a frame; `None` where the bytes are not a frame, or a damaged one.
+    pub fn read(bytes: &[u8; FRAME_BYTES]) -> Option<Frame> {
+        let frame_checksum = crc32fast::hash(&bytes[..FRAME_CHECKSUM_OFFSET]);
+        let is_intact =
+            bytes.starts_with(&FRAME_MARKER) && get_u32(bytes, FRAME_CHECKSUM_OFFSET) == frame_checksum;
+        let frame = Frame {
+            kind: bytes[KIND_OFFSET].into(),
+            stored_bytes: get_u32(bytes, STORED_LENGTH_OFFSET) as usize,
+            codec: bytes[CODEC_OFFSET],
+            raw_bytes: get_u32(bytes, RAW_LENGTH_OFFSET) as usize,
+            payload_checksum: get_u32(bytes, PAYLOAD_CHECKSUM_OFFSET),
+        };
+        let fits = frame.raw_bytes <= MAX_PAYLOAD_BYTES && frame.stored_bytes <= MAX_PAYLOAD_BYTES;
+        (is_intact && fits).then_some(frame)
     }
 
-    /// The payload of what is stored; `None` where that is damaged.
+    /// The decompressed payload; `None` where the stored one is damaged or its codec is unknown.
     pub fn payload(&self, stored: &[u8]) -> Option<Vec<u8>> {
-        if stored.len() != self.stored || crc32fast::hash(stored) != self.checksum {
+        if stored.len() != self.stored_bytes || crc32fast::hash(stored) != self.payload_checksum {
             return None;
         }
         match self.codec {
-            STORED => Some(stored.to_vec()),
-            LZ4 => lz4_flex::block::decompress(stored, self.raw).ok().filter(|raw| raw.len() == self.raw),
+            CODEC_STORED => Some(stored.to_vec()),
+            CODEC_LZ4 => {
+                let payload = lz4_flex::block::decompress(stored, self.raw_bytes).ok()?;
+                (payload.len() == self.raw_bytes).then_some(payload)
+            }
             _ => None,
         }
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,15 +1,14 @@
-//! A file for traces of requests and of the decisions made about them. `docs/trace-format.md` describes it byte
-//! by byte.
+//! Trace files of requests and of the decisions made about them: format, writer, reader and tools.
+//! `docs/trace-format.md` specifies the format byte by byte.
 //!
 //! ```text
 //!   magic | block: header | block: records | ... | block: records | block: index | end
 //!           each block: frame with lengths and checksums, then a compressed protobuf message
 //! ```
 //!
-//! Each block of records holds its own table of strings, so it can be read alone: a file that is cut short or
-//! damaged is read up to its last whole block, and from the next whole one on. A tool that copies records keeps
-//! what it does not know: fields 16 to 31 of every kind of record are numbers of strings, and all others are
-//! copied as they are.
+//! Each block of records has its own string table, so it can be decoded alone: of a truncated or damaged file all
+//! intact blocks can be read. Tools that copy records preserve what they do not know: fields 16 to 31 of every event
+//! are references to strings, and all other fields are copied as they are.
 //!
 //! ```
 //! use sanddyke_trace::{Header, Reader, Record, RequestReceived, Event, Writer};
@@ -38,7 +37,7 @@
 pub mod tools;
 mod writer;
 
-pub use frame::{FORM, MAGIC};
+pub use frame::{FORMAT_VERSION, MAGIC};
 pub use reader::{Entry, Fault, Reader};
 pub use record::*;
 pub use strings::{Strings, remap};
@@ -46,19 +45,19 @@
 
 use thiserror::Error;
 
-/// Why a file can't be read or written.
+/// Why a file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum TraceError {
-    /// It does not begin as a trace does.
+    /// The input does not begin with [`MAGIC`].
     #[error("this is no trace: it does not begin as one does")]
-    NoTrace,
-    /// It is of a later form, which may mean what is here by something else.
-    #[error("written in form {0}, this version reads up to {FORM}")]
-    Newer(u32),
+    NotATrace,
+    /// The file has this later format version, in which fields may mean something else.
+    #[error("written in form {0}, this version reads up to {FORMAT_VERSION}")]
+    LaterVersion(u32),
     /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A record is too large for any block.
+    /// A record of this length (bytes) does not fit into a block, or cannot be copied.
     #[error("a record of {0} bytes")]
     TooLarge(usize),
 }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,179 +1,281 @@
-//! Merging traces of managers whose clocks differ. A merged file names its managers with their offsets, and each
-//! record its manager, so that merging is undone before it is done anew: whatever files are merged first, and in
-//! whatever order, the result is the same.
+//! Merging traces of managers whose clocks differ.
+//!
+//! A merged file lists its managers with their clock offsets, and each record names its manager. Merging a merged file
+//! first takes it apart again, so the result does not depend on the order of the files, nor on which were merged
+//! before.
 
-use crate::clocks::{Clocks, Offset, Untold};
+use crate::clocks::{ClockConstraints, ClockError, LocalTime, Offset};
 use crate::{Entry, Event, Header, Manager, Reader, TraceError, Writer};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{Read, Seek, Write};
 use thiserror::Error;
 
-/// Tries that may wait for the one that ties them, in all; past that those that wait are given up.
-const MOST_WAITING: usize = 1_000_000;
+/// Maximum number of managers in one file: their numbers share 64 bits with those of the requests.
+pub const MAX_MANAGERS: usize = 1000;
 
-/// Why files are not merged.
+/// Maximum number of attempts that are matched at once. Past it, all are forgotten, which costs constraints only.
+const MAX_TRACKED_ATTEMPTS: usize = 1_000_000;
+
+/// Why files cannot be merged.
 #[derive(Debug, Error)]
 pub enum MergeError {
-    /// Reading or writing failed.
+    /// A file cannot be read or written.
     #[error("{0}")]
     Trace(#[from] TraceError),
-    /// The clocks can't be told.
+    /// The clock offsets cannot be estimated.
     #[error("{0}")]
-    Clocks(#[from] Untold),
-    /// Two files tell of one manager.
+    Clocks(#[from] ClockError),
+    /// Two files contain this manager.
     #[error("{0} is in two of the files")]
-    Twice(String),
-    /// More managers than numbers.
-    #[error("at most {MOST_MANAGERS} managers")]
-    TooMany,
+    DuplicateManager(String),
+    /// The files contain more than [`MAX_MANAGERS`] managers.
+    #[error("at most {MAX_MANAGERS} managers")]
+    TooManyManagers,
 }
 
-/// Managers in one file: their numbers stand above the requests'.
-pub const MOST_MANAGERS: usize = 1000;
-
-/// What was merged, and how sure the order is.
+/// The result of a merge.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Merged {
-    /// The managers' clocks.
+    /// The estimated clock offsets, by the managers' names.
     pub offsets: Vec<Offset>,
-    /// Pairs that tied two managers.
-    pub ties: u64,
-    /// Records.
+    /// Number of constraints between two clocks on which the estimate is based.
+    #[serde(rename = "ties")]
+    pub constraints: u64,
+    /// Number of records.
     pub records: u64,
 }
 
-/// The managers that a file tells of: more than one where it was merged.
-fn managers(header: &Header) -> Vec<Manager> {
-    match header.managers.is_empty() {
-        true => vec![Manager { name: header.manager.clone(), unix_us: header.unix_us, ..Manager::default() }],
-        false => header.managers.clone(),
+/// Merges files into one that is ordered by the estimated true times.
+///
+/// `open` is called for a file's position: once, and twice more for each manager of the file.
+///
+/// # Errors
+/// Fails where a file cannot be read or written, a manager is in two files, or the clock offsets cannot be estimated.
+pub fn merge<R: Read + Seek, W: Write>(
+    files: usize,
+    mut open: impl FnMut(usize) -> Result<Reader<R>, TraceError>,
+    out: W,
+) -> Result<Merged, MergeError> {
+    let sources = list_sources(files, &mut open)?;
+    let constraints = collect_constraints(&sources, &mut open)?;
+    let offsets = constraints.offsets()?;
+    let writer = Writer::new(out, merged_header(&sources, &offsets))?;
+    let readers: Result<Vec<_>, _> =
+        sources.iter().map(|source| SourceReader::open(source, &mut open)).collect();
+    let records = RecordMerger::new(readers?, &offsets)?.write_to(writer)?;
+    Ok(Merged { offsets, constraints: constraints.count(), records })
+}
+
+/// Where the records of one manager are.
+struct Source {
+    /// Position of the file.
+    file: usize,
+    /// Number of the manager in that file; 0 in an unmerged one.
+    number_in_file: u32,
+    manager: Manager,
+}
+
+/// The managers of all files, sorted by name.
+fn list_sources<R: Read + Seek>(
+    files: usize,
+    open: &mut impl FnMut(usize) -> Result<Reader<R>, TraceError>,
+) -> Result<Vec<Source>, MergeError> {
+    let mut sources: Vec<Source> = Vec::new();
+    for file in 0..files {
+        for source in file_sources(file, open(file)?.header()) {
+            if sources.iter().any(|known| known.manager.name == source.manager.name) {
+                return Err(MergeError::DuplicateManager(source.manager.name));
+            }
+            sources.push(source);
+        }
+    }
+    if sources.len() > MAX_MANAGERS {
+        return Err(MergeError::TooManyManagers);
+    }
+    sources.sort_by(|a, b| a.manager.name.cmp(&b.manager.name));
+    Ok(sources)
+}
+
+fn file_sources(file: usize, header: &Header) -> Vec<Source> {
+    if header.managers.is_empty() {
+        let manager = Manager { name: header.manager.clone(), unix_us: header.unix_us, ..Manager::default() };
+        return vec![Source { file, number_in_file: 0, manager }];
+    }
+    let numbered = header.managers.iter().cloned().zip(1..);
+    numbered.map(|(manager, number_in_file)| Source { file, number_in_file, manager }).collect()
+}
+
+fn merged_header(sources: &[Source], offsets: &[Offset]) -> Header {
+    let managers = sources.iter().zip(offsets).map(|(source, offset)| Manager {
+        offset_us: offset.ahead_us,
+        error_bound_us: offset.error_bound_us,
+        ..source.manager.clone()
+    });
+    Header {
+        manager: "merged".to_owned(),
+        unix_us: sources.first().map_or(0, |source| source.manager.unix_us),
+        managers: managers.collect(),
+        ..Header::default()
     }
 }
 
-/// One manager's records of a file.
-struct Source<R> {
+/// Reads the records of one manager.
+struct SourceReader<R> {
     reader: Reader<R>,
-    /// Its number in that file, 0 where the file has one.
-    inside: u32,
-    name: String,
+    number_in_file: u32,
 }
 
-impl<R: Read + Seek> Source<R> {
-    fn next(&mut self) -> Option<Result<Entry, TraceError>> {
-        let inside = self.inside;
-        self.reader.find(|entry| entry.as_ref().map_or(true, |entry| entry.record.manager == inside))
+impl<R: Read + Seek> SourceReader<R> {
+    fn open(
+        source: &Source,
+        open: &mut impl FnMut(usize) -> Result<Reader<R>, TraceError>,
+    ) -> Result<SourceReader<R>, TraceError> {
+        Ok(SourceReader { reader: open(source.file)?, number_in_file: source.number_in_file })
+    }
+}
+
+impl<R: Read + Seek> Iterator for SourceReader<R> {
+    type Item = Result<Entry, TraceError>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        let manager = self.number_in_file;
+        self.reader.find(|entry| match entry {
+            Ok(entry) => entry.record.manager == manager,
+            Err(_) => true,
+        })
     }
 }
 
-/// The last try of a key at a manager: by the clock of that one, when it was taken and answered.
+/// One attempt of a client, which all attempts with the same idempotency key are matched by.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    idempotency_key: String,
+    /// Number of the client's attempt, from 1.
+    client_attempt: u32,
+}
+
+/// When an attempt was received and when it got its response.
 #[derive(Debug, Clone, Copy, Default)]
-struct Try {
-    taken: Option<(usize, i64)>,
-    answered: Option<(usize, i64)>,
+struct AttemptTimes {
+    received: Option<LocalTime>,
+    responded: Option<LocalTime>,
+}
+
+/// Constrains the clocks by each client's attempts: the next one is received after the response to the one before.
+fn collect_constraints<R: Read + Seek>(
+    sources: &[Source],
+    open: &mut impl FnMut(usize) -> Result<Reader<R>, TraceError>,
+) -> Result<ClockConstraints, TraceError> {
+    let mut constraints = ClockConstraints::new(sources.iter().map(|source| source.manager.name.clone()));
+    let mut attempts: HashMap<AttemptKey, AttemptTimes> = HashMap::new();
+    for source in sources {
+        if let Some(manager) = constraints.position(&source.manager.name) {
+            collect_attempts(SourceReader::open(source, open)?, manager, &mut attempts)?;
+        }
+    }
+    for (key, times) in &attempts {
+        let next_key = AttemptKey { client_attempt: key.client_attempt + 1, ..key.clone() };
+        let next_received = attempts.get(&next_key).and_then(|next| next.received);
+        if let (Some(responded), Some(next_received)) = (times.responded, next_received) {
+            constraints.add(responded, next_received);
+        }
+    }
+    Ok(constraints)
 }
 
-/// Ties of the clocks: a key's next try comes after the answer to the one before.
-fn tie<R: Read + Seek>(
-    source: &mut Source<R>,
-    clocks: &mut Clocks,
-    tries: &mut HashMap<(String, u32), Try>,
+/// Adds the times of the keyed attempts at one manager.
+fn collect_attempts<R: Read + Seek>(
+    entries: SourceReader<R>,
+    manager: usize,
+    attempts: &mut HashMap<AttemptKey, AttemptTimes>,
 ) -> Result<(), TraceError> {
-    let Some(manager) = clocks.number(&source.name) else { return Ok(()) };
-    let mut open: HashMap<u64, (String, u32)> = HashMap::new();
-    while let Some(entry) = source.next() {
+    let mut open_requests: HashMap<u64, AttemptKey> = HashMap::new();
+    for entry in entries {
         let entry = entry?;
-        let (record, at) = (&entry.record, (manager, entry.record.at_us));
+        let record = &entry.record;
+        let now = LocalTime { manager, at_us: record.at_us };
         match &record.event {
-            Some(Event::RequestReceived(taken)) if taken.key > 0 && taken.client_attempt > 0 => {
-                let key = (entry.string(taken.key).to_owned(), taken.client_attempt);
-                tries.entry(key.clone()).or_default().taken = Some(at);
-                open.insert(record.request, key);
+            Some(Event::RequestReceived(received)) if received.key > 0 && received.client_attempt > 0 => {
+                let idempotency_key = entry.string(received.key).to_owned();
+                let key = AttemptKey { idempotency_key, client_attempt: received.client_attempt };
+                attempts.entry(key.clone()).or_default().received = Some(now);
+                open_requests.insert(record.request, key);
             }
             Some(Event::Response(_)) => {
-                if let Some(key) = open.remove(&record.request) {
-                    tries.entry(key).or_default().answered = Some(at);
+                if let Some(key) = open_requests.remove(&record.request) {
+                    attempts.entry(key).or_default().responded = Some(now);
                 }
             }
             _ => {}
         }
-        if tries.len() > MOST_WAITING {
-            tries.clear();
+        if attempts.len() > MAX_TRACKED_ATTEMPTS {
+            attempts.clear();
         }
     }
     Ok(())
 }
 
-/// Merges files; `open` opens each as often as it has managers, and once more.
-pub fn merge<R: Read + Seek, W: Write>(
-    files: usize,
-    mut open: impl FnMut(usize) -> Result<Reader<R>, TraceError>,
-    out: W,
-) -> Result<Merged, MergeError> {
-    let mut all: Vec<(usize, u32, Manager)> = Vec::new();
-    for file in 0..files {
-        let reader = open(file)?;
-        let merged = !reader.header().managers.is_empty();
-        for (number, manager) in managers(reader.header()).into_iter().enumerate() {
-            if all.iter().any(|(_, _, known)| known.name == manager.name) {
-                return Err(MergeError::Twice(manager.name));
-            }
-            all.push((file, if merged { number as u32 + 1 } else { 0 }, manager));
+/// The next record of a source: ordered by its time on the first manager's clock (us), then by its manager's name.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct NextRecord {
+    at_us: i64,
+    /// Position of the source.
+    source: usize,
+}
+
+/// Merges the records of all sources, of which it holds one each.
+struct RecordMerger<'a, R> {
+    readers: Vec<SourceReader<R>>,
+    offsets: &'a [Offset],
+    next_records: BinaryHeap<Reverse<NextRecord>>,
+    /// The next record of each source, `None` at its end.
+    next_entries: Vec<Option<Entry>>,
+    /// The time of the last record that was read of each source (us on the first manager's clock).
+    last_at_us: Vec<i64>,
+}
+
+impl<R: Read + Seek> RecordMerger<'_, R> {
+    fn new(readers: Vec<SourceReader<R>>, offsets: &[Offset]) -> Result<RecordMerger<'_, R>, TraceError> {
+        let sources = readers.len();
+        let mut merger = RecordMerger {
+            readers,
+            offsets,
+            next_records: BinaryHeap::new(),
+            next_entries: Vec::new(),
+            last_at_us: vec![i64::MIN; sources],
+        };
+        for source in 0..sources {
+            let entry = merger.read(source)?;
+            merger.next_entries.push(entry);
         }
+        Ok(merger)
     }
-    if all.len() > MOST_MANAGERS {
-        return Err(MergeError::TooMany);
-    }
-    all.sort_by(|a, b| a.2.name.cmp(&b.2.name));
-    let mut source = |(file, inside, manager): &(usize, u32, Manager)| -> Result<Source<R>, TraceError> {
-        Ok(Source { reader: open(*file)?, inside: *inside, name: manager.name.clone() })
-    };
-    let mut clocks = Clocks::new(all.iter().map(|(_, _, manager)| manager.name.clone()));
-    let mut tries = HashMap::new();
-    for one in &all {
-        tie(&mut source(one)?, &mut clocks, &mut tries)?;
-    }
-    for ((key, number), one) in &tries {
-        let next = tries.get(&(key.clone(), number + 1));
-        if let (Some(answered), Some(taken)) = (one.answered, next.and_then(|next| next.taken)) {
-            clocks.tie(answered, taken);
+
+    /// Reads the next record of a source and queues it.
+    fn read(&mut self, source: usize) -> Result<Option<Entry>, TraceError> {
+        let entry = self.readers[source].next().transpose()?;
+        if let Some(entry) = &entry {
+            // The maximum preserves a manager's own order where its times go back.
+            let at_us = (entry.record.at_us - self.offsets[source].ahead_us).max(self.last_at_us[source]);
+            self.last_at_us[source] = at_us;
+            self.next_records.push(Reverse(NextRecord { at_us, source }));
         }
+        Ok(entry)
     }
-    let offsets = clocks.offsets()?;
-    let told = all.iter().zip(&offsets).map(|((_, _, manager), offset)| Manager {
-        offset_us: offset.ahead_us,
-        error_bound_us: offset.within_us,
-        ..manager.clone()
-    });
-    let unix_us = all.first().map_or(0, |(_, _, manager)| manager.unix_us);
-    let header =
-        Header { manager: "merged".to_owned(), unix_us, managers: told.collect(), ..Header::default() };
-    let mut writer = Writer::new(out, header)?;
-    let mut sources = all.iter().map(&mut source).collect::<Result<Vec<_>, _>>()?;
-    // Of each manager the next record: by its time on the first one's clock, then by its manager's name.
-    let mut heads: BinaryHeap<Reverse<(i64, usize)>> = BinaryHeap::new();
-    let mut waiting: Vec<Option<Entry>> = Vec::new();
-    let mut last = vec![i64::MIN; sources.len()];
-    let mut place = |number: usize, entry: &Entry| {
-        // A manager's own order stays, also where its records stand out of time.
-        let at = (entry.record.at_us - offsets[number].ahead_us).max(last[number]);
-        last[number] = at;
-        Reverse((at, number))
-    };
-    for (number, source) in sources.iter_mut().enumerate() {
-        let entry = source.next().transpose()?;
-        heads.extend(entry.as_ref().map(|entry| place(number, entry)));
-        waiting.push(entry);
-    }
-    let mut records = 0;
-    while let Some(Reverse((_, number))) = heads.pop() {
-        let next = sources[number].next().transpose()?;
-        heads.extend(next.as_ref().map(|entry| place(number, entry)));
-        let Some(entry) = std::mem::replace(&mut waiting[number], next) else { continue };
-        let manager = number as u32 + 1;
-        writer.copy_as(&entry.record, &entry.bytes, manager, |number| entry.string(number).to_owned())?;
-        records += 1;
+
+    /// Writes all records; returns their number.
+    fn write_to<W: Write>(mut self, mut writer: Writer<W>) -> Result<u64, TraceError> {
+        let mut records = 0;
+        while let Some(Reverse(NextRecord { source, .. })) = self.next_records.pop() {
+            let following = self.read(source)?;
+            let Some(entry) = std::mem::replace(&mut self.next_entries[source], following) else { continue };
+            let manager = source as u32 + 1;
+            let string = |reference: u32| entry.string(reference).to_owned();
+            writer.copy_as(&entry.record, &entry.bytes, manager, string)?;
+            records += 1;
+        }
+        writer.finish()?;
+        Ok(records)
     }
-    writer.finish()?;
-    Ok(Merged { offsets, ties: clocks.ties(), records })
 }
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -1,51 +1,64 @@
-//! Reads a trace record by record, past what is damaged.
+//! Reading a trace record by record, and past its damaged parts.
 
-use crate::frame::{FORM, FRAME, Frame, Kind, MAGIC, MARK};
+use crate::frame::{BlockKind, FORMAT_VERSION, FRAME_BYTES, FRAME_MARKER, Frame, MAGIC};
 use crate::{Block, Header, Index, Record, Strings, TraceError};
 use prost::Message;
 use std::collections::VecDeque;
 use std::io::{Read, Seek, SeekFrom};
 use std::sync::Arc;
 
-/// Bytes read at once while a whole block is sought.
-const SEARCH: usize = 64 * 1024;
+/// Bytes read at once in the search for the next intact block.
+const SEARCH_BYTES: usize = 64 * 1024;
+/// Length of the offset of the index at the end of a file.
+const INDEX_OFFSET_BYTES: u64 = 8;
 
-/// A part of the file that can't be read.
+/// A part of the file that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Where it begins.
+    /// Offset of its first byte.
     pub offset: u64,
-    /// Where what can be read begins again, or the file ends.
+    /// Offset of the next readable byte, or the length of the file.
     pub until: u64,
-    /// What is wrong.
+    /// What is wrong with it.
     pub reason: &'static str,
 }
 
-/// A record with the strings that it names.
+/// A record with the strings that it refers to.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The record, as far as it is known.
+    /// The record, without fields of a later version.
     pub record: Record,
-    /// Its bytes: all of it.
+    /// The encoded record, with all fields.
     pub bytes: Vec<u8>,
-    /// The strings of its block.
+    /// The string table of its block.
     pub strings: Arc<Strings>,
 }
 
 impl Entry {
-    /// The string of a number.
-    pub fn string(&self, number: u32) -> &str {
-        self.strings.text(number)
+    /// The string of a reference; empty where there is none.
+    pub fn string(&self, reference: u32) -> &str {
+        self.strings.text(reference)
     }
 }
 
-/// Reads a trace from its beginning to its end, in the memory of one block.
+/// A block that was read and is intact.
+struct ReadBlock {
+    kind: BlockKind,
+    payload: Vec<u8>,
+    /// Offset of the next block.
+    end: u64,
+}
+
+/// Reads a trace from its beginning to its end, with the memory of one block.
 #[derive(Debug)]
 pub struct Reader<R> {
     input: R,
     header: Header,
-    at: u64,
+    /// Offset of the next block.
+    offset: u64,
+    /// Length of the file.
     length: u64,
+    /// Records of the current block that are still to be returned.
     entries: VecDeque<Entry>,
     faults: Vec<Fault>,
     index: Option<Index>,
@@ -53,159 +66,183 @@
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Opens a trace: reads its magic and its header. One whose header is damaged has an empty one.
+    /// Opens a trace and reads its header; a damaged header is replaced by an empty one.
+    ///
+    /// # Errors
+    /// Fails where the input cannot be read, is not a trace, or has a later format version.
     pub fn new(mut input: R) -> Result<Reader<R>, TraceError> {
         let length = input.seek(SeekFrom::End(0))?;
         input.seek(SeekFrom::Start(0))?;
         let mut magic = [0; MAGIC.len()];
         if length < MAGIC.len() as u64 {
-            return Err(TraceError::NoTrace);
+            return Err(TraceError::NotATrace);
         }
         input.read_exact(&mut magic)?;
         if magic != MAGIC {
-            return Err(TraceError::NoTrace);
+            return Err(TraceError::NotATrace);
+        }
+        let mut reader = Reader {
+            input,
+            header: Header::default(),
+            offset: MAGIC.len() as u64,
+            length,
+            entries: VecDeque::new(),
+            faults: Vec::new(),
+            index: None,
+            blocks: 0,
+        };
+        reader.read_header()?;
+        Ok(reader)
+    }
+
+    /// Reads the first block where it is an intact header. Any other is left to the reading of records.
+    fn read_header(&mut self) -> Result<(), TraceError> {
+        let Some(block) = self.read_block(self.offset)? else { return Ok(()) };
+        if block.kind != BlockKind::Header {
+            return Ok(());
         }
-        let at = MAGIC.len() as u64;
-        let header = Header::default();
-        let (entries, faults) = (VecDeque::new(), Vec::new());
-        let mut reader = Reader { input, header, at, length, entries, faults, index: None, blocks: 0 };
-        if let Some((Kind::Header, payload, next)) = reader.block(at)?
-            && let Ok(header) = Header::decode(&payload[..])
-        {
-            if header.format_version > FORM {
-                return Err(TraceError::Newer(header.format_version));
+        if let Ok(header) = Header::decode(&block.payload[..]) {
+            if header.format_version > FORMAT_VERSION {
+                return Err(TraceError::LaterVersion(header.format_version));
             }
-            (reader.header, reader.at) = (header, next);
+            self.header = header;
+            self.offset = block.end;
         }
-        Ok(reader)
+        Ok(())
     }
 
-    /// What the file is of.
+    /// The header of the file.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// What could not be read so far.
+    /// The parts that could not be read so far.
     pub fn faults(&self) -> &[Fault] {
         &self.faults
     }
 
-    /// Whole blocks of records read so far.
+    /// The number of intact blocks of records so far.
     pub fn blocks(&self) -> u64 {
         self.blocks
     }
 
-    /// The index, once the end was reached; `None` where the file has none.
+    /// The index, once reading has reached it; `None` where the file has none.
     pub fn index(&self) -> Option<&Index> {
         self.index.as_ref()
     }
 
-    /// The index, sought at the end of the file; reading goes on where it was.
+    /// Reads the index at the end of the file; reading of records continues where it was.
     pub fn seek_index(&mut self) -> Result<Option<Index>, TraceError> {
-        if self.length < 8 + MAGIC.len() as u64 {
+        if self.length < INDEX_OFFSET_BYTES + MAGIC.len() as u64 {
             return Ok(None);
         }
-        let mut offset = [0; 8];
-        self.input.seek(SeekFrom::Start(self.length - 8))?;
+        let mut offset = [0; INDEX_OFFSET_BYTES as usize];
+        self.input.seek(SeekFrom::Start(self.length - INDEX_OFFSET_BYTES))?;
         self.input.read_exact(&mut offset)?;
         let offset = u64::from_le_bytes(offset);
-        let found = if offset < self.length { self.block(offset)? } else { None };
-        Ok(match found {
-            Some((Kind::Index, payload, _)) => Index::decode(&payload[..]).ok(),
-            _ => None,
-        })
+        if offset >= self.length {
+            return Ok(None);
+        }
+        let index = self.read_block(offset)?.filter(|block| block.kind == BlockKind::Index);
+        Ok(index.and_then(|block| Index::decode(&block.payload[..]).ok()))
     }
 
-    /// Goes on reading at a block, whose offset the index tells.
+    /// Continues reading at the block with this offset, which is in the index.
     pub fn go_to(&mut self, offset: u64) {
-        self.at = offset;
+        self.offset = offset;
         self.entries.clear();
     }
 
-    /// The block at an offset, where it is whole: what it holds, its payload, and where the next begins.
-    fn block(&mut self, at: u64) -> Result<Option<(Kind, Vec<u8>, u64)>, TraceError> {
-        if at + FRAME as u64 > self.length {
+    /// Reads the block at an offset; `None` where there is no intact one.
+    fn read_block(&mut self, offset: u64) -> Result<Option<ReadBlock>, TraceError> {
+        if offset + FRAME_BYTES as u64 > self.length {
             return Ok(None);
         }
-        let mut bytes = [0; FRAME];
-        self.input.seek(SeekFrom::Start(at))?;
-        self.input.read_exact(&mut bytes)?;
-        let Some(frame) = Frame::read(&bytes) else { return Ok(None) };
-        let next = at + (FRAME + frame.stored) as u64;
-        if next > self.length {
+        let mut frame = [0; FRAME_BYTES];
+        self.input.seek(SeekFrom::Start(offset))?;
+        self.input.read_exact(&mut frame)?;
+        let Some(frame) = Frame::read(&frame) else { return Ok(None) };
+        let end = offset + (FRAME_BYTES + frame.stored_bytes) as u64;
+        if end > self.length {
             return Ok(None);
         }
-        let mut stored = vec![0; frame.stored];
+        let mut stored = vec![0; frame.stored_bytes];
         self.input.read_exact(&mut stored)?;
-        Ok(frame.payload(&stored).map(|payload| (frame.kind, payload, next)))
-    }
-
-    /// Where the next whole block begins.
-    fn seek_block(&mut self, from: u64) -> Result<Option<u64>, TraceError> {
-        let (mut at, mut bytes) = (from, vec![0; SEARCH]);
-        while at + FRAME as u64 <= self.length {
-            let many = usize::try_from(self.length - at).unwrap_or(SEARCH).min(SEARCH);
-            self.input.seek(SeekFrom::Start(at))?;
-            self.input.read_exact(&mut bytes[..many])?;
-            let marks = bytes[..many].windows(MARK.len()).enumerate();
-            let marks: Vec<u64> =
-                marks.filter(|(_, four)| *four == MARK).map(|(place, _)| at + place as u64).collect();
-            for mark in marks {
-                if self.block(mark)?.is_some() {
-                    return Ok(Some(mark));
+        let payload = frame.payload(&stored);
+        Ok(payload.map(|payload| ReadBlock { kind: frame.kind, payload, end }))
+    }
+
+    /// The offset of the next intact block.
+    fn find_block(&mut self, from: u64) -> Result<Option<u64>, TraceError> {
+        let mut offset = from;
+        let mut buffer = vec![0; SEARCH_BYTES];
+        while offset + FRAME_BYTES as u64 <= self.length {
+            let length = usize::try_from(self.length - offset).unwrap_or(SEARCH_BYTES).min(SEARCH_BYTES);
+            self.input.seek(SeekFrom::Start(offset))?;
+            self.input.read_exact(&mut buffer[..length])?;
+            let windows = buffer[..length].windows(FRAME_MARKER.len()).zip(offset..);
+            let markers = windows.filter(|(window, _)| *window == FRAME_MARKER);
+            let candidates: Vec<u64> = markers.map(|(_, candidate)| candidate).collect();
+            for candidate in candidates {
+                if self.read_block(candidate)?.is_some() {
+                    return Ok(Some(candidate));
                 }
             }
-            // A mark may stand across the border of two parts.
-            at += (many - (MARK.len() - 1)).max(1) as u64;
+            // The parts overlap, because a marker may cross the end of one.
+            offset += (length - (FRAME_MARKER.len() - 1)).max(1) as u64;
         }
         Ok(None)
     }
 
-    fn more(&mut self) -> Result<bool, TraceError> {
+    /// Reads blocks until there are entries; false at the end of the file.
+    fn fill_entries(&mut self) -> Result<bool, TraceError> {
         while self.entries.is_empty() {
-            // The offset of the index stands behind it.
-            let left = self.length.saturating_sub(self.at);
-            if left == 0 || (left == 8 && self.index.is_some()) {
+            let left = self.length.saturating_sub(self.offset);
+            // Only the offset of the index follows the index.
+            if left == 0 || (left == INDEX_OFFSET_BYTES && self.index.is_some()) {
                 return Ok(false);
             }
-            match self.block(self.at)? {
-                Some((Kind::Records, payload, next)) => {
-                    self.blocks += 1;
-                    match Block::decode(&payload[..]) {
-                        Ok(block) => self.fill(block, next),
-                        Err(_) => self.fault(self.at, next, "a block that is no message"),
+            match self.read_block(self.offset)? {
+                Some(block) => {
+                    match block.kind {
+                        BlockKind::Records => self.decode_records(&block),
+                        BlockKind::Index => self.index = Index::decode(&block.payload[..]).ok(),
+                        BlockKind::Header | BlockKind::Other(_) => {}
                     }
-                    self.at = next;
-                }
-                Some((Kind::Index, payload, next)) => {
-                    self.index = Index::decode(&payload[..]).ok();
-                    self.at = next;
-                }
-                Some((_, _, next)) => self.at = next,
-                None => {
-                    let (from, found) = (self.at, self.seek_block(self.at + 1)?);
-                    let until = found.unwrap_or(self.length);
-                    let reason = if found.is_some() { "damaged" } else { "cut short or damaged" };
-                    self.fault(from, until, reason);
-                    self.at = until;
+                    self.offset = block.end;
                 }
+                None => self.skip_damaged_part()?,
             }
         }
         Ok(true)
     }
 
-    fn fill(&mut self, block: Block, next: u64) {
-        let strings = Arc::new(Strings::of(block.strings));
+    fn decode_records(&mut self, read: &ReadBlock) {
+        self.blocks += 1;
+        let Ok(block) = Block::decode(&read.payload[..]) else {
+            return self.add_fault(read.end, "a block that is no message");
+        };
+        let strings = Arc::new(Strings::from(block.strings));
         for bytes in block.records {
             match Record::decode(&bytes[..]) {
                 Ok(record) => self.entries.push_back(Entry { record, bytes, strings: strings.clone() }),
-                Err(_) => self.fault(self.at, next, "a record that is no message"),
+                Err(_) => self.add_fault(read.end, "a record that is no message"),
             }
         }
     }
 
-    fn fault(&mut self, offset: u64, until: u64, reason: &'static str) {
-        self.faults.push(Fault { offset, until, reason });
+    fn skip_damaged_part(&mut self) -> Result<(), TraceError> {
+        let next_block = self.find_block(self.offset + 1)?;
+        let until = next_block.unwrap_or(self.length);
+        let reason = if next_block.is_some() { "damaged" } else { "cut short or damaged" };
+        self.add_fault(until, reason);
+        self.offset = until;
+        Ok(())
+    }
+
+    /// Adds a fault that begins at the current block.
+    fn add_fault(&mut self, until: u64, reason: &'static str) {
+        self.faults.push(Fault { offset: self.offset, until, reason });
     }
 }
 
@@ -213,7 +250,7 @@
     type Item = Result<Entry, TraceError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        match self.more() {
+        match self.fill_entries() {
             Ok(true) => self.entries.pop_front().map(Ok),
             Ok(false) => None,
             Err(error) => Some(Err(error)),
@@ -222,21 +259,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::frame;
-    use std::io::Cursor;
-
-    /// Guards against reading a file whose fields may mean other things.
-    #[test]
-    fn a_later_form_is_told() {
-        let file = |form| {
-            let mut file = MAGIC.to_vec();
-            let header = Header { format_version: form, ..Header::default() };
-            frame::write(&mut file, Kind::Header, &header.encode_to_vec()).unwrap();
-            Reader::new(Cursor::new(file))
-        };
-        assert!(file(FORM).is_ok());
-        assert!(matches!(file(FORM + 1).unwrap_err(), TraceError::Newer(form) if form == FORM + 1));
-    }
-}
+mod tests;
--- a/crates/trace/src/strings.rs
+++ b/crates/trace/src/strings.rs
@@ -1,124 +1,149 @@
-//! Tables of strings, and the copying of records from one table to another without reading what they mean.
+//! String tables, and the translation of encoded records from one table to another.
+//!
+//! The translation works on the protobuf encoding alone, so it also applies to fields and events of later versions.
 
 use prost::encoding::{WireType, decode_key, decode_varint, encode_key, encode_varint};
 use std::collections::HashMap;
+use std::ops::RangeInclusive;
 
-/// Fields whose varints are numbers of strings, in every message within a record.
-const STRING_FIELDS: std::ops::RangeInclusive<u32> = 16..=31;
-/// The field of the request in a record, and its time: they are no messages.
-const DEEPEST: u32 = 8;
+/// Fields whose varints are references to strings, in every message within a record.
+const REFERENCE_FIELDS: RangeInclusive<u32> = 16..=31;
+/// The field of a record with the number of its manager.
+const MANAGER_FIELD: u32 = 14;
+/// Maximum depth of messages whose references are translated; it bounds the recursion for files that are not trusted.
+const MAX_DEPTH: u32 = 8;
 
-/// A table of strings: each has one number, from 1 on; 0 is the empty one.
+/// A string table. References count from 1; 0 is the empty string.
 #[derive(Debug, Clone, Default)]
 pub struct Strings {
-    numbers: HashMap<String, u32>,
+    references: HashMap<String, u32>,
     all: Vec<String>,
     bytes: usize,
 }
 
-impl Strings {
-    /// The table of a block.
-    pub fn of(all: Vec<String>) -> Strings {
-        let numbers = all.iter().zip(1..).map(|(text, number)| (text.clone(), number)).collect();
+impl From<Vec<String>> for Strings {
+    /// The table of a block that was read.
+    fn from(all: Vec<String>) -> Strings {
+        let references = all.iter().zip(1..).map(|(text, reference)| (text.clone(), reference)).collect();
         let bytes = all.iter().map(String::len).sum();
-        Strings { numbers, all, bytes }
+        Strings { references, all, bytes }
     }
+}
 
-    /// The number of a string, which is added where it is new.
-    pub fn number(&mut self, text: &str) -> u32 {
+impl Strings {
+    /// The reference to a string, which is added where it is new.
+    pub fn reference(&mut self, text: &str) -> u32 {
         if text.is_empty() {
             return 0;
         }
-        if let Some(number) = self.numbers.get(text) {
-            return *number;
+        if let Some(reference) = self.references.get(text) {
+            return *reference;
         }
         self.bytes += text.len();
         self.all.push(text.to_owned());
-        let number = self.all.len() as u32;
-        self.numbers.insert(text.to_owned(), number);
-        number
+        let reference = self.all.len() as u32;
+        self.references.insert(text.to_owned(), reference);
+        reference
     }
 
-    /// The string of a number; empty where there is none.
-    pub fn text(&self, number: u32) -> &str {
-        let at = (number as usize).checked_sub(1);
-        at.and_then(|at| self.all.get(at)).map_or("", String::as_str)
+    /// The string of a reference; empty where there is none.
+    pub fn text(&self, reference: u32) -> &str {
+        let position = (reference as usize).checked_sub(1);
+        position.and_then(|position| self.all.get(position)).map_or("", String::as_str)
     }
 
-    /// All strings, in the order of their numbers.
+    /// All strings, in the order of their references.
     pub fn all(&self) -> &[String] {
         &self.all
     }
 
-    /// Bytes of all strings.
+    /// Total length of the strings (bytes).
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// Copies a record's bytes, with the numbers of its strings changed; fields that nobody here knows go along.
-/// `None` where the bytes are no message.
-pub fn remap(record: &[u8], change: &mut impl FnMut(u32) -> u32) -> Option<Vec<u8>> {
-    message(record, change, 0)
+/// Copies an encoded record with its references to strings translated; all other fields are copied unchanged.
+///
+/// Returns `None` where the bytes are not a valid message.
+pub fn remap(record: &[u8], translate: &mut impl FnMut(u32) -> u32) -> Option<Vec<u8>> {
+    remap_message(record, translate, 0)
 }
 
-/// Copies a record's bytes with another manager's number (field 14), 0 for none.
-pub fn with_manager(record: &[u8], manager: u32) -> Option<Vec<u8>> {
-    const MANAGER: u32 = 14;
-    let (mut bytes, mut out) = (record, Vec::with_capacity(record.len() + 3));
+fn remap_message(mut bytes: &[u8], translate: &mut impl FnMut(u32) -> u32, depth: u32) -> Option<Vec<u8>> {
+    let mut out = Vec::with_capacity(bytes.len() + 8);
     while !bytes.is_empty() {
-        let before = bytes;
-        let (field, kind) = decode_key(&mut bytes).ok()?;
-        match kind {
-            WireType::Varint => drop(decode_varint(&mut bytes).ok()?),
-            WireType::SixtyFourBit => drop(take(&mut bytes, 8)?),
-            WireType::ThirtyTwoBit => drop(take(&mut bytes, 4)?),
+        let (field, wire_type) = decode_key(&mut bytes).ok()?;
+        encode_key(field, wire_type, &mut out);
+        match wire_type {
+            WireType::Varint => {
+                let value = decode_varint(&mut bytes).ok()?;
+                // The fields of the record itself are numbers; only the messages within it have references.
+                let is_reference = depth > 0 && REFERENCE_FIELDS.contains(&field);
+                let value = match u32::try_from(value) {
+                    Ok(reference) if is_reference => translate(reference).into(),
+                    _ => value,
+                };
+                encode_varint(value, &mut out);
+            }
+            WireType::SixtyFourBit => out.extend(take(&mut bytes, 8)?),
+            WireType::ThirtyTwoBit => out.extend(take(&mut bytes, 4)?),
             WireType::LengthDelimited => {
-                let length = usize::try_from(decode_varint(&mut bytes).ok()?).ok()?;
-                take(&mut bytes, length)?;
+                let inner = take_length_delimited(&mut bytes)?;
+                // The format allows no length-delimited fields but messages.
+                let inner = match depth < MAX_DEPTH {
+                    true => remap_message(inner, translate, depth + 1)?,
+                    false => inner.to_vec(),
+                };
+                encode_varint(inner.len() as u64, &mut out);
+                out.extend(inner);
             }
             WireType::StartGroup | WireType::EndGroup => return None,
         }
-        if field != MANAGER {
-            out.extend(&before[..before.len() - bytes.len()]);
-        }
-    }
-    if manager > 0 {
-        encode_key(MANAGER, WireType::Varint, &mut out);
-        encode_varint(manager.into(), &mut out);
     }
     Some(out)
 }
 
-fn message(mut bytes: &[u8], change: &mut impl FnMut(u32) -> u32, depth: u32) -> Option<Vec<u8>> {
-    let mut out = Vec::with_capacity(bytes.len() + 8);
+/// Copies an encoded record with another number of its manager, 0 for none.
+///
+/// Returns `None` where the bytes are not a valid message.
+pub fn with_manager(record: &[u8], manager: u32) -> Option<Vec<u8>> {
+    let mut bytes = record;
+    let mut out = Vec::with_capacity(record.len() + 3);
     while !bytes.is_empty() {
-        let (field, kind) = decode_key(&mut bytes).ok()?;
-        encode_key(field, kind, &mut out);
-        match kind {
+        let field_start = bytes;
+        let (field, wire_type) = decode_key(&mut bytes).ok()?;
+        match wire_type {
             WireType::Varint => {
-                let value = decode_varint(&mut bytes).ok()?;
-                // The record's own fields are below 16: only messages within it hold strings.
-                let string = depth > 0 && STRING_FIELDS.contains(&field);
-                let number = u32::try_from(value).ok().filter(|_| string);
-                encode_varint(number.map_or(value, |number| change(number).into()), &mut out);
+                decode_varint(&mut bytes).ok()?;
+            }
+            WireType::SixtyFourBit => {
+                take(&mut bytes, 8)?;
+            }
+            WireType::ThirtyTwoBit => {
+                take(&mut bytes, 4)?;
             }
-            WireType::SixtyFourBit => out.extend(take(&mut bytes, 8)?),
-            WireType::ThirtyTwoBit => out.extend(take(&mut bytes, 4)?),
             WireType::LengthDelimited => {
-                let length = usize::try_from(decode_varint(&mut bytes).ok()?).ok()?;
-                let inner = take(&mut bytes, length)?;
-                // Every length-delimited field of a record is a message, by the format's rule.
-                let inner = if depth < DEEPEST { message(inner, change, depth + 1)? } else { inner.to_vec() };
-                encode_varint(inner.len() as u64, &mut out);
-                out.extend(inner);
+                take_length_delimited(&mut bytes)?;
             }
             WireType::StartGroup | WireType::EndGroup => return None,
         }
+        if field != MANAGER_FIELD {
+            out.extend(&field_start[..field_start.len() - bytes.len()]);
+        }
+    }
+    if manager > 0 {
+        encode_key(MANAGER_FIELD, WireType::Varint, &mut out);
+        encode_varint(manager.into(), &mut out);
     }
     Some(out)
 }
 
+fn take_length_delimited<'a>(bytes: &mut &'a [u8]) -> Option<&'a [u8]> {
+    let length = usize::try_from(decode_varint(bytes).ok()?).ok()?;
+    take(bytes, length)
+}
+
 fn take<'a>(bytes: &mut &'a [u8], length: usize) -> Option<&'a [u8]> {
     let (taken, rest) = bytes.split_at_checked(length)?;
     *bytes = rest;
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,152 +1,180 @@
-//! Writes a trace, block by block.
+//! Writing a trace block by block.
 
-use crate::frame::{self, FORM, Kind, MAGIC};
+use crate::frame::{self, BlockKind, FORMAT_VERSION, MAGIC, MAX_PAYLOAD_BYTES};
 use crate::strings::with_manager;
 use crate::{Block, BlockSummary, Event, Header, Index, Record, Strings, TraceError, remap};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
-/// A block is written once its records and strings have so many bytes.
+/// Length of the records and strings (bytes, uncompressed) at which a block is written.
 pub const BLOCK_BYTES: usize = 128 * 1024;
+/// Maximum length of an encoded record: half a block's payload, which leaves as much for its strings.
+const MAX_RECORD_BYTES: usize = MAX_PAYLOAD_BYTES / 2;
 
-/// A trace that is being written. Without [`Writer::finish`] it has no index, and reads all the same.
+/// Writes a trace. Without [`Writer::finish`] the file has no index; its records can be read all the same.
 #[derive(Debug)]
 pub struct Writer<W> {
     out: W,
+    /// Offset of the next block.
     offset: u64,
+    block: OpenBlock,
+    index: Index,
+    /// Positions of the tenants in [`Index::tenants`].
+    tenant_positions: BTreeMap<String, u32>,
+}
+
+/// The block that is being filled.
+#[derive(Debug, Default)]
+struct OpenBlock {
     strings: Strings,
     records: Vec<Vec<u8>>,
-    bytes: usize,
-    indexed: BlockSummary,
+    record_bytes: usize,
+    first_us: i64,
+    last_us: i64,
+    /// Keys of the requests in the block.
     requests: BTreeSet<u64>,
+    /// Positions of the tenants in the block.
     tenants: BTreeSet<u32>,
-    index: Index,
-    tenant_numbers: BTreeMap<String, u32>,
+}
+
+impl OpenBlock {
+    fn add(&mut self, record: &Record, bytes: Vec<u8>) {
+        let is_first = self.records.is_empty();
+        self.first_us = if is_first { record.at_us } else { self.first_us.min(record.at_us) };
+        self.last_us = if is_first { record.at_us } else { self.last_us.max(record.at_us) };
+        if record.request > 0 {
+            self.requests.insert(record.key());
+        }
+        self.record_bytes += bytes.len();
+        self.records.push(bytes);
+    }
+
+    fn is_full(&self) -> bool {
+        self.record_bytes + self.strings.bytes() >= BLOCK_BYTES
+    }
+
+    /// The index entry of the block at this offset.
+    fn summary(&self, offset: u64) -> BlockSummary {
+        let mut previous = 0;
+        let mut difference = |request: &u64| request - std::mem::replace(&mut previous, *request);
+        BlockSummary {
+            offset,
+            first_us: self.first_us,
+            last_us: self.last_us,
+            records: self.records.len() as u64,
+            requests: self.requests.iter().map(&mut difference).collect(),
+            tenants: self.tenants.iter().copied().collect(),
+        }
+    }
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a trace with its header.
+    /// Begins a trace with its header; the format version is set here.
     pub fn new(mut out: W, header: Header) -> Result<Writer<W>, TraceError> {
         out.write_all(&MAGIC)?;
-        let header = Header { format_version: FORM, ..header };
-        let length = frame::write(&mut out, Kind::Header, &header.encode_to_vec())?;
+        let header = Header { format_version: FORMAT_VERSION, ..header };
+        let header_bytes = frame::write(&mut out, BlockKind::Header, &header.encode_to_vec())?;
         Ok(Writer {
             out,
-            offset: MAGIC.len() as u64 + length,
-            strings: Strings::default(),
-            records: Vec::new(),
-            bytes: 0,
-            indexed: BlockSummary::default(),
-            requests: BTreeSet::new(),
-            tenants: BTreeSet::new(),
+            offset: MAGIC.len() as u64 + header_bytes,
+            block: OpenBlock::default(),
             index: Index::default(),
-            tenant_numbers: BTreeMap::new(),
+            tenant_positions: BTreeMap::new(),
         })
     }
 
-    /// The number of a string in the block that is being filled: for the next record only.
+    /// The reference to a string in the current block; it is valid for the next record only.
     pub fn string(&mut self, text: &str) -> u32 {
-        self.strings.number(text)
+        self.block.strings.reference(text)
     }
 
-    /// Writes a record whose strings have numbers of this block.
+    /// Writes a record whose references are of the current block.
     pub fn write(&mut self, record: &Record) -> Result<(), TraceError> {
         self.add(record, record.encode_to_vec())
     }
 
-    /// Copies a record of another file as it stands there; `name` gives the strings of its numbers.
+    /// Copies an encoded record of another file with all its fields; `text` gives the string of a reference there.
     pub fn copy(
         &mut self,
         record: &Record,
         bytes: &[u8],
-        mut name: impl FnMut(u32) -> String,
+        mut text: impl FnMut(u32) -> String,
     ) -> Result<(), TraceError> {
-        let strings = &mut self.strings;
-        let copied = remap(bytes, &mut |number| strings.number(&name(number)));
+        let strings = &mut self.block.strings;
+        let copied = remap(bytes, &mut |reference| strings.reference(&text(reference)));
         let copied = copied.ok_or(TraceError::TooLarge(bytes.len()))?;
-        // What the index wants to know of it has the numbers of its new block.
-        let known = Record::decode(&copied[..]).unwrap_or_else(|_| record.clone());
-        self.add(&known, copied)
+        // The index needs the references of the current block.
+        let record = Record::decode(&copied[..]).unwrap_or_else(|_| record.clone());
+        self.add(&record, copied)
     }
 
-    /// Copies a record of a manager that has this number in the file that is written.
+    /// Copies an encoded record like [`Writer::copy`], with its manager's number in this file.
     pub fn copy_as(
         &mut self,
         record: &Record,
         bytes: &[u8],
         manager: u32,
-        name: impl FnMut(u32) -> String,
+        text: impl FnMut(u32) -> String,
     ) -> Result<(), TraceError> {
         let bytes = with_manager(bytes, manager).ok_or(TraceError::TooLarge(bytes.len()))?;
-        self.copy(record, &bytes, name)
+        self.copy(record, &bytes, text)
     }
 
     fn add(&mut self, record: &Record, bytes: Vec<u8>) -> Result<(), TraceError> {
-        if bytes.len() > frame::LONGEST / 2 {
+        if bytes.len() > MAX_RECORD_BYTES {
             return Err(TraceError::TooLarge(bytes.len()));
         }
-        let first = self.records.is_empty();
-        let indexed = &mut self.indexed;
-        indexed.first_us = if first { record.at_us } else { indexed.first_us.min(record.at_us) };
-        indexed.last_us = if first { record.at_us } else { indexed.last_us.max(record.at_us) };
-        if record.request > 0 {
-            self.requests.insert(record.key());
-        }
-        let tenant = match &record.event {
-            Some(Event::RequestReceived(taken)) => taken.tenant,
-            Some(Event::TenantChanged(tenant)) => tenant.tenant,
+        self.block.add(record, bytes);
+        self.index_tenant(record);
+        self.count_event(record);
+        if self.block.is_full() { self.flush() } else { Ok(()) }
+    }
+
+    fn index_tenant(&mut self, record: &Record) {
+        let reference = match &record.event {
+            Some(Event::RequestReceived(received)) => received.tenant,
+            Some(Event::TenantChanged(changed)) => changed.tenant,
             _ => 0,
         };
-        if tenant > 0 {
-            let next = self.tenant_numbers.len() as u32;
-            let name = self.strings.text(tenant).to_owned();
-            let number = *self.tenant_numbers.entry(name.clone()).or_insert(next);
-            if number == next {
-                self.index.tenants.push(name);
-            }
-            self.tenants.insert(number);
+        if reference == 0 {
+            return;
         }
-        let kind = record.event_tag();
-        self.index.kinds.resize(self.index.kinds.len().max(kind + 1), 0);
-        self.index.kinds[kind] += 1;
-        self.bytes += bytes.len();
-        self.records.push(bytes);
-        if self.bytes + self.strings.bytes() >= BLOCK_BYTES { self.flush() } else { Ok(()) }
+        let name = self.block.strings.text(reference).to_owned();
+        let next_position = self.tenant_positions.len() as u32;
+        let position = *self.tenant_positions.entry(name.clone()).or_insert(next_position);
+        if position == next_position {
+            self.index.tenants.push(name);
+        }
+        self.block.tenants.insert(position);
+    }
+
+    fn count_event(&mut self, record: &Record) {
+        let tag = record.event_tag();
+        let counts = &mut self.index.kinds;
+        counts.resize(counts.len().max(tag + 1), 0);
+        counts[tag] += 1;
     }
 
-    /// Writes out the block that is being filled.
+    /// Writes the current block and flushes the output.
     pub fn flush(&mut self) -> Result<(), TraceError> {
-        if self.records.is_empty() {
+        if self.block.records.is_empty() {
             return Ok(());
         }
-        let strings = std::mem::take(&mut self.strings);
-        let records = std::mem::take(&mut self.records);
-        let many = records.len() as u64;
-        let block = Block { strings: strings.all().to_vec(), records };
-        let length = frame::write(&mut self.out, Kind::Records, &block.encode_to_vec())?;
-        let mut before = 0;
-        let requests = std::mem::take(&mut self.requests).into_iter();
-        let requests = requests.map(|request| request - std::mem::replace(&mut before, request)).collect();
-        let tenants = std::mem::take(&mut self.tenants).into_iter().collect();
-        let indexed = std::mem::take(&mut self.indexed);
-        self.index.blocks.push(BlockSummary {
-            offset: self.offset,
-            records: many,
-            requests,
-            tenants,
-            ..indexed
-        });
-        self.offset += length;
-        self.bytes = 0;
+        let block = std::mem::take(&mut self.block);
+        let summary = block.summary(self.offset);
+        let encoded = Block { strings: block.strings.all().to_vec(), records: block.records }.encode_to_vec();
+        let block_bytes = frame::write(&mut self.out, BlockKind::Records, &encoded)?;
+        self.index.blocks.push(summary);
+        self.offset += block_bytes;
         self.out.flush()?;
         Ok(())
     }
 
-    /// Writes what is left, and the index.
+    /// Writes the last block and the index; returns the output.
     pub fn finish(mut self) -> Result<W, TraceError> {
         self.flush()?;
-        frame::write(&mut self.out, Kind::Index, &self.index.encode_to_vec())?;
+        frame::write(&mut self.out, BlockKind::Index, &self.index.encode_to_vec())?;
         self.out.write_all(&self.offset.to_le_bytes())?;
         self.out.flush()?;
         Ok(self.out)
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -1,5 +1,5 @@
-//! The format against what it promises: what is written reads back, what is damaged costs no more than its blocks,
-//! and what is not known goes along.
+//! The guarantees of the format: written records are read back, damage loses only the blocks that it hits, and unknown
+//! fields survive a copy.
 
 use proptest::prelude::*;
 use sanddyke_trace::generate::{Plan, generate};
@@ -24,7 +24,7 @@
     }
 }
 
-/// Traces of some requests, one a manager.
+/// Generated traces, one for each manager.
 fn traces(requests: u64, managers: usize) -> Vec<Vec<u8>> {
     let files: Vec<Shared> = (0..managers).map(|_| Shared::default()).collect();
     let plan = Plan { requests, clock_offsets_us: vec![0; managers], seed: 5, tenants: 7 };
@@ -36,8 +36,8 @@
     Reader::new(Cursor::new(file.to_vec())).unwrap()
 }
 
-/// All records in words, and the faults.
-fn told(file: &[u8]) -> (Vec<(i64, u64, String)>, usize) {
+/// The descriptions of all records with their times and requests, and the number of unreadable parts.
+fn descriptions(file: &[u8]) -> (Vec<(i64, u64, String)>, usize) {
     let mut reader = open(file);
     let all = reader
         .by_ref()
@@ -50,9 +50,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// What is written reads back the same, over any number of blocks.
+    /// Written records are read back equal, over any number of blocks.
     #[test]
-    fn what_is_written_reads_back(records in prop::collection::vec((any::<i64>(), any::<u64>(), "[a-z]{0,9}", 0u32..9), 0..400),
+    fn written_records_are_read_back(records in prop::collection::vec((any::<i64>(), any::<u64>(), "[a-z]{0,9}", 0u32..9), 0..400),
                                   flush in 1usize..50) {
         let mut file = Vec::new();
         let mut writer = Writer::new(&mut file, Header { manager: "m".into(), ..Header::default() }).unwrap();
@@ -77,9 +77,9 @@
         prop_assert!(tools::verify(&mut open(&file)).unwrap().is_empty());
     }
 
-    /// Any bytes are read without a panic, and without an endless search.
+    /// Any bytes are read to the end, without a panic and without an endless search.
     #[test]
-    fn any_bytes_are_read_to_an_end(bytes in prop::collection::vec(any::<u8>(), 0..3000), marks in prop::collection::vec(0usize..3000, 0..5)) {
+    fn reading_any_bytes_terminates_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..3000), marks in prop::collection::vec(0usize..3000, 0..5)) {
         let mut file = sanddyke_trace::MAGIC.to_vec();
         file.extend(bytes);
         for at in marks {
@@ -93,17 +93,17 @@
     }
 }
 
-/// A file cut anywhere is read up to its last whole block, and the tool says what is missing.
+/// A file that is truncated anywhere is read up to its last intact block, and can be recovered up to there.
 #[test]
-fn a_file_cut_short_is_read_up_to_its_last_whole_block() {
+fn a_truncated_file_is_read_up_to_its_last_intact_block() {
     let file = &traces(3000, 1)[0];
-    let whole = told(file).0;
+    let whole = descriptions(file).0;
     let index = open(file).seek_index().unwrap().unwrap();
     assert!(index.blocks.len() > 3, "{} blocks", index.blocks.len());
     let mut cuts: Vec<usize> = (0..60).map(|part| file.len() * part / 60).collect();
     cuts.extend(index.blocks.iter().flat_map(|block| [block.offset as usize, block.offset as usize + 1]));
     for cut in cuts.into_iter().filter(|cut| *cut >= 200) {
-        let (read, faults) = told(&file[..cut]);
+        let (read, faults) = descriptions(&file[..cut]);
         let ends = index.blocks.iter().skip(1).map(|block| block.offset as usize);
         let before = ends.filter(|end| *end <= cut).count();
         let expected: u64 = index.blocks.iter().take(before).map(|block| block.records).sum();
@@ -117,21 +117,21 @@
         let mut mended = Vec::new();
         tools::recover(&mut open(&file[..cut]), &mut mended).unwrap();
         assert!(tools::verify(&mut open(&mended)).unwrap().is_empty(), "cut at {cut}");
-        assert_eq!(told(&mended).0, read, "cut at {cut}");
+        assert_eq!(descriptions(&mended).0, read, "cut at {cut}");
     }
 }
 
-/// Damage anywhere costs the blocks that it hits and no others.
+/// Damage anywhere loses the blocks that it hits and no others.
 #[test]
-fn damage_costs_the_blocks_that_it_hits() {
+fn damage_loses_only_the_blocks_that_it_hits() {
     let file = &traces(3000, 1)[0];
-    let whole = told(file).0;
+    let whole = descriptions(file).0;
     let index = open(file).seek_index().unwrap().unwrap();
     for (number, block) in index.blocks.iter().enumerate() {
         for at in [0, 5, 13, 17, 30, 400] {
             let mut bad = file.clone();
             bad[block.offset as usize + at] ^= 0x10;
-            let (read, faults) = told(&bad);
+            let (read, faults) = descriptions(&bad);
             assert_eq!(faults, 1, "block {number}, byte {at}");
             assert_eq!(read.len() as u64, whole.len() as u64 - block.records, "block {number}, byte {at}");
             assert!(!tools::verify(&mut open(&bad)).unwrap().is_empty());
@@ -139,13 +139,12 @@
     }
     let mut none = file.clone();
     none[0] ^= 1;
-    assert!(matches!(Reader::new(Cursor::new(none)).unwrap_err(), TraceError::NoTrace));
+    assert!(matches!(Reader::new(Cursor::new(none)).unwrap_err(), TraceError::NotATrace));
 }
 
-/// A record of a kind that this version does not know, and fields that it does not know, go along with their
-/// strings wherever records are copied.
+/// An event of an unknown kind, and unknown fields, are copied together with their strings.
 #[test]
-fn what_is_not_known_goes_along() {
+fn unknown_events_and_fields_survive_a_copy() {
     let mut file = Vec::new();
     let mut writer = Writer::new(&mut file, Header::default()).unwrap();
     let word = writer.string("a word of a later version");
@@ -168,9 +167,10 @@
     assert_eq!(entry.record.request, 5);
 }
 
-/// A cut has whole stories and no others; the parts by tenant are the whole; counts agree between tools.
+/// A cut contains all records of the selected requests and no others, the cuts by tenant add up to the whole file, and
+/// the tools agree on the counts.
 #[test]
-fn tools_agree_with_each_other() {
+fn cut_summary_and_info_agree() {
     let file = &traces(4000, 1)[0];
     let whole = tools::summary(&mut open(file)).unwrap();
     let info = tools::info(&mut open(file)).unwrap();
@@ -200,9 +200,9 @@
     assert!((service - 1.0).abs() < 1e-9);
 }
 
-/// Nothing of a name is left, the same name is the same within a file, and the counts stay.
+/// No name is left, a name has one pseudonym within a file, and the counts are unchanged.
 #[test]
-fn an_anonymous_copy_holds_no_names() {
+fn an_anonymised_copy_contains_no_names() {
     let file = &traces(1500, 1)[0];
     let mut copy = Vec::new();
     tools::anonymise(&mut open(file), &[7; 32], &mut copy).unwrap();
@@ -232,12 +232,12 @@
     assert_ne!(tenant(&copy), tenant(&again), "another secret, other names");
 }
 
-/// A story is told in order, from its taking to its answer.
+/// The records of a request begin with its reception and end with its response.
 #[test]
-fn each_story_runs_from_its_taking_to_its_answer() {
+fn each_request_begins_with_its_reception_and_ends_with_its_response() {
     let file = &traces(500, 1)[0];
     let mut stories: BTreeMap<u64, Vec<String>> = BTreeMap::new();
-    for (_, request, words) in told(file).0.into_iter().filter(|(_, request, _)| *request > 0) {
+    for (_, request, words) in descriptions(file).0.into_iter().filter(|(_, request, _)| *request > 0) {
         stories.entry(request).or_default().push(words);
     }
     assert!(stories.len() >= 500);
@@ -252,32 +252,36 @@
     );
 }
 
-fn skewed(skews: &[i64], requests: u64) -> Vec<Vec<u8>> {
-    let files: Vec<Shared> = skews.iter().map(|_| Shared::default()).collect();
-    let plan = Plan { requests, clock_offsets_us: skews.to_vec(), seed: 9, tenants: 5 };
+fn traces_with_offsets(offsets_us: &[i64], requests: u64) -> Vec<Vec<u8>> {
+    let files: Vec<Shared> = offsets_us.iter().map(|_| Shared::default()).collect();
+    let plan = Plan { requests, clock_offsets_us: offsets_us.to_vec(), seed: 9, tenants: 5 };
     generate(&plan, |manager| Ok(files[manager].clone())).unwrap();
     files.into_iter().map(|file| file.0.lock().unwrap().clone()).collect()
 }
 
-fn merged(files: &[&Vec<u8>]) -> (Vec<u8>, sanddyke_trace::merge::Merged) {
+fn merge_traces(files: &[&Vec<u8>]) -> (Vec<u8>, sanddyke_trace::merge::Merged) {
     let mut out = Vec::new();
-    let told = sanddyke_trace::merge::merge(files.len(), |number| Ok(open(files[number])), &mut out).unwrap();
-    (out, told)
+    let merged =
+        sanddyke_trace::merge::merge(files.len(), |number| Ok(open(files[number])), &mut out).unwrap();
+    (out, merged)
 }
 
-/// Three managers whose clocks differ by some ms: the true offsets lie within what is told, a client's tries stand in
-/// order, each manager's records too, and nothing is lost.
+/// With three clocks that differ by some ms, the true offsets are within the error bounds, a client's attempts and each
+/// manager's records are in order, and no record is lost.
 #[test]
-fn merged_stories_stand_in_order() {
-    let skews = [0, 1_700, -2_300];
-    let files = skewed(&skews, 20_000);
-    let (file, told) = merged(&files.iter().collect::<Vec<_>>());
-    for (offset, skew) in told.offsets.iter().zip(skews) {
-        assert!((offset.ahead_us - skew).abs() <= offset.within_us, "{offset:?}, in truth {skew}");
-        assert!(offset.within_us < 1_500, "{offset:?} of {} ties", told.ties);
+fn merged_records_are_ordered_and_offsets_are_within_their_bounds() {
+    let true_offsets_us = [0, 1_700, -2_300];
+    let files = traces_with_offsets(&true_offsets_us, 20_000);
+    let (file, merged) = merge_traces(&files.iter().collect::<Vec<_>>());
+    for (offset, true_us) in merged.offsets.iter().zip(true_offsets_us) {
+        assert!(
+            (offset.ahead_us - true_us).abs() <= offset.error_bound_us,
+            "{offset:?}, true offset {true_us}"
+        );
+        assert!(offset.error_bound_us < 1_500, "{offset:?} of {} ties", merged.constraints);
     }
     let records: u64 = files.iter().map(|file| tools::info(&mut open(file)).unwrap().records).sum();
-    assert_eq!(told.records, records);
+    assert_eq!(merged.records, records);
     let (mut last, mut tries, mut open_keys) = ([i64::MIN; 4], BTreeMap::new(), BTreeMap::new());
     for entry in open(&file) {
         let entry = entry.unwrap();
@@ -298,21 +302,21 @@
     assert!(open_keys.is_empty());
 }
 
-/// Merging is the same in any order of the files, and whichever are merged first.
+/// The result depends neither on the order of the files nor on which of them were merged before.
 #[test]
-fn merging_is_the_same_in_any_order() {
-    let files = skewed(&[0, 900, -1_400], 6_000);
+fn a_merge_does_not_depend_on_the_order_of_the_files() {
+    let files = traces_with_offsets(&[0, 900, -1_400], 6_000);
     let [a, b, c] = &files[..] else { panic!() };
-    let all = merged(&[a, b, c]).0;
-    assert!(merged(&[c, a, b]).0 == all);
-    assert!(merged(&[&merged(&[a, b]).0, c]).0 == all);
-    assert!(merged(&[a, &merged(&[c, b]).0]).0 == all);
+    let all = merge_traces(&[a, b, c]).0;
+    assert!(merge_traces(&[c, a, b]).0 == all);
+    assert!(merge_traces(&[&merge_traces(&[a, b]).0, c]).0 == all);
+    assert!(merge_traces(&[a, &merge_traces(&[c, b]).0]).0 == all);
 }
 
-/// Where nothing ties two files they are not merged by a guess, nor is a manager merged with itself.
+/// Files without matching attempts are not merged by a guess, nor is a manager merged with itself.
 #[test]
-fn what_nothing_ties_is_not_guessed() {
-    let one = &skewed(&[0], 50)[0];
+fn unrelated_files_and_duplicate_managers_are_not_merged() {
+    let one = &traces_with_offsets(&[0], 50)[0];
     let mut other = Vec::new();
     let header = Header { manager: "m7".to_owned(), ..Header::default() };
     Writer::new(&mut other, header).unwrap().finish().unwrap();
