--- a/crates/testbed/src/engine.rs
+++ b/crates/testbed/src/engine.rs
@@ -36,8 +36,8 @@
     pub address: SocketAddr,
     /// Work that it has finished, in whole ms of one thread.
     pub done_ms: Arc<AtomicU64>,
-    /// Requests that it was sent.
-    pub taken: Arc<AtomicU64>,
+    /// Number of requests that it has received.
+    pub received: Arc<AtomicU64>,
     speed: watch::Sender<f64>,
 }
 
@@ -73,16 +73,17 @@
 pub async fn start(spec: Spec) -> std::io::Result<Engine> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let (done_ms, taken) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+    let done_ms = Arc::new(AtomicU64::new(0));
+    let received = Arc::new(AtomicU64::new(0));
     let (orders, inbox) = mpsc::channel(MOST_WORDS);
     let speed = watch::Sender::new(1.0);
-    tokio::spawn(run(spec, inbox, done_ms.clone(), taken.clone(), speed.subscribe()));
+    tokio::spawn(run(spec, inbox, done_ms.clone(), received.clone(), speed.subscribe()));
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(connection(stream, orders.clone()));
         }
     });
-    Ok(Engine { address, done_ms, taken, speed })
+    Ok(Engine { address, done_ms, received, speed })
 }
 
 async fn connection(stream: TcpStream, orders: mpsc::Sender<Order>) -> std::io::Result<()> {
@@ -130,7 +131,7 @@
     spec: Spec,
     mut inbox: mpsc::Receiver<Order>,
     done: Arc<AtomicU64>,
-    taken: Arc<AtomicU64>,
+    received: Arc<AtomicU64>,
     speeds: watch::Receiver<f64>,
 ) {
     let mut queries: HashMap<String, Query> = HashMap::new();
@@ -141,7 +142,7 @@
             order = inbox.recv(), if *speeds.borrow() > 0.0 => match order {
                 None => return,
                 Some(Order::Request { id, statement, words }) => {
-                    taken.fetch_add(1, Ordering::Relaxed);
+                    received.fetch_add(1, Ordering::Relaxed);
                     let work = told(&statement, "work").unwrap_or(10.0).max(0.1);
                     let threads = told(&statement, "threads").unwrap_or(1.0).max(1.0);
                     let memory = told(&statement, "mem").unwrap_or(0.0).max(0.0);
@@ -186,22 +187,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Two queries on one core take twice as long as one, and a stopped one leaves its part to the other.
-    #[tokio::test(flavor = "current_thread")]
-    async fn queries_share_the_cores() {
-        let engine = start(Spec { cores: 1.0, memory_mb: 100.0 }).await.unwrap();
-        let mut stream = TcpStream::connect(engine.address).await.unwrap();
-        let request = |id: &str| format!("REQ {id} sort=a,patience=9s,urgency=1 8\r\nwork=100\r\n");
-        let began = Instant::now();
-        stream.write_all(format!("{}{}", request("a"), request("b")).as_bytes()).await.unwrap();
-        let mut lines = BufReader::new(stream);
-        let mut line = String::new();
-        lines.read_line(&mut line).await.unwrap();
-        assert!(line.contains(" 200 sheets=1,toil=100.0"), "{line}");
-        assert!(began.elapsed() >= Duration::from_millis(190), "{:?}", began.elapsed());
-        assert_eq!(engine.taken.load(Ordering::Relaxed), 2);
-    }
-}
+mod tests;
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,8 +1,7 @@
 //! Experiments as TOML files: engines, classes, tenants with their traffic, and steps on the way.
 
-use crate::RigError;
-use crate::engine::Engine;
-use crate::names::Names;
+use crate::TestbedError;
+use crate::name_server::EndpointState;
 use serde::Deserialize;
 use std::path::Path;
 
@@ -135,36 +134,13 @@
 pub struct EngineChange {
     /// Its number, from 0.
     pub number: usize,
-    /// How the name service lists it.
-    pub listed: Option<Listed>,
-    /// Its speed from now on, 1 as it began; at 0 it stands still and reads nothing.
+    /// State in which the name server lists it from now on.
+    #[serde(rename = "listed")]
+    pub state: Option<EndpointState>,
+    /// Speed from now on, relative to the initial one; at 0 it is suspended and reads nothing.
     pub speed: Option<f64>,
 }
 
-/// How the name service lists an engine.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Listed {
-    /// It takes requests.
-    Ready,
-    /// It finishes what it has.
-    Draining,
-    /// It is not listed.
-    Gone,
-}
-
-impl EngineChange {
-    /// Makes the change.
-    pub fn carry_out(&self, engines: &[Engine], names: &Names) -> Result<(), RigError> {
-        let engine = engines.get(self.number);
-        let engine = engine
-            .ok_or_else(|| RigError::Step("engine".to_owned(), format!("no number {}", self.number)))?;
-        self.listed.into_iter().for_each(|listed| names.list(self.number, listed));
-        self.speed.into_iter().for_each(|speed| engine.set_speed(speed));
-        Ok(())
-    }
-}
-
 fn repeatable() -> String {
     "repeatable".to_owned()
 }
@@ -187,11 +163,11 @@
 
 impl Experiment {
     /// Reads a file.
-    pub fn read(path: &Path) -> Result<Experiment, RigError> {
-        let wrong = |why: String| RigError::Experiment(path.to_owned(), why);
-        let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
-        let experiment: Experiment = toml::from_str(&text).map_err(|error| wrong(error.to_string()))?;
-        experiment.check().map_err(wrong)?;
+    pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
+        let invalid = |reason: String| TestbedError::Experiment { path: path.to_owned(), reason };
+        let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+        let experiment: Experiment = toml::from_str(&text).map_err(|error| invalid(error.to_string()))?;
+        experiment.check().map_err(invalid)?;
         Ok(experiment)
     }
 
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,9 +1,9 @@
 //! Faults between the processes of a fleet: one after another from a seed, or one kind at a time to see how long a lease
 //! is without a holder.
 
-use crate::RigError;
+use crate::TestbedError;
 use crate::fleet::{Fleet, Plan};
-use crate::links::Trouble;
+use crate::links::LinkFault;
 use crate::report;
 use oorandom::Rand64;
 use std::fmt::Write;
@@ -66,7 +66,7 @@
         matches!(self, Kind::Terminated | Kind::Drained | Kind::HandedOver)
     }
 
-    async fn strike(self, fleet: &mut Fleet, holder: usize) -> Result<(), RigError> {
+    async fn strike(self, fleet: &mut Fleet, holder: usize) -> Result<(), TestbedError> {
         let all: Vec<usize> = (0..fleet.size()).collect();
         match self {
             Kind::Killed => fleet.kill(holder).await?,
@@ -82,11 +82,11 @@
         Ok(())
     }
 
-    async fn mend(self, fleet: &mut Fleet, holder: usize) -> Result<(), RigError> {
+    async fn mend(self, fleet: &mut Fleet, holder: usize) -> Result<(), TestbedError> {
         match self {
             Kind::Killed | Kind::Terminated => fleet.run(holder)?,
             Kind::Stopped => fleet.stop(holder, false).await?,
-            Kind::Mute | Kind::Deaf | Kind::CutOff => fleet.links.mend(),
+            Kind::Mute | Kind::Deaf | Kind::CutOff => fleet.links.clear_faults(),
             Kind::Drained => drop(fleet.ops(holder, "POST", "/admin/resume").await?),
             Kind::HandedOver => {}
         }
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// What did not hold, or could not be run.
-pub async fn play(binary: &Path, seed: u64, lasting: Duration) -> Result<Played, RigError> {
+pub async fn play(binary: &Path, seed: u64, lasting: Duration) -> Result<Played, TestbedError> {
     let mut rng = Rand64::new(u128::from(seed));
     let managers = 3 + rng.rand_range(0..3) as usize;
     let plan = Plan { managers, seed, ..Plan::default() };
@@ -126,9 +126,15 @@
         let (to_holder, other) = (rng.rand_float() < 0.7, rng.rand_range(0..managers as u64) as usize);
         let struck = fleet.holder(LEASE).await.filter(|_| to_holder).unwrap_or(other);
         if rng.rand_float() < 0.4 {
-            let (loss, twice) = (0.2 * rng.rand_float(), 0.2 * rng.rand_float());
+            let (loss, duplication) = (0.2 * rng.rand_float(), 0.2 * rng.rand_float());
             let jitter_ms = rng.rand_range(1..100);
-            fleet.trouble(Trouble { delay_ms: 1, jitter_ms, loss, twice, ..Trouble::default() });
+            fleet.set_all_links(LinkFault {
+                delay_ms: 1,
+                jitter_ms,
+                loss,
+                duplication,
+                ..LinkFault::default()
+            });
         }
         if rng.rand_float() < 0.3 {
             fleet.links.reset();
@@ -136,16 +142,16 @@
         kind.strike(&mut fleet, struck).await?;
         tokio::time::sleep(Duration::from_millis(rng.rand_range(50..4000))).await;
         kind.mend(&mut fleet, struck).await?;
-        fleet.links.mend();
+        fleet.links.clear_faults();
         tokio::time::sleep(Duration::from_millis(rng.rand_range(50..2000))).await;
     }
     fleet.wait_for_holder(LEASE, None).await?;
     let history = fleet.history()?;
-    history.check().map_err(|error| RigError::Step(format!("seed {seed}"), error.to_string()))?;
+    history.check().map_err(|error| TestbedError::step(format!("seed {seed}"), error.to_string()))?;
     let (products, backups) = (history.products(), fleet.backups()?);
     // One that was killed between an act and its line made one more than its log says, each time.
     if backups.len() < products.len() {
-        return Err(RigError::Step(
+        return Err(TestbedError::step(
             format!("seed {seed}"),
             format!("{} backups of {} are there", backups.len(), products.len()),
         ));
@@ -172,7 +178,7 @@
 }
 
 /// Strikes the holder so many times with each kind of fault, on one fleet of three, and measures.
-pub async fn measure(binary: &Path, times: usize, lease_ms: u64) -> Result<Vec<Row>, RigError> {
+pub async fn measure(binary: &Path, times: usize, lease_ms: u64) -> Result<Vec<Row>, TestbedError> {
     let plan = Plan { lease_ms, ..Plan::default() };
     let mut fleet = Fleet::start(binary, plan).await?;
     let mut rows = Vec::new();
@@ -193,7 +199,7 @@
         gaps_ms.sort_by(f64::total_cmp);
         rows.push(Row { kind, gaps_ms });
     }
-    fleet.history()?.check().map_err(|error| RigError::Step("measure".to_owned(), error.to_string()))?;
+    fleet.history()?.check().map_err(|error| TestbedError::step("measure".to_owned(), error.to_string()))?;
     Ok(rows)
 }
 
@@ -210,7 +216,7 @@
 }
 
 /// The rows as a chart.
-pub fn chart(rows: &[Row], lease_ms: u64, path: &Path) -> Result<(), RigError> {
+pub fn chart(rows: &[Row], lease_ms: u64, path: &Path) -> Result<(), TestbedError> {
     let title = format!("Time without a holder (ms), leases of {lease_ms} ms");
     let values = |row: &Row| {
         let (middle, longest) = row.middle_and_longest();
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,10 +1,10 @@
 //! Several real processes of the program as one fleet, with faults between them: killed, stopped and continued,
 //! restarted with their files or without, and with links that the rig holds. Every process ends with the fleet.
 
-use crate::RigError;
+use crate::TestbedError;
 use crate::experiment::Class;
 use crate::history::{Event, History};
-use crate::links::{Links, Trouble};
+use crate::links::{LinkFault, Links};
 use crate::program::{TOKEN, call, settings};
 use serde_json::{Value, json};
 use std::net::{IpAddr, SocketAddr};
@@ -76,9 +76,9 @@
 
 impl Fleet {
     /// Starts all managers, and the links between them.
-    pub async fn start(binary: &Path, plan: Plan) -> Result<Fleet, RigError> {
+    pub async fn start(binary: &Path, plan: Plan) -> Result<Fleet, TestbedError> {
         if plan.managers > MOST || plan.voters > plan.managers {
-            return Err(RigError::Program(format!(
+            return Err(TestbedError::Program(format!(
                 "a fleet has at most {MOST} managers, of which some vote"
             )));
         }
@@ -93,7 +93,7 @@
         for number in 0..plan.managers {
             let spread = a.wrapping_add((number as u8) << 3);
             let address = IpAddr::from([127, place, spread, b]);
-            links.pass_on(SocketAddr::new(address, 9200), SocketAddr::new(address, 9100)).await?;
+            links.relay(SocketAddr::new(address, 9200), SocketAddr::new(address, 9100)).await?;
             managers.push(One { address, child: None, logs: Vec::new(), stopped: false });
         }
         let binary = binary.to_owned();
@@ -117,7 +117,7 @@
     }
 
     /// Makes the tenant of [`Fleet::ask`] at every manager: each has a store of its own.
-    pub async fn make_tenant(&self) -> Result<(), RigError> {
+    pub async fn make_tenant(&self) -> Result<(), TestbedError> {
         for number in self.running() {
             call(self.admin(number), "POST", "/v1/tenants", &json!({ "name": TENANT }).to_string()).await?;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Sends a manager a query under a number; gives the status and how long the answer took.
-    pub async fn ask(&self, manager: usize, number: u64) -> Result<(u16, Duration), RigError> {
+    pub async fn ask(&self, manager: usize, number: u64) -> Result<(u16, Duration), TestbedError> {
         let (began, body) = (Instant::now(), "work=5 SELECT 1 FROM s_1.t");
         let mut stream = TcpStream::connect(self.http(manager)).await?;
         let request = format!(
@@ -191,7 +191,7 @@
     }
 
     /// Starts a manager that does not run.
-    pub fn run(&mut self, number: usize) -> Result<(), RigError> {
+    pub fn run(&mut self, number: usize) -> Result<(), TestbedError> {
         let path = self.folder.path().join(format!("m{number}.json"));
         std::fs::write(&path, self.config(number).to_string())?;
         let life = self.managers[number].logs.len();
@@ -201,14 +201,14 @@
         command.stderr(std::fs::File::create(&log)?).stdout(std::process::Stdio::null());
         let child = command
             .spawn()
-            .map_err(|error| RigError::Program(format!("{}: {error}", self.binary.display())))?;
+            .map_err(|error| TestbedError::Program(format!("{}: {error}", self.binary.display())))?;
         let one = &mut self.managers[number];
         (one.child, one.stopped) = (Some(child), false);
         one.logs.push(log);
         Ok(())
     }
 
-    async fn signal(&mut self, number: usize, name: &str) -> Result<(), RigError> {
+    async fn signal(&mut self, number: usize, name: &str) -> Result<(), TestbedError> {
         let id = self.managers[number].child.as_ref().and_then(Child::id);
         let Some(id) = id else { return Ok(()) };
         // By its own id, and nothing else.
@@ -217,7 +217,7 @@
     }
 
     /// Kills a manager at once.
-    pub async fn kill(&mut self, number: usize) -> Result<(), RigError> {
+    pub async fn kill(&mut self, number: usize) -> Result<(), TestbedError> {
         if let Some(mut child) = self.managers[number].child.take() {
             child.kill().await?;
             self.history.add(unix_us(), number, Event::Killed);
@@ -226,37 +226,37 @@
     }
 
     /// Tells a manager to end, and waits until it has.
-    pub async fn terminate(&mut self, number: usize) -> Result<(), RigError> {
+    pub async fn terminate(&mut self, number: usize) -> Result<(), TestbedError> {
         self.signal(number, "-TERM").await?;
         if let Some(mut child) = self.managers[number].child.take() {
             let ended = tokio::time::timeout(WITHIN, child.wait()).await;
-            let ended = ended.map_err(|_| RigError::Program(format!("m{number} does not end")))??;
+            let ended = ended.map_err(|_| TestbedError::Program(format!("m{number} does not end")))??;
             if !ended.success() {
-                return Err(RigError::Program(format!("m{number} ended with {ended}")));
+                return Err(TestbedError::Program(format!("m{number} ended with {ended}")));
             }
         }
         Ok(())
     }
 
     /// Has a manager stand still, or go on.
-    pub async fn stop(&mut self, number: usize, stopped: bool) -> Result<(), RigError> {
+    pub async fn stop(&mut self, number: usize, stopped: bool) -> Result<(), TestbedError> {
         self.managers[number].stopped = stopped;
         self.signal(number, if stopped { "-STOP" } else { "-CONT" }).await
     }
 
     /// Removes the file of a manager that does not run: with `votes`, what it promised as a voter.
-    pub fn lose(&self, number: usize, what: &str) -> Result<(), RigError> {
+    pub fn lose(&self, number: usize, what: &str) -> Result<(), TestbedError> {
         Ok(std::fs::remove_file(self.folder.path().join(format!("m{number}.{what}")))?)
     }
 
     /// Replaces the file of a manager that does not run.
-    pub fn spoil(&self, number: usize, what: &str, bytes: &[u8]) -> Result<(), RigError> {
+    pub fn spoil(&self, number: usize, what: &str, bytes: &[u8]) -> Result<(), TestbedError> {
         Ok(std::fs::write(self.folder.path().join(format!("m{number}.{what}")), bytes)?)
     }
 
     /// Cuts a manager off: from those in `peers`, what it says (`out`) and what it is told (`inward`).
     pub fn cut(&self, number: usize, peers: &[usize], out: bool, inward: bool) {
-        let cut = Trouble { cut: true, ..Trouble::default() };
+        let cut = LinkFault { cut: true, ..LinkFault::default() };
         for peer in peers.iter().filter(|peer| **peer != number) {
             if out {
                 self.set(number, *peer, cut);
@@ -267,26 +267,26 @@
         }
     }
 
-    /// Gives one direction a trouble.
-    pub fn set(&self, from: usize, to: usize, trouble: Trouble) {
-        self.links.set(self.managers[from].address, self.managers[to].address, trouble);
+    /// Sets the faults of one link.
+    pub fn set(&self, from: usize, to: usize, fault: LinkFault) {
+        self.links.set(self.managers[from].address, self.managers[to].address, fault);
     }
 
-    /// Gives every direction the same trouble.
-    pub fn trouble(&self, trouble: Trouble) {
+    /// Sets the same faults on every link.
+    pub fn set_all_links(&self, fault: LinkFault) {
         for (from, to) in self.managers.iter().flat_map(|from| self.managers.iter().map(move |to| (from, to)))
         {
-            self.links.set(from.address, to.address, trouble);
+            self.links.set(from.address, to.address, fault);
         }
     }
 
     /// Calls a manager's administration API.
-    pub async fn call(&self, number: usize, method: &str, target: &str) -> Result<Value, RigError> {
+    pub async fn call(&self, number: usize, method: &str, target: &str) -> Result<Value, TestbedError> {
         call(self.admin(number), method, target, "").await
     }
 
     /// An operator's call with a body, of whichever manager takes it.
-    pub async fn govern(&self, target: &str, body: &str) -> Result<usize, RigError> {
+    pub async fn govern(&self, target: &str, body: &str) -> Result<usize, TestbedError> {
         let began = Instant::now();
         loop {
             let mut last = None;
@@ -297,14 +297,14 @@
                 }
             }
             if began.elapsed() > WITHIN {
-                return Err(last.unwrap_or(RigError::Program("no manager runs".to_owned())));
+                return Err(last.unwrap_or(TestbedError::Program("no manager runs".to_owned())));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
     /// Starts what has ended by itself, as what runs the program does; gives how many.
-    pub fn revive(&mut self) -> Result<usize, RigError> {
+    pub fn revive(&mut self) -> Result<usize, TestbedError> {
         let mut ended = Vec::new();
         for (number, one) in self.managers.iter_mut().enumerate() {
             if let Some(child) = &mut one.child
@@ -318,12 +318,12 @@
     }
 
     /// The fleet as one manager sees it.
-    pub async fn view(&self, number: usize) -> Result<Value, RigError> {
+    pub async fn view(&self, number: usize) -> Result<Value, TestbedError> {
         self.call(number, "GET", "/v1/fleet").await
     }
 
     /// A call at a manager's second address; gives the status.
-    pub async fn ops(&self, number: usize, method: &str, target: &str) -> Result<u16, RigError> {
+    pub async fn ops(&self, number: usize, method: &str, target: &str) -> Result<u16, TestbedError> {
         let mut stream = TcpStream::connect(SocketAddr::new(self.managers[number].address, 9000)).await?;
         stream
             .write_all(
@@ -354,7 +354,7 @@
     }
 
     /// Waits until a manager other than `not` holds a lease.
-    pub async fn wait_for_holder(&self, lease: &str, not: Option<usize>) -> Result<usize, RigError> {
+    pub async fn wait_for_holder(&self, lease: &str, not: Option<usize>) -> Result<usize, TestbedError> {
         let began = Instant::now();
         while began.elapsed() < WITHIN {
             if let Some(holder) = self.holder(lease).await.filter(|holder| Some(*holder) != not) {
@@ -369,7 +369,7 @@
                 Err(why) => seen.push_str(&format!("; m{number}: {why}")),
             }
         }
-        Err(RigError::Program(format!("nobody holds {lease}{seen}")))
+        Err(TestbedError::Program(format!("nobody holds {lease}{seen}")))
     }
 
     /// Waits until what one manager shows of the fleet fits.
@@ -378,7 +378,7 @@
         number: usize,
         what: &str,
         fits: impl Fn(&Value) -> bool,
-    ) -> Result<Value, RigError> {
+    ) -> Result<Value, TestbedError> {
         let began = Instant::now();
         while began.elapsed() < WITHIN {
             if let Ok(view) = self.view(number).await
@@ -388,11 +388,11 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        Err(RigError::Program(format!("m{number} never showed {what}")))
+        Err(TestbedError::Program(format!("m{number} never showed {what}")))
     }
 
     /// What the fleet has done so far.
-    pub fn history(&self) -> Result<History, RigError> {
+    pub fn history(&self) -> Result<History, TestbedError> {
         let mut history = self.history.clone();
         for (number, one) in self.managers.iter().enumerate() {
             for log in &one.logs {
@@ -403,7 +403,7 @@
     }
 
     /// The log of a manager's last life.
-    pub fn log(&self, number: usize) -> Result<String, RigError> {
+    pub fn log(&self, number: usize) -> Result<String, TestbedError> {
         Ok(match self.managers[number].logs.last() {
             Some(log) => std::fs::read_to_string(log)?,
             None => String::new(),
@@ -411,7 +411,7 @@
     }
 
     /// The names of the backups that are there, whole.
-    pub fn backups(&self) -> Result<Vec<String>, RigError> {
+    pub fn backups(&self) -> Result<Vec<String>, TestbedError> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(self.folder.path().join("backups"))? {
             names.push(entry?.file_name().to_string_lossy().into_owned());
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,6 +1,6 @@
-//! The links between managers, held by the rig: each manager is told an address of the rig's for itself, and the rig
-//! passes on what comes there, or does not. A link is one direction between two managers, told apart by the address that
-//! the sender connects from. Messages are passed on whole, so that one can be lost, late, twice or out of order.
+//! The links between managers. Each manager advertises an address of the testbed, which relays what arrives there to
+//! the manager, or does not. A link is one direction between two managers; the sender is identified by its IP address.
+//! Complete messages are relayed, so that each can be lost, delayed, duplicated or reordered.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -13,122 +13,151 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Messages on their way on one connection.
-const ON_THE_WAY: usize = 4096;
-/// The longest message.
-const LONGEST: usize = 1 << 20;
+/// Maximum number of messages in transit on one connection; those past it are lost.
+const MAX_MESSAGES_IN_TRANSIT: usize = 4096;
+/// Maximum length of a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What is wrong with one direction.
+/// The faults of one link.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Trouble {
-    /// Each message takes so long, in ms.
+pub struct LinkFault {
+    /// Delay of each message (ms).
     pub delay_ms: u64,
-    /// And up to so much more, so that they overtake each other.
+    /// Maximum random delay in addition (ms), which reorders messages.
     pub jitter_ms: u64,
-    /// This part of them is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// This part of them comes twice.
-    pub twice: f64,
-    /// Nothing passes: what is said is lost, and new connections end at once.
+    /// Fraction of the messages that are duplicated.
+    pub duplication: f64,
+    /// All messages are lost, and new connections are closed at once.
     pub cut: bool,
-    /// Nothing is read any more; connections stay open.
-    pub silent: bool,
+    /// Nothing is read, and connections stay open.
+    pub stalled: bool,
 }
 
-/// All directions. What is not set is well.
+/// A link: from one manager to another.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Link {
+    from: IpAddr,
+    to: IpAddr,
+}
+
+type LinkFaults = HashMap<Link, LinkFault>;
+
+/// All links of a fleet. Those without a fault relay every message at once.
 #[derive(Debug)]
 pub struct Links {
-    troubles: watch::Sender<HashMap<(IpAddr, IpAddr), Trouble>>,
+    faults: watch::Sender<LinkFaults>,
+    /// Number of resets so far.
     resets: watch::Sender<u64>,
     rng: Mutex<Rand64>,
 }
 
 impl Links {
-    /// All is well.
+    /// Links without faults; the seed is that of losses, duplications and jitter.
     pub fn new(seed: u64) -> Arc<Links> {
         Arc::new(Links {
-            troubles: watch::Sender::new(HashMap::new()),
+            faults: watch::Sender::new(HashMap::new()),
             resets: watch::Sender::new(0),
             rng: Mutex::new(Rand64::new(u128::from(seed))),
         })
     }
 
-    /// Sets one direction.
-    pub fn set(&self, from: IpAddr, to: IpAddr, trouble: Trouble) {
-        self.troubles.send_modify(|all| {
-            all.insert((from, to), trouble);
+    /// Sets the faults of one link.
+    pub fn set(&self, from: IpAddr, to: IpAddr, fault: LinkFault) {
+        self.faults.send_modify(|faults| {
+            faults.insert(Link { from, to }, fault);
         });
     }
 
-    /// All is well again.
-    pub fn mend(&self) {
-        self.troubles.send_modify(HashMap::clear);
+    /// Removes all faults.
+    pub fn clear_faults(&self) {
+        self.faults.send_modify(HashMap::clear);
     }
 
-    /// Ends all connections that are open.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    fn drawn(&self) -> f64 {
-        self.rng.lock().unwrap_or_else(PoisonError::into_inner).rand_float()
-    }
-
-    /// Passes on what comes at one address to another.
-    pub async fn pass_on(self: &Arc<Self>, at: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
-        let (listener, links) = (TcpListener::bind(at).await?, self.clone());
+    /// Relays the connections to one address to another, until the runtime ends.
+    ///
+    /// # Errors
+    /// Fails where the address cannot be bound.
+    pub async fn relay(self: &Arc<Self>, listen: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
+        let listener = TcpListener::bind(listen).await?;
+        let links = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, from)) = listener.accept().await {
-                tokio::spawn(links.clone().connection(stream, from.ip(), to));
+                tokio::spawn(links.clone().relay_connection(stream, from.ip(), to));
             }
         });
         Ok(())
     }
 
-    async fn connection(self: Arc<Self>, stream: TcpStream, from: IpAddr, to: SocketAddr) {
-        let codec = || LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
-        let (mut troubles, mut resets) = (self.troubles.subscribe(), self.resets.subscribe());
+    async fn relay_connection(self: Arc<Self>, stream: TcpStream, from: IpAddr, to: SocketAddr) {
+        let link = Link { from, to: to.ip() };
+        let mut faults = self.faults.subscribe();
+        let mut resets = self.resets.subscribe();
         resets.borrow_and_update();
-        let trouble = |all: &watch::Receiver<HashMap<_, Trouble>>| {
-            all.borrow().get(&(from, to.ip())).copied().unwrap_or_default()
-        };
-        if trouble(&troubles).cut {
+        if current_fault(&faults, link).cut {
             return;
         }
         let Ok(onward) = TcpStream::connect(to).await else { return };
-        let (mut input, mut output) = (FramedRead::new(stream, codec()), FramedWrite::new(onward, codec()));
-        let (sender, mut ready) = mpsc::channel::<Bytes>(ON_THE_WAY);
+        let mut input = FramedRead::new(stream, codec());
+        let mut output = FramedWrite::new(onward, codec());
+        let (sender, mut due_messages) = mpsc::channel::<Bytes>(MAX_MESSAGES_IN_TRANSIT);
         loop {
-            let now = trouble(&troubles);
+            let fault = current_fault(&faults, link);
             tokio::select! {
-                message = input.next(), if !now.silent => {
+                message = input.next(), if !fault.stalled => {
                     let Some(Ok(message)) = message else { return };
-                    let (message, copies) = (message.freeze(), 1 + usize::from(self.drawn() < now.twice));
-                    if now.cut || self.drawn() < now.loss {
-                        continue;
-                    }
-                    for _ in 0..copies {
-                        let late = now.delay_ms + (self.drawn() * now.jitter_ms as f64) as u64;
-                        let (sender, message) = (sender.clone(), message.clone());
-                        if late == 0 {
-                            let _full = sender.try_send(message);
-                        } else {
-                            tokio::spawn(async move {
-                                tokio::time::sleep(Duration::from_millis(late)).await;
-                                let _ended = sender.send(message).await;
-                            });
-                        }
-                    }
+                    self.send(message.freeze(), fault, &sender);
                 }
-                message = ready.recv() => {
+                message = due_messages.recv() => {
                     let Some(message) = message else { return };
                     if output.send(message).await.is_err() {
                         return;
                     }
                 }
-                _ = troubles.changed() => {}
+                _ = faults.changed() => {}
                 _ = resets.changed() => return,
             }
         }
     }
+
+    /// Applies the faults of the link to a message and sends its copies, if any, each after its delay.
+    fn send(&self, message: Bytes, fault: LinkFault, sender: &mpsc::Sender<Bytes>) {
+        let copies = 1 + usize::from(self.draw() < fault.duplication);
+        if fault.cut || self.draw() < fault.loss {
+            return;
+        }
+        for _ in 0..copies {
+            let delay_ms = fault.delay_ms + (self.draw() * fault.jitter_ms as f64) as u64;
+            let sender = sender.clone();
+            let message = message.clone();
+            if delay_ms == 0 {
+                // Without room the message is lost, as on a congested link.
+                let _ = sender.try_send(message);
+            } else {
+                tokio::spawn(async move {
+                    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+                    // The connection may have ended meanwhile.
+                    let _ = sender.send(message).await;
+                });
+            }
+        }
+    }
+
+    fn draw(&self) -> f64 {
+        self.rng.lock().unwrap_or_else(PoisonError::into_inner).rand_float()
+    }
+}
+
+fn codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
+}
+
+fn current_fault(faults: &watch::Receiver<LinkFaults>, link: Link) -> LinkFault {
+    faults.borrow().get(&link).copied().unwrap_or_default()
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use sanddyke_testbed::experiment::Experiment;
 use sanddyke_testbed::report::Report;
-use sanddyke_testbed::{RigError, faults, run, second};
+use sanddyke_testbed::{TestbedError, faults, operations_endpoint, run};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -163,7 +163,7 @@
     tell(&failed, runs)
 }
 
-async fn demo(program: &Path) -> Result<(), RigError> {
+async fn demo(program: &Path) -> Result<(), TestbedError> {
     use sanddyke_testbed::engine::{Spec, start};
     use sanddyke_testbed::fleet::{Fleet, Plan, TENANT};
     let spec = Spec { cores: 4.0, memory_mb: 4096.0 };
@@ -209,7 +209,7 @@
     times: usize,
     lease_ms: u64,
     out: Option<PathBuf>,
-) -> Result<(), RigError> {
+) -> Result<(), TestbedError> {
     let rows = faults::measure(program, times, lease_ms).await?;
     print!("{}", faults::csv(&rows, lease_ms));
     if let Some(folder) = out {
@@ -220,19 +220,19 @@
     Ok(())
 }
 
-fn measure_second(program: &Path, seconds: u64, out: Option<PathBuf>) -> Result<bool, RigError> {
+fn measure_second(program: &Path, seconds: u64, out: Option<PathBuf>) -> Result<bool, TestbedError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let rows = runtime.block_on(second::run(program, seconds))?;
-    print!("{}", second::csv(&rows));
+    let rows = runtime.block_on(operations_endpoint::run(program, seconds))?;
+    print!("{}", operations_endpoint::csv(&rows));
     if let Some(folder) = out {
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("second.csv"), second::csv(&rows))?;
-        second::chart(&rows, &folder.join("second.svg"))?;
+        std::fs::write(folder.join("second.csv"), operations_endpoint::csv(&rows))?;
+        operations_endpoint::chart(&rows, &folder.join("second.svg"))?;
     }
     Ok(rows.iter().all(|row| row.late == 0))
 }
 
-fn keep(report: &Report, folder: &Path, name: &str) -> Result<(), RigError> {
+fn keep(report: &Report, folder: &Path, name: &str) -> Result<(), TestbedError> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join(format!("{name}.csv")), report.csv())?;
     std::fs::write(folder.join(format!("{name}-seconds.csv")), report.seconds_csv())?;
@@ -263,7 +263,7 @@
     println!("worst distance from a share: {:.2} points", report.worst_points);
 }
 
-fn failed(error: &RigError) -> ExitCode {
+fn failed(error: &TestbedError) -> ExitCode {
     eprintln!("sanddyke-testbed: {error}");
     ExitCode::FAILURE
 }
@@ -274,7 +274,7 @@
         Command::Simulate => return simulate(),
         Command::Demo { program } => {
             let shown =
-                on_runtime().map_err(RigError::from).and_then(|runtime| runtime.block_on(demo(&program)));
+                on_runtime().map_err(TestbedError::from).and_then(|runtime| runtime.block_on(demo(&program)));
             return shown.map_or_else(|error| failed(&error), |()| ExitCode::SUCCESS);
         }
         Command::Fleet { program, seconds } => {
@@ -284,7 +284,7 @@
             };
         }
         Command::Duties { program, times, lease_ms, out } => {
-            let measured = on_runtime().map_err(RigError::from).and_then(|runtime| {
+            let measured = on_runtime().map_err(TestbedError::from).and_then(|runtime| {
                 runtime.block_on(measure_duties(&program, times as usize, lease_ms, out))
             });
             return measured.map_or_else(|error| failed(&error), |()| ExitCode::SUCCESS);
--- /dev/null
+++ b/crates/testbed/src/name_server.rs
@@ -0,0 +1,140 @@
+//! A name server on loopback (RFC 1035, RFC 2782): SRV records of the engines with their addresses and TXT records,
+//! under a SOA serial that each change increases. A draining engine has priority 1, a ready one 0.
+
+use serde::Deserialize;
+use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
+use simple_dns::{CLASS, Name, Packet, PacketFlag, Question, ResourceRecord};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::sync::{Arc, Mutex, PoisonError};
+use tokio::net::UdpSocket;
+
+/// The name under which the engines are listed.
+pub const SERVICE: &str = "_api._tcp.svc.local";
+/// The zone of [`SERVICE`].
+const ZONE: &str = "svc.local";
+/// Maximum length of a query (bytes): one Ethernet frame.
+const MAX_QUERY_BYTES: usize = 1500;
+
+/// How the name server lists an engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum EndpointState {
+    /// It accepts requests.
+    Ready,
+    /// It completes its requests and accepts no others.
+    Draining,
+    /// It is not listed.
+    #[serde(rename = "gone")]
+    Removed,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct Endpoint {
+    address: SocketAddr,
+    state: EndpointState,
+}
+
+#[derive(Debug)]
+struct Zone {
+    serial: u32,
+    endpoints: Vec<Endpoint>,
+}
+
+/// A running name server; it ends with the runtime.
+#[derive(Debug)]
+pub struct NameServer {
+    /// Address on which it answers, over UDP.
+    pub address: SocketAddr,
+    zone: Arc<Mutex<Zone>>,
+}
+
+impl NameServer {
+    /// Starts a name server that lists all engines as ready.
+    ///
+    /// # Errors
+    /// Fails where no socket can be bound.
+    pub async fn start(engines: &[SocketAddr]) -> std::io::Result<NameServer> {
+        let socket = UdpSocket::bind("127.0.0.1:0").await?;
+        let address = socket.local_addr()?;
+        let endpoint = |address: &SocketAddr| Endpoint { address: *address, state: EndpointState::Ready };
+        let zone = Zone { serial: 2, endpoints: engines.iter().map(endpoint).collect() };
+        let zone = Arc::new(Mutex::new(zone));
+        tokio::spawn(serve(socket, zone.clone()));
+        Ok(NameServer { address, zone })
+    }
+
+    /// Lists an engine in another state from now on.
+    pub fn set_state(&self, engine: usize, state: EndpointState) {
+        let mut zone = self.zone.lock().unwrap_or_else(PoisonError::into_inner);
+        zone.serial += 1;
+        if let Some(endpoint) = zone.endpoints.get_mut(engine) {
+            endpoint.state = state;
+        }
+    }
+}
+
+async fn serve(socket: UdpSocket, zone: Arc<Mutex<Zone>>) {
+    let mut buffer = [0; MAX_QUERY_BYTES];
+    while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
+        let response = zone.lock().unwrap_or_else(PoisonError::into_inner).respond(&buffer[..length]);
+        if let Some(response) = response {
+            // A lost response is one that the resolver asks for again.
+            let _ = socket.send_to(&response, from).await;
+        }
+    }
+}
+
+impl Zone {
+    /// The response to a query; `None` where it cannot be parsed.
+    fn respond(&self, query: &[u8]) -> Option<Vec<u8>> {
+        let query = Packet::parse(query).ok()?;
+        let question: Question = query.questions.first()?.clone();
+        let mut response = Packet::new_reply(query.id());
+        response.set_flags(PacketFlag::AUTHORITATIVE_ANSWER);
+        if question.qname.to_string() == SERVICE {
+            for (number, endpoint) in self.endpoints.iter().enumerate() {
+                if let IpAddr::V4(ip) = endpoint.address.ip()
+                    && endpoint.state != EndpointState::Removed
+                {
+                    add_endpoint(&mut response, number, ip, *endpoint)?;
+                }
+            }
+        }
+        response.name_servers.push(record(ZONE, RData::SOA(self.start_of_authority()))?);
+        response.questions.push(question);
+        response.build_bytes_vec().ok()
+    }
+
+    fn start_of_authority(&self) -> SOA<'static> {
+        SOA {
+            mname: Name::new_unchecked(ZONE),
+            rname: Name::new_unchecked("rig.svc.local"),
+            serial: self.serial,
+            refresh: 1,
+            retry: 1,
+            expire: 1,
+            minimum: 0,
+        }
+    }
+}
+
+/// Adds the SRV record of an engine, and its address and attributes.
+fn add_endpoint(response: &mut Packet, number: usize, ip: Ipv4Addr, endpoint: Endpoint) -> Option<()> {
+    let host = format!("e{number}.a.hosts");
+    let service = SRV {
+        priority: u16::from(endpoint.state == EndpointState::Draining),
+        weight: 10,
+        port: endpoint.address.port(),
+        target: Name::new(&host).ok()?.into_owned(),
+    };
+    let attributes = TXT::new().with_string("kind=std").ok()?.with_string("cell=0").ok()?;
+    let attributes = attributes.with_string("started=0").ok()?;
+    response.answers.push(record(SERVICE, RData::SRV(service))?);
+    response.additional_records.push(record(&host, RData::A(A::from(ip)))?);
+    response.additional_records.push(record(&host, RData::TXT(attributes))?);
+    Some(())
+}
+
+fn record(name: &str, data: RData<'static>) -> Option<ResourceRecord<'static>> {
+    Some(ResourceRecord::new(Name::new(name).ok()?.into_owned(), CLASS::IN, 0, data))
+}
--- a/crates/testbed/src/second.rs
+++ b/crates/testbed/src/operations_endpoint.rs
@@ -3,7 +3,7 @@
 
 use crate::client;
 use crate::experiment::Experiment;
-use crate::{RigError, report};
+use crate::{Testbed, TestbedError, report};
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -88,10 +88,10 @@
     }
 }
 
-fn taskset(arguments: &[&str]) -> Result<Child, RigError> {
+fn taskset(arguments: &[&str]) -> Result<Child, TestbedError> {
     let mut command = Command::new("taskset");
     let child = command.args(arguments).stdout(Stdio::null()).stderr(Stdio::null()).spawn();
-    child.map_err(|error| RigError::Program(format!("taskset: {error}")))
+    child.map_err(|error| TestbedError::Program(format!("taskset: {error}")))
 }
 
 fn call(to: SocketAddr) -> std::io::Result<bool> {
@@ -148,12 +148,16 @@
 }
 
 /// Measures each condition for so many seconds, on a program that is started for it.
-pub async fn run(binary: &Path, seconds: u64) -> Result<Vec<Row>, RigError> {
-    let wrong = |error: toml::de::Error| RigError::Experiment("the traffic".into(), error.to_string());
+pub async fn run(binary: &Path, seconds: u64) -> Result<Vec<Row>, TestbedError> {
+    let wrong = |error: toml::de::Error| TestbedError::Experiment {
+        path: "the traffic".into(),
+        reason: error.to_string(),
+    };
     let experiment: Arc<Experiment> = Arc::new(toml::from_str(TRAFFIC).map_err(wrong)?);
     let mut rows = Vec::new();
     for condition in CONDITIONS {
-        let (_engines, _names, program) = crate::start(&experiment, binary).await?;
+        let testbed = Testbed::start(&experiment, binary).await?;
+        let program = &testbed.program;
         let mut rivals = Vec::new();
         if condition.rivals > 0 {
             taskset(&["-a", "-c", "-p", CORE, &program.id().to_string()])?.wait()?;
@@ -174,7 +178,7 @@
         let drained = tokio::spawn(async move { while outcomes.recv().await.is_some() {} });
         let to = program.ops;
         let measured = tokio::task::spawn_blocking(move || measure(condition, to, seconds)).await;
-        rows.push(measured.map_err(|error| RigError::Program(error.to_string()))?);
+        rows.push(measured.map_err(|error| TestbedError::Program(error.to_string()))?);
         traffic.inspect(tokio::task::JoinHandle::abort);
         drained.abort();
     }
@@ -193,7 +197,7 @@
 }
 
 /// The rows as a chart.
-pub fn chart(rows: &[Row], path: &Path) -> Result<(), RigError> {
+pub fn chart(rows: &[Row], path: &Path) -> Result<(), TestbedError> {
     let bars = rows.iter().map(|row| (row.name.to_owned(), row.ms)).collect::<Vec<_>>();
     report::bars("Answers of the second address (ms)", &["half", "99 in 100", "longest"], &bars, path)
 }
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,6 +1,6 @@
 //! The program as a process, and calls of its administration API.
 
-use crate::RigError;
+use crate::TestbedError;
 use crate::experiment::{Class, Experiment};
 use serde_json::{Value, json};
 use std::net::{IpAddr, SocketAddr};
@@ -59,7 +59,7 @@
         experiment: &Experiment,
         engines: &[SocketAddr],
         names: SocketAddr,
-    ) -> Result<Program, RigError> {
+    ) -> Result<Program, TestbedError> {
         let folder = tempfile::tempdir()?;
         let [a, b] = (std::process::id() as u16).to_le_bytes();
         // No two programs of this process, or of another, race for a port.
@@ -82,8 +82,9 @@
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(binary);
         command.arg("--config").arg(&path).env("RUST_LOG", "warn").kill_on_drop(true);
-        let child =
-            command.spawn().map_err(|error| RigError::Program(format!("{}: {error}", binary.display())))?;
+        let child = command
+            .spawn()
+            .map_err(|error| TestbedError::Program(format!("{}: {error}", binary.display())))?;
         let mut program = Program { child, http, ops, admin, _folder: folder };
         let ready = tokio::time::timeout(READY_WITHIN, async {
             while TcpStream::connect(program.admin).await.is_err() {
@@ -91,7 +92,7 @@
             }
         });
         if ready.await.is_err() || program.child.try_wait()?.is_some() {
-            return Err(RigError::Program("it did not become ready".to_owned()));
+            return Err(TestbedError::Program("it did not become ready".to_owned()));
         }
         program.import(experiment).await?;
         Ok(program)
@@ -102,7 +103,7 @@
         self.child.id().unwrap_or(0)
     }
 
-    async fn import(&self, experiment: &Experiment) -> Result<(), RigError> {
+    async fn import(&self, experiment: &Experiment) -> Result<(), TestbedError> {
         let mut text = "format = 1\n".to_owned();
         let groups: std::collections::BTreeSet<&String> =
             experiment.tenants.iter().filter_map(|row| row.group.as_ref()).collect();
@@ -115,7 +116,7 @@
     }
 
     /// Calls the administration API.
-    pub async fn call(&self, method: &str, target: &str, body: &str) -> Result<Value, RigError> {
+    pub async fn call(&self, method: &str, target: &str, body: &str) -> Result<Value, TestbedError> {
         call(self.admin, method, target, body).await
     }
 }
@@ -126,7 +127,7 @@
     method: &str,
     target: &str,
     body: &str,
-) -> Result<Value, RigError> {
+) -> Result<Value, TestbedError> {
     let mut stream = TcpStream::connect(admin).await?;
     let request = format!(
         "{method} {target} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\nAuthorization: Bearer {TOKEN}\r\n\
@@ -139,6 +140,6 @@
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((&answer, ""));
     match head.get(9..10) {
         Some("2") => Ok(serde_json::from_str(body).unwrap_or(Value::Null)),
-        _ => Err(RigError::Step(format!("{method} {target}"), body.to_owned())),
+        _ => Err(TestbedError::step(format!("{method} {target}"), body.to_owned())),
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! What an experiment showed: one row a tenant, a table of seconds, and a chart of both.
 
-use crate::RigError;
+use crate::TestbedError;
 use crate::client::{End, Outcome};
 use crate::experiment::Experiment;
 use hdrhistogram::Histogram;
@@ -148,8 +148,8 @@
     }
 
     /// A chart of the service of each tenant by second, with its share as a thin line.
-    pub fn chart(&self, path: &Path) -> Result<(), RigError> {
-        let failed = |error: String| RigError::Chart(error);
+    pub fn chart(&self, path: &Path) -> Result<(), TestbedError> {
+        let failed = |error: String| TestbedError::Chart(error);
         let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
         root.fill(&WHITE).map_err(|error| failed(error.to_string()))?;
         let most = self.seconds.iter().flatten().fold(0.1, |most: f64, part| most.max(*part)) * 1.1;
@@ -184,8 +184,13 @@
 }
 
 /// Groups of bars on a logarithmic scale, one group a row.
-pub fn bars(title: &str, names: &[&str], rows: &[(String, [f64; 3])], path: &Path) -> Result<(), RigError> {
-    let failed = |error: String| RigError::Chart(error);
+pub fn bars(
+    title: &str,
+    names: &[&str],
+    rows: &[(String, [f64; 3])],
+    path: &Path,
+) -> Result<(), TestbedError> {
+    let failed = |error: String| TestbedError::Chart(error);
     let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
     root.fill(&WHITE).map_err(|error| failed(error.to_string()))?;
     let all = || rows.iter().flat_map(|(_, values)| values.iter().copied());
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -2,13 +2,13 @@
 //! tests are built with.
 
 use sanddyke_testbed::experiment::Experiment;
-use sanddyke_testbed::{RigError, run};
+use sanddyke_testbed::{TestbedError, run};
 use std::path::Path;
 
 /// Three tenants for some seconds, one of which floods at five times its share: each one's service stays near
 /// its share. The bound is wider than the measurement's, as ten seconds hold few requests on a busy machine.
 #[test]
-fn a_flood_takes_nobodys_share() -> Result<(), RigError> {
+fn a_flood_takes_nobodys_share() -> Result<(), TestbedError> {
     let experiment = Experiment::read(Path::new("experiments/short.toml"))?;
     let allowed = experiment.within_points.expect("a bound");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -26,7 +26,7 @@
 /// An engine drains in mid-run and another stands still for two seconds: the first gets nothing new, and what the
 /// second held is answered all the same.
 #[test]
-fn engines_that_drain_or_stand_still_lose_no_answers() -> Result<(), RigError> {
+fn engines_that_drain_or_stand_still_lose_no_answers() -> Result<(), TestbedError> {
     let experiment = Experiment::read(Path::new("experiments/engines.toml"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let report = runtime.block_on(run(experiment, Path::new(env!("CARGO_BIN_EXE_sanddyke"))))?;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddyke_testbed::fleet::{Fleet, Plan};
-use sanddyke_testbed::links::Trouble;
+use sanddyke_testbed::links::LinkFault;
 use std::path::Path;
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
     fleet.cut(first, &[0, 1, 2], out, inward);
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
-    fleet.links.mend();
+    fleet.links.clear_faults();
     fleet
         .until(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
@@ -104,7 +104,7 @@
     }
     tokio::time::sleep(A_WHILE).await;
     assert_eq!(fleet.holder(LEASE).await, None);
-    fleet.links.mend();
+    fleet.links.clear_faults();
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     check_history(&fleet, 1).await;
 }
@@ -113,7 +113,13 @@
 #[tokio::test]
 async fn leases_continue_over_links_that_lose_duplicate_and_reorder() {
     let mut fleet = fleet(Plan { managers: 5, voters: 3, lease_ms: 3000, ..Plan::default() }).await;
-    fleet.trouble(Trouble { delay_ms: 5, jitter_ms: 80, loss: 0.1, twice: 0.1, ..Trouble::default() });
+    fleet.set_all_links(LinkFault {
+        delay_ms: 5,
+        jitter_ms: 80,
+        loss: 0.1,
+        duplication: 0.1,
+        ..LinkFault::default()
+    });
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.links.reset();
     fleet.kill(first).await.unwrap();
@@ -131,11 +137,11 @@
     let fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     let silent = (first + 1) % 3;
-    fleet.trouble(Trouble::default());
-    let trouble = Trouble { silent: true, ..Trouble::default() };
+    fleet.set_all_links(LinkFault::default());
+    let fault = LinkFault { stalled: true, ..LinkFault::default() };
     for peer in (0..3).filter(|peer| *peer != silent) {
-        fleet.set(peer, silent, trouble);
-        fleet.set(silent, peer, trouble);
+        fleet.set(peer, silent, fault);
+        fleet.set(silent, peer, fault);
     }
     tokio::time::sleep(A_WHILE).await;
     assert_eq!(fleet.holder(LEASE).await, Some(first), "two of three voters are enough");
