--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -284,78 +284,120 @@
         }
     }
 
+    /// Makes one change; it is checked completely before anything is touched.
     fn make(&mut self, change: &Change) -> Result<Record, ChangeError> {
         let from = self.generation_of(&change.subject());
         let next = Generation(self.generation.0 + 1);
-        let mut touched = None;
-        match change {
-            Change::CreateTenant { name, spec } => {
-                check_name(name)?;
-                self.check_spec(spec)?;
-                if from.is_some() {
-                    return Err(ChangeError::Exists("tenant"));
-                }
-                if self.tenants.len() >= MOST_TENANTS {
-                    return Err(ChangeError::Full(MOST_TENANTS));
-                }
-                self.last_id += 1;
-                let id = TenantId(self.last_id);
-                let (name, spec) = (name.clone(), spec.clone());
-                self.names.insert(name.clone(), id);
-                self.tenants.insert(id, Tenant { id, name, spec, state: State::Active, generation: next });
-                touched = Some(id);
-            }
-            Change::SetTenant { name, spec } => {
-                self.check_spec(spec)?;
-                let tenant = self.tenant_mut(name)?;
-                (tenant.spec, tenant.generation) = (spec.clone(), next);
-                touched = Some(tenant.id);
-            }
-            Change::MoveTenant { name, to } => {
-                let tenant = self.tenant_mut(name)?;
-                if *to == State::Removed {
-                    return Err(ChangeError::Transition(tenant.state, *to));
-                }
-                (tenant.state, tenant.generation) = (*to, next);
-                touched = Some(tenant.id);
-            }
-            Change::RemoveTenant { name } => {
-                let id = self.names.remove(name).ok_or(ChangeError::NotFound("tenant"))?;
-                self.tenants.remove(&id);
-                touched = Some(id);
-            }
-            Change::CreateGroup { name, spec } => {
-                check_name(name)?;
-                spec.check()?;
-                if from.is_some() {
-                    return Err(ChangeError::Exists("group"));
-                }
-                if self.groups.len() >= MOST_GROUPS {
-                    return Err(ChangeError::Full(MOST_GROUPS));
-                }
-                self.last_id += 1;
-                let (id, spec) = (self.last_id, spec.clone());
-                let group = Group { id, name: name.clone(), spec, generation: next };
-                self.groups.insert(name.clone(), group);
-            }
-            Change::SetGroup { name, spec } => {
-                spec.check()?;
-                let group = self.groups.get_mut(name).ok_or(ChangeError::NotFound("group"))?;
-                (group.spec, group.generation) = (spec.clone(), next);
-            }
-            Change::RemoveGroup { name } => {
-                if from.is_none() {
-                    return Err(ChangeError::NotFound("group"));
-                }
-                let inside = |tenant: &&Tenant| tenant.spec.group.as_ref() == Some(name);
-                match self.tenants.values().filter(inside).count() {
-                    0 => self.groups.remove(name),
-                    members => return Err(ChangeError::HasMembers(members)),
-                };
+        let tenant = match change {
+            Change::CreateTenant { name, spec } => Some(self.create_tenant(name, spec, next)?),
+            Change::SetTenant { name, spec } => Some(self.set_tenant(name, spec, next)?),
+            Change::MoveTenant { name, to } => Some(self.move_tenant(name, *to, next)?),
+            Change::RemoveTenant { name } => Some(self.remove_tenant(name)?),
+            Change::CreateGroup { name, spec } => self.create_group(name, spec, next).map(|()| None)?,
+            Change::SetGroup { name, spec } => self.set_group(name, spec, next).map(|()| None)?,
+            Change::RemoveGroup { name } => self.remove_group(name).map(|()| None)?,
+        };
+        self.generation = next;
+        Ok(Record { generation: next, from, tenant, change: change.clone() })
+    }
+
+    fn create_tenant(
+        &mut self,
+        name: &str,
+        spec: &TenantSpec,
+        generation: Generation,
+    ) -> Result<TenantId, ChangeError> {
+        check_name(name)?;
+        self.check_spec(spec)?;
+        if self.names.contains_key(name) {
+            return Err(ChangeError::Exists("tenant"));
+        }
+        if self.tenants.len() >= MOST_TENANTS {
+            return Err(ChangeError::Full(MOST_TENANTS));
+        }
+        self.last_id += 1;
+        let id = TenantId(self.last_id);
+        let state = State::Active;
+        let tenant = Tenant { id, name: name.to_owned(), spec: spec.clone(), state, generation };
+        self.names.insert(name.to_owned(), id);
+        self.tenants.insert(id, tenant);
+        Ok(id)
+    }
+
+    fn set_tenant(
+        &mut self,
+        name: &str,
+        spec: &TenantSpec,
+        generation: Generation,
+    ) -> Result<TenantId, ChangeError> {
+        self.check_spec(spec)?;
+        let tenant = self.tenant_mut(name)?;
+        tenant.spec = spec.clone();
+        tenant.generation = generation;
+        Ok(tenant.id)
+    }
+
+    fn move_tenant(
+        &mut self,
+        name: &str,
+        to: State,
+        generation: Generation,
+    ) -> Result<TenantId, ChangeError> {
+        let tenant = self.tenant_mut(name)?;
+        if to == State::Removed {
+            return Err(ChangeError::Transition(tenant.state, to));
+        }
+        tenant.state = to;
+        tenant.generation = generation;
+        Ok(tenant.id)
+    }
+
+    fn remove_tenant(&mut self, name: &str) -> Result<TenantId, ChangeError> {
+        let id = self.names.remove(name).ok_or(ChangeError::NotFound("tenant"))?;
+        self.tenants.remove(&id);
+        Ok(id)
+    }
+
+    fn create_group(
+        &mut self,
+        name: &str,
+        spec: &GroupSpec,
+        generation: Generation,
+    ) -> Result<(), ChangeError> {
+        check_name(name)?;
+        spec.check()?;
+        if self.groups.contains_key(name) {
+            return Err(ChangeError::Exists("group"));
+        }
+        if self.groups.len() >= MOST_GROUPS {
+            return Err(ChangeError::Full(MOST_GROUPS));
+        }
+        self.last_id += 1;
+        let group = Group { id: self.last_id, name: name.to_owned(), spec: spec.clone(), generation };
+        self.groups.insert(name.to_owned(), group);
+        Ok(())
+    }
+
+    fn set_group(&mut self, name: &str, spec: &GroupSpec, generation: Generation) -> Result<(), ChangeError> {
+        spec.check()?;
+        let group = self.groups.get_mut(name).ok_or(ChangeError::NotFound("group"))?;
+        group.spec = spec.clone();
+        group.generation = generation;
+        Ok(())
+    }
+
+    fn remove_group(&mut self, name: &str) -> Result<(), ChangeError> {
+        if !self.groups.contains_key(name) {
+            return Err(ChangeError::NotFound("group"));
+        }
+        let is_member = |tenant: &&Tenant| tenant.spec.group.as_deref() == Some(name);
+        match self.tenants.values().filter(is_member).count() {
+            0 => {
+                self.groups.remove(name);
+                Ok(())
             }
+            members => Err(ChangeError::HasMembers(members)),
         }
-        self.generation = next;
-        Ok(Record { generation: next, from, tenant: touched, change: change.clone() })
     }
 
     fn tenant_mut(&mut self, name: &str) -> Result<&mut Tenant, ChangeError> {
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,117 +1,173 @@
-//! The state in Prometheus' text format. Labels are bounded: past so many tenants the rest are one.
+//! The metrics page, in Prometheus' text format. The number of labels is bounded: beyond a number of tenants the rest share
+//! one label.
 
 use crate::cluster::{ClusterView, MessageCounters};
 use crate::core::{AnswerCounts, Report};
 use std::collections::{BTreeMap, HashSet};
-use std::fmt::Write;
+use std::fmt::{Display, Write};
 
 /// Tenants with series of their own; those with the most answers come first.
-const MOST_TENANTS: usize = 1000;
-/// The label of the rest.
-const OTHERS: &str = "_others";
+const MAX_TENANTS: usize = 1000;
+/// The label of all other tenants.
+const OTHER_TENANTS: &str = "_others";
 
-fn label(text: &str) -> String {
-    text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+/// The kind of a metric.
+#[derive(Debug, Clone, Copy)]
+enum Kind {
+    Counter,
+    Gauge,
 }
 
-fn answers(counts: &AnswerCounts) -> u64 {
-    counts.served + counts.rejected + counts.failed + counts.cancelled + counts.disconnected
+/// The page as it is written.
+#[derive(Debug, Default)]
+struct Page(String);
+
+impl Page {
+    /// Begins a metric.
+    fn metric(&mut self, name: &str, kind: Kind) {
+        let kind = match kind {
+            Kind::Counter => "counter",
+            Kind::Gauge => "gauge",
+        };
+        // Writing to a string cannot fail.
+        let _ = writeln!(self.0, "# TYPE {name} {kind}");
+    }
+
+    /// A value of a metric without labels.
+    fn value(&mut self, name: &str, value: impl Display) {
+        let _ = writeln!(self.0, "{name} {value}");
+    }
+
+    /// A value of a metric with labels, whose values are escaped already.
+    fn series(&mut self, name: &str, labels: &[(&str, &str)], value: impl Display) {
+        let labels: Vec<String> =
+            labels.iter().map(|(label, value)| format!("{label}=\"{value}\"")).collect();
+        let _ = writeln!(self.0, "{name}{{{}}} {value}", labels.join(","));
+    }
 }
 
-/// The tenants that have series of their own.
-fn named(report: &Report) -> HashSet<&str> {
-    let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    report.answers.iter().for_each(|one| *counts.entry(&one.tenant).or_default() += answers(one));
-    let mut counts: Vec<(&str, u64)> = counts.into_iter().collect();
-    counts.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
-    counts.into_iter().take(MOST_TENANTS).map(|(name, _)| name).collect()
+fn escaped(text: &str) -> String {
+    text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// What is seen of the fleet.
+/// The metrics of the fleet.
 pub fn fleet(view: &ClusterView) -> String {
-    let mut text = String::new();
-    // Writing to a string cannot fail.
-    let _ = writeln!(
-        text,
-        "# TYPE sanddyke_fleet_members gauge\nsanddyke_fleet_members {}",
-        view.members.len() + 1
-    );
-    let _ = writeln!(text, "# TYPE sanddyke_duty_held gauge");
+    let mut page = Page::default();
+    page.metric("sanddyke_fleet_members", Kind::Gauge);
+    page.value("sanddyke_fleet_members", view.members.len() + 1);
+    page.metric("sanddyke_duty_held", Kind::Gauge);
     for lease in &view.leases {
-        let held = u8::from(lease.left_ms.is_some());
-        let _ = writeln!(text, "sanddyke_duty_held{{duty=\"{}\"}} {held}", label(&lease.name));
+        let is_held = u8::from(lease.left_ms.is_some());
+        page.series("sanddyke_duty_held", &[("duty", &escaped(&lease.name))], is_held);
     }
-    let _ = writeln!(text, "# TYPE sanddyke_fleet_refused_total counter");
+    page.metric("sanddyke_fleet_refused_total", Kind::Counter);
     for (reason, count) in &view.rejections {
-        let _ = writeln!(text, "sanddyke_fleet_refused_total{{reason=\"{reason}\"}} {count}");
+        page.series("sanddyke_fleet_refused_total", &[("reason", reason)], count);
     }
     let MessageCounters { messages, bytes, dropped } = view.sent;
-    for (name, count) in [("sent_messages", messages), ("sent_bytes", bytes), ("unsent_messages", dropped)] {
-        let _ =
-            writeln!(text, "# TYPE sanddyke_fleet_{name}_total counter\nsanddyke_fleet_{name}_total {count}");
+    let counters = [
+        ("sanddyke_fleet_sent_messages_total", messages),
+        ("sanddyke_fleet_sent_bytes_total", bytes),
+        ("sanddyke_fleet_unsent_messages_total", dropped),
+    ];
+    for (name, count) in counters {
+        page.metric(name, Kind::Counter);
+        page.value(name, count);
     }
-    text
+    page.0
 }
 
-/// All metrics.
-pub fn text(report: &Report) -> String {
-    let named = named(report);
-    let known = |tenant: &str| if named.contains(tenant) { label(tenant) } else { OTHERS.to_owned() };
+/// The metrics of the service.
+pub fn service(report: &Report) -> String {
+    let tenants = TenantLabels::of(report);
+    let mut page = Page::default();
+    answers(&mut page, report, &tenants);
+    rejections(&mut page, report, &tenants);
+    page.metric("sanddyke_tenants", Kind::Gauge);
+    page.value("sanddyke_tenants", report.tenants.len());
+    page.metric("sanddyke_requests_open", Kind::Gauge);
+    page.value("sanddyke_requests_open", report.requests.len());
+    page.metric("sanddyke_attempts_total", Kind::Counter);
+    for (outcome, count) in &report.attempts {
+        page.series("sanddyke_attempts_total", &[("outcome", outcome)], count);
+    }
+    page.metric("sanddyke_attempts_out", Kind::Gauge);
+    for engine in &report.engines {
+        let labels = [("engine", escaped(&engine.name)), ("state", engine.state.clone())];
+        let labels = labels.each_ref().map(|(label, value)| (*label, value.as_str()));
+        page.series("sanddyke_attempts_out", &labels, engine.attempts_in_flight);
+    }
+    page.0
+}
+
+/// The tenants that have series of their own.
+struct TenantLabels<'a>(HashSet<&'a str>);
+
+impl<'a> TenantLabels<'a> {
+    fn of(report: &'a Report) -> TenantLabels<'a> {
+        let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
+        for counts in &report.answers {
+            *totals.entry(&counts.tenant).or_default() += total(counts);
+        }
+        let mut totals: Vec<(&str, u64)> = totals.into_iter().collect();
+        totals.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
+        TenantLabels(totals.into_iter().take(MAX_TENANTS).map(|(name, _)| name).collect())
+    }
+
+    fn label(&self, tenant: &str) -> String {
+        match self.0.contains(tenant) {
+            true => escaped(tenant),
+            false => OTHER_TENANTS.to_owned(),
+        }
+    }
+}
+
+fn total(counts: &AnswerCounts) -> u64 {
+    counts.served + counts.rejected + counts.failed + counts.cancelled + counts.disconnected
+}
+
+/// Answers by class, tenant and end, and the time that served requests took.
+fn answers(page: &mut Page, report: &Report, tenants: &TenantLabels) {
     let mut ends: BTreeMap<(String, String, &str), u64> = BTreeMap::new();
-    let mut seconds: BTreeMap<(String, String), f64> = BTreeMap::new();
-    for counted in &report.answers {
-        let (class, tenant) = (label(&counted.class), known(&counted.tenant));
-        *seconds.entry((class.clone(), tenant.clone())).or_default() += counted.served_us as f64 / 1e6;
-        let counts = [
-            ("served", counted.served),
-            ("refused", counted.rejected),
-            ("failed", counted.failed),
-            ("cancelled", counted.cancelled),
-            ("left", counted.disconnected),
+    let mut served_seconds: BTreeMap<(String, String), f64> = BTreeMap::new();
+    for counts in &report.answers {
+        let class = escaped(&counts.class);
+        let tenant = tenants.label(&counts.tenant);
+        *served_seconds.entry((class.clone(), tenant.clone())).or_default() += counts.served_us as f64 / 1e6;
+        let by_end = [
+            ("served", counts.served),
+            ("refused", counts.rejected),
+            ("failed", counts.failed),
+            ("cancelled", counts.cancelled),
+            ("left", counts.disconnected),
         ];
-        for (end, count) in counts {
+        for (end, count) in by_end {
             *ends.entry((class.clone(), tenant.clone(), end)).or_default() += count;
         }
     }
-    let mut refused: BTreeMap<(String, &str), u64> = BTreeMap::new();
+    page.metric("sanddyke_requests_total", Kind::Counter);
+    for ((class, tenant, end), count) in &ends {
+        let labels = [("class", class.as_str()), ("tenant", tenant), ("end", end)];
+        page.series("sanddyke_requests_total", &labels, count);
+    }
+    page.metric("sanddyke_served_seconds_total", Kind::Counter);
+    for ((class, tenant), seconds) in &served_seconds {
+        page.series("sanddyke_served_seconds_total", &[("class", class), ("tenant", tenant)], seconds);
+    }
+}
+
+/// Requests rejected for a tenant's sake, by reason.
+fn rejections(page: &mut Page, report: &Report, tenants: &TenantLabels) {
+    let mut rejected: BTreeMap<(String, &str), u64> = BTreeMap::new();
     for tenant in &report.tenants {
         for (reason, count) in &tenant.rejected {
-            *refused.entry((known(&tenant.name), reason)).or_default() += count;
+            *rejected.entry((tenants.label(&tenant.name), reason)).or_default() += count;
         }
     }
-    let mut text = String::new();
-    // Writing to a string cannot fail.
-    let _ = writeln!(text, "# TYPE sanddyke_requests_total counter");
-    for ((class, tenant, end), count) in ends {
-        let labels = format!("class=\"{class}\",tenant=\"{tenant}\",end=\"{end}\"");
-        let _ = writeln!(text, "sanddyke_requests_total{{{labels}}} {count}");
-    }
-    let _ = writeln!(text, "# TYPE sanddyke_served_seconds_total counter");
-    for ((class, tenant), seconds) in seconds {
-        let labels = format!("class=\"{class}\",tenant=\"{tenant}\"");
-        let _ = writeln!(text, "sanddyke_served_seconds_total{{{labels}}} {seconds}");
-    }
-    let _ = writeln!(text, "# TYPE sanddyke_tenant_refusals_total counter");
-    for ((tenant, reason), count) in refused {
-        let labels = format!("tenant=\"{tenant}\",reason=\"{reason}\"");
-        let _ = writeln!(text, "sanddyke_tenant_refusals_total{{{labels}}} {count}");
-    }
-    let unknown = report.unknown_tenants;
-    let _ =
-        writeln!(text, "sanddyke_tenant_refusals_total{{tenant=\"\",reason=\"tenant_unknown\"}} {unknown}");
-    let gauges =
-        [("sanddyke_tenants", report.tenants.len()), ("sanddyke_requests_open", report.requests.len())];
-    for (name, value) in gauges {
-        let _ = writeln!(text, "# TYPE {name} gauge\n{name} {value}");
-    }
-    let _ = writeln!(text, "# TYPE sanddyke_attempts_total counter");
-    for (end, count) in &report.attempts {
-        let _ = writeln!(text, "sanddyke_attempts_total{{outcome=\"{end}\"}} {count}");
-    }
-    let _ = writeln!(text, "# TYPE sanddyke_attempts_out gauge");
-    for engine in &report.engines {
-        let labels = format!("engine=\"{}\",state=\"{}\"", label(&engine.name), engine.state);
-        let _ = writeln!(text, "sanddyke_attempts_out{{{labels}}} {}", engine.attempts_in_flight);
+    page.metric("sanddyke_tenant_refusals_total", Kind::Counter);
+    for ((tenant, reason), count) in &rejected {
+        page.series("sanddyke_tenant_refusals_total", &[("tenant", tenant), ("reason", reason)], count);
     }
-    text
+    let unknown = [("tenant", ""), ("reason", "tenant_unknown")];
+    page.series("sanddyke_tenant_refusals_total", &unknown, report.unknown_tenants);
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -248,7 +248,7 @@
             "/metrics" => {
                 let fleet =
                     self.cluster.as_ref().map_or(String::new(), |cluster| metrics::fleet(&cluster.view()));
-                Response::text(200, metrics::text(&report) + &fleet)
+                Response::text(200, metrics::service(&report) + &fleet)
             }
             _ => Response::json(200, json!({ "tenants": tenants(&report) }).to_string()),
         })
--- a/src/frontend/linger.rs
+++ b/src/frontend/linger.rs
@@ -11,10 +11,10 @@
 /// How much of that is read.
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Closes the sending side, then reads and drops what the client still sends, up to [`LINGER_BYTES`].
+/// Closes the sending side, then reads and drops what the client still sends, up to `LINGER_BYTES`.
 ///
 /// A close with unread input would reset the connection, and the client could lose the response (RFC 9112,
-/// section 9.6). It returns after [`LINGER_TIME`], or as soon as the client has closed.
+/// section 9.6). It returns after `LINGER_TIME`, or as soon as the client has closed.
 ///
 /// # Errors
 ///
