--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -106,7 +106,7 @@
     /// The request for the service, with what the statement's hints say. The error is text for the client.
     fn incoming_request(&self, statement: &str, tenant: &str) -> Result<IncomingRequest, String> {
         let hints = sql::hints(statement);
-        let hint = |name: &str| hints.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
+        let hint = |name: &str| hints.iter().find(|hint| hint.name == name).map(|hint| hint.value);
         let time_budget = match hint("ttl_ms") {
             Some(text) => {
                 let ms = parse_integer(text).ok_or("ttl_ms must be a whole number")?;
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -1,5 +1,6 @@
-//! What the service reads of an SQL statement: the group of tables, hints in its first comment, and the
-//! places of parameters. Strings and comments are told apart from what names tables.
+//! What the service reads of an SQL statement: its table group, the hints in its first comment, and its parameters.
+//!
+//! A lexer separates strings and comments from names; there is no parser of SQL.
 
 use winnow::Parser;
 use winnow::ascii::digit1;
@@ -7,12 +8,17 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::{any, one_of, take_till, take_until, take_while};
 
-type Out<T> = Result<T, ErrMode<ContextError>>;
+type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// A piece of a statement.
+/// A statement with more comments than this is not split: nested ones recurse once for each. A value of ours.
+const MAX_COMMENTS: usize = 64;
+/// The schema of intermediate tables, which is of no group.
+const STAGING_SCHEMA: &str = "staging";
+
+/// A token of a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Piece<'a> {
-    /// A string or a comment, with its marks: names in it mean nothing.
+pub enum Token<'a> {
+    /// A string or a comment, with its delimiters.
     Opaque(&'a str),
     /// A name, without its quotes.
     Name(&'a str),
@@ -22,74 +28,90 @@
     Other(&'a str),
 }
 
-fn quoted<'a>(mark: char) -> impl FnMut(&mut &'a str) -> Out<&'a str> {
+impl Token<'_> {
+    /// Whether it is neither a string, a comment nor white space.
+    fn is_significant(&self) -> bool {
+        match self {
+            Token::Opaque(_) => false,
+            Token::Other(text) => !text.trim().is_empty(),
+            Token::Name(_) | Token::Parameter(_) => true,
+        }
+    }
+}
+
+/// A text between two of the same quotation marks, which are doubled within it.
+fn quoted<'a>(mark: char) -> impl FnMut(&mut &'a str) -> ParseResult<&'a str> {
     move |input: &mut &'a str| {
-        // A doubled mark stands for itself; a string that never ends reaches to the end of the statement.
+        // A text without its second mark extends to the end of the statement.
         let part = alt((take_while(1.., move |c| c != mark).void(), (mark, mark).void()));
         let inner = repeat::<_, _, (), _, _>(0.., part).take();
         preceded(mark, terminated(inner, alt((mark.void(), eof.void())))).parse_next(input)
     }
 }
 
-fn block_comment<'a>(input: &mut &'a str) -> Out<&'a str> {
+fn block_comment<'a>(input: &mut &'a str) -> ParseResult<&'a str> {
     let part = alt((block_comment.void(), (not("*/"), any).void()));
     ("/*", repeat::<_, _, (), _, _>(0.., part), alt(("*/".void(), eof.void()))).take().parse_next(input)
 }
 
-fn is_name(c: char) -> bool {
+fn is_name_char(c: char) -> bool {
     c.is_alphanumeric() || c == '_' || c == '$'
 }
 
-fn piece<'a>(input: &mut &'a str) -> Out<Piece<'a>> {
+fn token<'a>(input: &mut &'a str) -> ParseResult<Token<'a>> {
     alt((
-        quoted('\'').take().map(Piece::Opaque),
-        ("--", take_till(0.., '\n')).take().map(Piece::Opaque),
-        block_comment.map(Piece::Opaque),
-        quoted('"').map(Piece::Name),
-        delimited('[', take_until(0.., "]"), ']').map(Piece::Name),
-        ('@', take_while(1.., is_name)).take().map(Piece::Parameter),
-        take_while(1.., is_name).map(Piece::Name),
-        any.take().map(Piece::Other),
+        quoted('\'').take().map(Token::Opaque),
+        ("--", take_till(0.., '\n')).take().map(Token::Opaque),
+        block_comment.map(Token::Opaque),
+        quoted('"').map(Token::Name),
+        delimited('[', take_until(0.., "]"), ']').map(Token::Name),
+        ('@', take_while(1.., is_name_char)).take().map(Token::Parameter),
+        take_while(1.., is_name_char).map(Token::Name),
+        any.take().map(Token::Other),
     ))
     .parse_next(input)
 }
 
-/// The pieces of a statement, in order. Nested comments are bounded by the statement's length.
-pub fn pieces(statement: &str) -> Vec<Piece<'_>> {
-    // A run of openers would recurse once for each: past this depth it is taken as plain text.
-    const DEEPEST: usize = 64;
-    if statement.matches("/*").count() > DEEPEST {
-        return vec![Piece::Opaque(statement)];
+/// The tokens of a statement, in order. One with very many comments is a single [`Token::Opaque`].
+pub fn tokens(statement: &str) -> Vec<Token<'_>> {
+    if statement.matches("/*").count() > MAX_COMMENTS {
+        return vec![Token::Opaque(statement)];
     }
-    repeat(0.., piece).parse(statement).unwrap_or_default()
+    repeat(0.., token).parse(statement).unwrap_or_default()
 }
 
-fn group_of(name: &str) -> Option<u64> {
-    let (stem, number) = name.rsplit_once('_')?;
+/// The number after the last underscore of a schema's name.
+fn group_number(schema: &str) -> Option<u64> {
+    let (stem, number) = schema.rsplit_once('_')?;
     if stem.is_empty() {
         return None;
     }
     terminated(digit1::<_, ContextError>.parse_to(), eof).parse(number).ok()
 }
 
-/// The group of tables: the number after the underscore in the schema's name, as in `sales_17.orders`.
+/// The table group of a statement: the number in the name of the first schema that has one, as in `sales_17.orders`.
 pub fn table_group(statement: &str) -> Option<u64> {
-    let pieces = pieces(statement);
-    let solid: Vec<&Piece> = pieces
-        .iter()
-        .filter(|piece| !matches!(piece, Piece::Opaque(_)))
-        .filter(|piece| !matches!(piece, Piece::Other(text) if text.trim().is_empty()))
-        .collect();
-    solid.windows(2).find_map(|pair| match pair {
-        [Piece::Name(schema), Piece::Other(".")] if !schema.eq_ignore_ascii_case("staging") => {
-            group_of(schema)
+    let tokens = tokens(statement);
+    let significant: Vec<&Token> = tokens.iter().filter(|token| token.is_significant()).collect();
+    significant.windows(2).find_map(|pair| match pair {
+        [Token::Name(schema), Token::Other(".")] if !schema.eq_ignore_ascii_case(STAGING_SCHEMA) => {
+            group_number(schema)
         }
         _ => None,
     })
 }
 
-fn hint<'a>(input: &mut &'a str) -> Out<(&'a str, &'a str)> {
-    let word = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-');
+/// A hint for the service.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Hint<'a> {
+    /// The name.
+    pub name: &'a str,
+    /// The value, without its quotation marks.
+    pub value: &'a str,
+}
+
+fn hint<'a>(input: &mut &'a str) -> ParseResult<Hint<'a>> {
+    let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-');
     let value = alt((
         delimited('\'', take_till(0.., '\''), '\''),
         take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-' || c == '.'),
@@ -97,72 +119,48 @@
     let gap = take_while(0.., |c: char| c.is_whitespace() || c == ',');
     delimited(
         gap,
-        separated_pair(word, '=', value),
+        separated_pair(name, '=', value).map(|(name, value)| Hint { name, value }),
         peek(alt((one_of([' ', ',', '\t', '\n', '\r']).void(), eof.void()))),
     )
     .parse_next(input)
 }
 
-/// The `name='value'` pairs of a comment at the start of a statement: `/*class='report',ttl_ms='1500'*/`.
-pub fn hints(statement: &str) -> Vec<(&str, &str)> {
+/// The hints in a comment at the start of a statement: `/*class='report',ttl_ms='1500'*/`.
+pub fn hints(statement: &str) -> Vec<Hint<'_>> {
     let text = statement.trim_start();
     let mut comment = delimited::<_, _, _, _, ContextError, _, _, _>("/*", take_until(0.., "*/"), "*/");
     let Ok((_, inner)) = comment.parse_peek(text) else { return Vec::new() };
-    let all = terminated(repeat(0.., hint), (take_while(0.., char::is_whitespace), opt(eof)));
-    let mut all = all;
-    let read: Out<Vec<(&str, &str)>> = all.parse_next(&mut { inner });
-    read.unwrap_or_default()
+    let end = (take_while(0.., char::is_whitespace), opt(eof));
+    let hints: ParseResult<Vec<Hint>> = terminated(repeat(0.., hint), end).parse_next(&mut { inner });
+    hints.unwrap_or_default()
+}
+
+/// The literal that replaces a parameter.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Binding {
+    /// The parameter's name, with its `@`.
+    pub parameter: String,
+    /// The literal.
+    pub literal: String,
 }
 
-/// Puts literals in the place of parameters, outside strings and comments.
-pub fn bind(statement: &str, literals: &[(String, String)]) -> String {
+/// Replaces parameters by literals, except in strings and comments. Other parameters are left as they are.
+pub fn bind(statement: &str, bindings: &[Binding]) -> String {
     let mut text = String::with_capacity(statement.len());
-    let mut from = 0;
-    for piece in pieces(statement) {
-        let Piece::Parameter(name) = piece else { continue };
-        let at = name.as_ptr() as usize - statement.as_ptr() as usize;
-        let literal = literals.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
-        if let Some((_, literal)) = literal {
-            text.push_str(&statement[from..at]);
-            text.push_str(literal);
-            from = at + name.len();
-        }
+    let mut copied = 0;
+    for token in tokens(statement) {
+        let Token::Parameter(name) = token else { continue };
+        let binding = bindings.iter().find(|binding| binding.parameter.eq_ignore_ascii_case(name));
+        let Some(binding) = binding else { continue };
+        // The name is a slice of the statement.
+        let start = name.as_ptr() as usize - statement.as_ptr() as usize;
+        text.push_str(&statement[copied..start]);
+        text.push_str(&binding.literal);
+        copied = start + name.len();
     }
-    text.push_str(&statement[from..]);
+    text.push_str(&statement[copied..]);
     text
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_group_is_the_number_of_the_schema() {
-        let told = [
-            ("SELECT day FROM sales_17.orders WHERE tag = '3f9c'", Some(17)),
-            ("INSERT INTO sales_3.t SELECT * FROM staging.x", Some(3)),
-            ("SELECT 'sales_9.t' /* sales_8.t */ FROM a_b_12.t -- sales_7.t", Some(12)),
-            ("SELECT 'it''s sales_9.t' FROM staging.y, \"sales_5\".t", Some(5)),
-            ("SELECT x FROM [sales_6] . t", Some(6)),
-            ("/* outer /* inner */ sales_1.t */ SELECT x FROM sales_2.t", Some(2)),
-            ("SELECT 1", None),
-            ("SELECT 'open sales_4.t", None),
-        ];
-        for (statement, group) in told {
-            assert_eq!(table_group(statement), group, "{statement}");
-        }
-    }
-
-    #[test]
-    fn hints_are_read_from_the_first_comment_only() {
-        let read = hints("/* class='report', ttl_ms=1500 */ SELECT '/*class=load*/'");
-        assert_eq!(read, vec![("class", "report"), ("ttl_ms", "1500")]);
-        assert!(hints("SELECT 1 /*class='load'*/").is_empty());
-    }
-
-    #[test]
-    fn parameters_in_strings_and_comments_stay() {
-        let literals = [("@a".to_owned(), "N'x'".to_owned())];
-        assert_eq!(bind("SELECT @a, '@a' /*@a*/ , @ab", &literals), "SELECT N'x', '@a' /*@a*/ , @ab");
-    }
-}
+mod tests;
--- a/src/tds/token/request.rs
+++ b/src/tds/token/request.rs
@@ -1,7 +1,7 @@
 //! The contents of batches and calls.
 
 use super::response_reader::parse_short_text;
-use crate::sql;
+use crate::sql::{self, Binding};
 use crate::tds::value::{self, Value};
 use crate::tds::{ParseResult, TdsError, from_utf16, utf16};
 use winnow::Parser;
@@ -47,6 +47,12 @@
     value: Value,
 }
 
+impl Parameter {
+    fn into_binding(self) -> Binding {
+        Binding { parameter: self.name, literal: self.value.literal() }
+    }
+}
+
 fn parse_parameter(input: &mut &[u8]) -> ParseResult<Parameter> {
     let name = parse_short_text(input)?;
     let _status = le_u8.parse_next(input)?;
@@ -78,8 +84,7 @@
     let mut parameters = parameters.into_iter();
     let statement = parameters.next().and_then(|parameter| parameter.value.into_text());
     let statement = statement.ok_or_else(ContextError::new)?;
-    let bindings: Vec<(String, String)> =
-        parameters.skip(1).map(|parameter| (parameter.name, parameter.value.literal())).collect();
+    let bindings: Vec<Binding> = parameters.skip(1).map(Parameter::into_binding).collect();
     Ok(sql::bind(&statement, &bindings))
 }
 
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -1,15 +1,15 @@
-//! Who belongs to which tenant: by the database that a login names, or by a tenant's LDAP directory.
+//! Maps a login to its tenant: by the database that it names, or by an LDAP directory.
 
 use crate::tds::login::Login;
 use crate::tenants::KnownTenants;
-use ldap3::{LdapConnAsync, LdapConnSettings, Scope, SearchEntry, dn_escape, ldap_escape};
+use ldap3::{LdapConnAsync, LdapConnSettings, LdapError, Scope, SearchEntry, dn_escape, ldap_escape};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A directory that has not answered by then does not.
-const WITHIN: Duration = Duration::from_secs(2);
+/// An LDAP directory must answer a login within this time. A value of ours.
+const LDAP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where users are looked up.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
@@ -37,83 +37,121 @@
     "o".to_owned()
 }
 
-/// Why a login is denied. Clients are not told: it goes to the log.
+/// Why a login is denied. This is logged, and not sent to the client.
 #[derive(Debug, Error)]
-pub enum Denied {
-    /// No such tenant.
-    #[error("database {0:?} is no tenant")]
-    Tenant(String),
-    /// No password: a directory would take that as a bind by nobody, and grant it.
-    #[error("user {0:?} gave no name or no password")]
-    Empty(String),
-    /// The directory said no, or said nothing.
-    #[error("user {0:?}: the directory says: {1}")]
-    Ldap(String, ldap3::LdapError),
-    /// The user's entry does not name one tenant.
-    #[error("user {0:?}: {1} entries name {2} tenants")]
-    Entry(String, usize, usize),
-    /// The login names a tenant that is not the user's.
-    #[error("user {0:?} of {1:?} asked for {2:?}")]
-    Other(String, String, String),
+pub enum LoginError {
+    /// There is no such tenant.
+    #[error("database {tenant:?} is no tenant")]
+    UnknownTenant {
+        /// The tenant that the login names, or that the directory names for it.
+        tenant: String,
+    },
+    /// The name or the password is empty. A directory would grant such a bind as unauthenticated (RFC 4513, 5.1.2).
+    #[error("user {user:?} gave no name or no password")]
+    EmptyCredentials {
+        /// The user.
+        user: String,
+    },
+    /// The directory denied the bind, or could not be asked.
+    #[error("user {user:?}: the directory says: {source}")]
+    Ldap {
+        /// The user.
+        user: String,
+        /// What failed.
+        source: LdapError,
+    },
+    /// The directory does not have one entry for the user that names one tenant.
+    #[error("user {user:?}: {entries} entries name {tenants} tenants")]
+    AmbiguousEntry {
+        /// The user.
+        user: String,
+        /// How many entries match the user.
+        entries: usize,
+        /// How many tenants they name.
+        tenants: usize,
+    },
+    /// The login names another tenant than the user's.
+    #[error("user {user:?} of {tenant:?} asked for {requested:?}")]
+    OtherTenant {
+        /// The user.
+        user: String,
+        /// The user's tenant.
+        tenant: String,
+        /// The tenant that the login names.
+        requested: String,
+    },
 }
 
-/// How tenants are found.
+/// How the tenant of a login is found.
 #[derive(Debug, Clone)]
 pub enum Directory {
-    /// The login's database is the tenant, and the password is not heeded.
+    /// The login's database is the tenant. The password is not checked.
     Database(KnownTenants),
-    /// A directory knows the user, and the tenant.
+    /// An LDAP directory checks the password, and its entry for the user names the tenant.
     Ldap(Ldap, KnownTenants),
 }
 
 impl Directory {
     /// The tenant of a login.
-    pub async fn tenant(&self, login: &Login) -> Result<String, Denied> {
+    ///
+    /// # Errors
+    ///
+    /// The login is denied.
+    pub async fn tenant(&self, login: &Login) -> Result<String, LoginError> {
         let (tenant, tenants) = match self {
             Directory::Database(tenants) => (login.database.clone(), tenants),
             Directory::Ldap(ldap, tenants) => (ldap.tenant(login).await?, tenants),
         };
         if !login.database.is_empty() && login.database != tenant {
-            return Err(Denied::Other(login.user.clone(), tenant, login.database.clone()));
+            let (user, requested) = (login.user.clone(), login.database.clone());
+            return Err(LoginError::OtherTenant { user, tenant, requested });
         }
         match tenants.contains(&tenant) {
             true => Ok(tenant),
-            false => Err(Denied::Tenant(tenant)),
+            false => Err(LoginError::UnknownTenant { tenant }),
         }
     }
 }
 
 impl Ldap {
-    async fn tenant(&self, login: &Login) -> Result<String, Denied> {
-        let user = &login.user;
+    async fn tenant(&self, login: &Login) -> Result<String, LoginError> {
+        let user = login.user.clone();
         if user.is_empty() || login.password.is_empty() {
-            return Err(Denied::Empty(user.clone()));
+            return Err(LoginError::EmptyCredentials { user });
         }
-        let entries = match tokio::time::timeout(WITHIN, self.entries(user, &login.password)).await {
-            Ok(found) => found.map_err(|error| Denied::Ldap(user.clone(), error))?,
-            Err(_) => {
-                let late = std::io::Error::from(std::io::ErrorKind::TimedOut);
-                return Err(Denied::Ldap(user.clone(), ldap3::LdapError::Io { source: late }));
-            }
+        let search = self.find_entries(&user, &login.password);
+        let found = tokio::time::timeout(LDAP_TIMEOUT, search).await.unwrap_or_else(|_| Err(timed_out()));
+        let entries = match found {
+            Ok(entries) => entries,
+            Err(source) => return Err(LoginError::Ldap { user, source }),
         };
-        let tenants: Vec<&String> =
-            entries.iter().flat_map(|entry| entry.attrs.get(&self.tenant_attribute)).flatten().collect();
+        let values = entries.iter().filter_map(|entry| entry.attrs.get(&self.tenant_attribute));
+        let tenants: Vec<&String> = values.flatten().collect();
         match (entries.len(), &tenants[..]) {
             (1, [tenant]) => Ok((*tenant).clone()),
-            (found, tenants) => Err(Denied::Entry(user.clone(), found, tenants.len())),
+            (entries, tenants) => {
+                let tenants = tenants.len();
+                Err(LoginError::AmbiguousEntry { user, entries, tenants })
+            }
         }
     }
 
-    async fn entries(&self, user: &str, password: &str) -> Result<Vec<SearchEntry>, ldap3::LdapError> {
-        let settings = LdapConnSettings::new().set_conn_timeout(WITHIN);
+    /// Binds as the user, and searches for the user's entries.
+    async fn find_entries(&self, user: &str, password: &str) -> Result<Vec<SearchEntry>, LdapError> {
+        let settings = LdapConnSettings::new().set_conn_timeout(LDAP_TIMEOUT);
         let (connection, mut ldap) = LdapConnAsync::with_settings(settings, &self.url).await?;
         ldap3::drive!(connection);
-        let name = self.bind_dn.replace("{user}", &dn_escape(user));
-        ldap.simple_bind(&name, password).await?.success()?;
+        let bind_dn = self.bind_dn.replace("{user}", &dn_escape(user));
+        ldap.simple_bind(&bind_dn, password).await?.success()?;
         let filter = self.filter.replace("{user}", &ldap_escape(user));
-        let wanted = vec![self.tenant_attribute.as_str()];
-        let (found, _) = ldap.search(&self.base, Scope::Subtree, &filter, wanted).await?.success()?;
+        let attributes = vec![self.tenant_attribute.as_str()];
+        let (found, _) = ldap.search(&self.base, Scope::Subtree, &filter, attributes).await?.success()?;
         ldap.unbind().await?;
         Ok(found.into_iter().map(SearchEntry::construct).collect())
     }
 }
+
+fn timed_out() -> LdapError {
+    let source = std::io::Error::from(std::io::ErrorKind::TimedOut);
+    LdapError::Io { source }
+}
