--- a/tests/common/engines.rs
+++ b/tests/common/engines.rs
@@ -1,59 +1,79 @@
-//! Stand-in engines on lines and on TDS. What a statement holds decides what they do with it: `ok`, `big`,
-//! `fail`, `full`, `die`, `garble`, `torn`, `huge`, `twice`, `mute`, `trickle`, `nap`, which takes 0.3 s (a `long nap` 4 s, and one `then fail` ends in an error), and `slow`, which runs until it is stopped.
+//! Emulated engines, for the line protocol and for TDS. Words in a statement decide how it is executed:
+//!
+//! - `ok`, and any other: two rows;
+//! - `big`: a result of several pages, in which the connection is closed (`big once`: at the first attempt only);
+//! - `huge`: a result that is longer than any that is collected;
+//! - `fail`, `full`: an error, or a rejection;
+//! - `die`: the connection is closed;
+//! - `garble`, `torn`: a malformed response, or an incomplete row;
+//! - `twice`: a response to an unknown request, then the proper one twice;
+//! - `mute`, `trickle`: at the first attempt a response that never comes, or comes byte by byte;
+//! - `nap`: 0.3 s of work (`long nap`: 4 s; with `then fail` it ends in an error);
+//! - `slow`: work until it is cancelled.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// What an engine was sent, in order: the words of its lines, or the statements and attentions of TDS.
-pub type Seen = Arc<Mutex<Vec<String>>>;
+/// What an engine has received, in order: the lines, or the statements and attentions of TDS.
+pub type Received = Arc<Mutex<Vec<String>>>;
 
+/// A running engine.
 pub struct Engine {
+    /// The address that it listens at.
     pub address: SocketAddr,
-    pub seen: Seen,
+    /// What it has received.
+    pub received: Received,
 }
 
 impl Engine {
-    pub fn count(&self, what: &str) -> usize {
-        self.seen.lock().unwrap().iter().filter(|line| line.contains(what)).count()
+    /// How many entries of what it has received contain a text.
+    pub fn count(&self, text: &str) -> usize {
+        self.received.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 }
 
-fn serve(each: fn(TcpStream, Seen)) -> Engine {
+type ServeConnection = fn(TcpStream, Received);
+
+fn start(serve: ServeConnection) -> Engine {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let engine = Engine { address: listener.local_addr().unwrap(), seen: Seen::default() };
-    let seen = engine.seen.clone();
-    std::thread::spawn(move || accept(&listener, &seen, each));
+    let engine = Engine { address: listener.local_addr().unwrap(), received: Received::default() };
+    let received = engine.received.clone();
+    std::thread::spawn(move || accept(&listener, &received, serve));
     engine
 }
 
-fn accept(listener: &TcpListener, seen: &Seen, each: fn(TcpStream, Seen)) {
+fn accept(listener: &TcpListener, received: &Received, serve: ServeConnection) {
     for stream in listener.incoming().flatten() {
-        let seen = seen.clone();
-        std::thread::spawn(move || each(stream, seen));
+        let received = received.clone();
+        std::thread::spawn(move || serve(stream, received));
     }
 }
 
-/// An engine of either wire whose connections come up late: its socket's queue is full, and the first packets of who
-/// comes are dropped until it is told to go on. They come again by themselves about a second after the first.
-pub struct Late {
+/// An engine that does not accept connections yet: the backlog of its socket is full, so the kernel drops the first
+/// packet of each connection. Clients send it again about a second later.
+pub struct LateEngine {
+    /// The engine.
     pub engine: Engine,
-    waiting: Vec<TcpStream>,
+    /// The connections that fill the backlog.
+    backlog: Vec<TcpStream>,
     listener: TcpListener,
-    each: fn(TcpStream, Seen),
+    serve: ServeConnection,
 }
 
-impl Late {
-    pub fn lines() -> Late {
-        Late::start(|stream, seen| drop(speak_lines(stream, &seen)))
+impl LateEngine {
+    /// One with the line protocol.
+    pub fn line_protocol() -> LateEngine {
+        LateEngine::start(|stream, received| drop(speak_line_protocol(stream, &received)))
     }
 
-    pub fn tds() -> Late {
-        Late::start(|stream, seen| drop(speak_tds(stream, &seen)))
+    /// One with TDS.
+    pub fn tds() -> LateEngine {
+        LateEngine::start(|stream, received| drop(speak_tds(stream, &received)))
     }
 
-    fn start(each: fn(TcpStream, Seen)) -> Late {
+    fn start(serve: ServeConnection) -> LateEngine {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -62,67 +82,80 @@
         });
         listener.set_nonblocking(false).unwrap();
         let address = listener.local_addr().unwrap();
-        let mut waiting = Vec::new();
+        let mut backlog = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, std::time::Duration::from_millis(100)) {
-            waiting.push(stream);
+            backlog.push(stream);
         }
-        Late { engine: Engine { address, seen: Seen::default() }, waiting, listener, each }
+        let engine = Engine { address, received: Received::default() };
+        LateEngine { engine, backlog, listener, serve }
     }
 
-    /// Takes connections from now on.
-    pub fn go_on(self) -> Engine {
-        for _ in &self.waiting {
+    /// Accepts connections from now on.
+    pub fn accept_connections(self) -> Engine {
+        for _ in &self.backlog {
             drop(self.listener.accept().unwrap());
         }
-        let (seen, each) = (self.engine.seen.clone(), self.each);
-        std::thread::spawn(move || accept(&self.listener, &seen, each));
+        let received = self.engine.received.clone();
+        std::thread::spawn(move || accept(&self.listener, &received, self.serve));
         self.engine
     }
 }
 
-/// An engine on lines that reads nothing of its first connection until it is told, and has little room for what
-/// it does not read.
-pub struct Blocked {
+/// What a [`BlockedEngine`] does with its first connection.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Unblock {
+    /// It reads what was sent.
+    Read,
+    /// It closes the connection without reading.
+    Close,
+}
+
+/// An engine of the line protocol that does not read from its first connection, whose receive buffer is small. Other
+/// connections are served as usual.
+pub struct BlockedEngine {
+    /// The engine.
     pub engine: Engine,
-    go_on: std::sync::mpsc::Sender<bool>,
+    unblock: std::sync::mpsc::Sender<Unblock>,
 }
 
-impl Blocked {
-    pub fn start() -> Blocked {
+impl BlockedEngine {
+    /// Starts one.
+    pub fn start() -> BlockedEngine {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        // The sender's room grows with the segments that its peer takes.
+        // The sender's window grows with the size of the segments that its peer accepts.
         socket.set_tcp_mss(88).unwrap();
         socket.set_recv_buffer_size(1).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(16).unwrap();
         let listener = TcpListener::from(socket);
-        let engine = Engine { address: listener.local_addr().unwrap(), seen: Seen::default() };
-        let seen = engine.seen.clone();
-        let (go_on, told) = std::sync::mpsc::channel();
+        let engine = Engine { address: listener.local_addr().unwrap(), received: Received::default() };
+        let received = engine.received.clone();
+        let (unblock, unblocked) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let (first, _) = listener.accept().unwrap();
-            let seen_first = seen.clone();
+            let received_first = received.clone();
             std::thread::spawn(move || {
-                if told.recv() == Ok(true) {
-                    drop(speak_lines(first, &seen_first));
+                if unblocked.recv() == Ok(Unblock::Read) {
+                    drop(speak_line_protocol(first, &received_first));
                 }
             });
-            accept(&listener, &seen, |stream, seen| drop(speak_lines(stream, &seen)));
+            accept(&listener, &received, |stream, received| drop(speak_line_protocol(stream, &received)));
         });
-        Blocked { engine, go_on }
+        BlockedEngine { engine, unblock }
     }
 
-    /// Reads from now on, or else closes the connection unread; others are served as usual.
-    pub fn go_on(&self, reads: bool) {
-        self.go_on.send(reads).unwrap();
+    /// Reads from the first connection from now on, or closes it.
+    pub fn unblock(&self, action: Unblock) {
+        self.unblock.send(action).unwrap();
     }
 }
 
-pub fn lines() -> Engine {
-    serve(|stream, seen| drop(speak_lines(stream, &seen)))
+/// Starts an engine with the line protocol.
+pub fn line_protocol() -> Engine {
+    start(|stream, received| drop(speak_line_protocol(stream, &received)))
 }
 
-fn speak_lines(stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+fn speak_line_protocol(stream: TcpStream, received: &Received) -> std::io::Result<()> {
     let mut out = stream.try_clone()?;
     let mut input = BufReader::new(stream);
     let mut big: HashMap<String, bool> = HashMap::new();
@@ -130,7 +163,7 @@
     loop {
         let mut line = String::new();
         if input.read_line(&mut line)? == 0 {
-            seen.lock().unwrap().push("END OF CONNECTION".to_owned());
+            received.lock().unwrap().push("END OF CONNECTION".to_owned());
             return Ok(());
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
@@ -140,9 +173,9 @@
             continue;
         }
         if words[0] == "FETCH" {
-            seen.lock().unwrap().push(line.trim_end().to_owned());
+            received.lock().unwrap().push(line.trim_end().to_owned());
             if big[id] {
-                return Ok(()); // dies between pages
+                return Ok(()); // closes the connection between pages
             }
             if huge {
                 write!(out, "{id} chunk sheet={} 60000\r\n{}\n\r\n", words[2], "x".repeat(59_999))?;
@@ -157,15 +190,15 @@
             input.read_exact(&mut body)?;
             statement = String::from_utf8(body).unwrap().trim_end().to_owned();
         }
-        seen.lock().unwrap().push(format!("{} {statement}", line.trim_end()));
+        received.lock().unwrap().push(format!("{} {statement}", line.trim_end()));
         let has = |word: &str| statement.contains(word);
-        // The first try of such a statement goes wrong, and the next is served.
-        let first = |word: &str| {
-            has(word) && seen.lock().unwrap().iter().filter(|line| line.contains(word)).count() == 1
+        // Only the first attempt of such a statement goes wrong.
+        let first_attempt = |word: &str| {
+            has(word) && received.lock().unwrap().iter().filter(|line| line.contains(word)).count() == 1
         };
-        if first("mute") {
+        if first_attempt("mute") {
             write!(out, "{id} status n=share,val=0.1 0\r\n\r\n")?;
-        } else if first("trickle") {
+        } else if first_attempt("trickle") {
             write!(out, "{id} 200 sheets=1,toil=100,room=8 9000\r\n")?;
             while out.write_all(b"x").is_ok() {
                 std::thread::sleep(std::time::Duration::from_millis(100));
@@ -192,7 +225,7 @@
         } else if has("garble") {
             write!(out, "what is this\r\n")?;
         } else if has("twice") {
-            // A good answer that brings more than belongs to it: under an id that nobody has, and again.
+            // A valid response, with others that nobody waits for: one of an unknown id, and the same again.
             let first = format!("{id} 200 sheets=2,toil=100,room=8 8\r\na\tb\nc\td\n\r\n");
             big.insert(id.to_owned(), false);
             write!(out, "00000000000000ee 200 sheets=1 4\r\nx\ty\n\r\n{first}{first}")?;
@@ -203,9 +236,10 @@
         } else if has("torn") {
             write!(out, "{id} 200 sheets=1,toil=100,room=8 6\r\na\tb\nc\t\r\n")?;
         } else if has("big") {
-            // The first try of a `big once` ends between its pages.
-            let again = seen.lock().unwrap().iter().filter(|line| line.contains("big once")).count() > 1;
-            big.insert(id.to_owned(), has("once") && !again);
+            // The first attempt of a `big once` ends between its pages.
+            let is_retry =
+                received.lock().unwrap().iter().filter(|line| line.contains("big once")).count() > 1;
+            big.insert(id.to_owned(), has("once") && !is_retry);
             write!(out, "{id} 200 sheets=3,toil=100,room=8 8\r\na\tb\nc\td\n\r\n")?;
         } else if words[0] == "REQ" {
             write!(out, "{id} 200 sheets=1,toil=100,room=8 8\r\na\tb\nc\td\n\r\n")?;
@@ -213,8 +247,9 @@
     }
 }
 
+/// Starts an engine with TDS.
 pub fn tds() -> Engine {
-    serve(|stream, seen| drop(speak_tds(stream, &seen)))
+    start(|stream, received| drop(speak_tds(stream, &received)))
 }
 
 fn utf16(text: &str) -> Vec<u8> {
@@ -253,18 +288,18 @@
     out
 }
 
-/// Writes an answer in packets of odd sizes, so that tokens are cut anywhere.
-fn answer(out: &mut TcpStream, data: &[u8], whole: bool) -> std::io::Result<()> {
+/// Writes a response in packets of an odd size, so that tokens are split anywhere. Without `complete` more follows.
+fn respond(out: &mut TcpStream, data: &[u8], complete: bool) -> std::io::Result<()> {
     let parts: Vec<&[u8]> = data.chunks(37).collect();
-    for (at, part) in parts.iter().enumerate() {
-        let last = u8::from(whole && at + 1 == parts.len());
+    for (index, part) in parts.iter().enumerate() {
+        let last = u8::from(complete && index + 1 == parts.len());
         let length = (part.len() as u16 + 8).to_be_bytes();
         out.write_all(&[&[4, last, length[0], length[1], 0, 0, 1, 0][..], part].concat())?;
     }
     Ok(())
 }
 
-fn speak_tds(mut stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+fn speak_tds(mut stream: TcpStream, received: &Received) -> std::io::Result<()> {
     loop {
         let (mut data, mut kind) = (Vec::new(), 0);
         loop {
@@ -279,14 +314,14 @@
             }
         }
         match kind {
-            0x12 => answer(&mut stream, &[1, 0, 6, 0, 1, 0xff, 2], true)?,
+            0x12 => respond(&mut stream, &[1, 0, 6, 0, 1, 0xff, 2], true)?,
             0x10 => {
                 let ack = token(0xad, &[1, 0x74, 0, 0, 4, 0, 16, 0, 0, 0]);
-                answer(&mut stream, &[ack, done(0)].concat(), true)?;
+                respond(&mut stream, &[ack, done(0)].concat(), true)?;
             }
             0x06 => {
-                seen.lock().unwrap().push("ATTENTION".to_owned());
-                answer(&mut stream, &done(0x20), true)?;
+                received.lock().unwrap().push("ATTENTION".to_owned());
+                respond(&mut stream, &done(0x20), true)?;
             }
             _ => {
                 let units: Vec<u16> =
@@ -299,26 +334,26 @@
                         row(&["0.1", "0", "0.1", "0.1"]),
                         done(0x10),
                     ];
-                    answer(&mut stream, &load.concat(), true)?;
+                    respond(&mut stream, &load.concat(), true)?;
                     continue;
                 }
-                seen.lock().unwrap().push(statement.clone());
+                received.lock().unwrap().push(statement.clone());
                 let failed = |number| [message(0xaa, number, "no"), done(2)].concat();
-                let mute = has("mute") && seen.lock().unwrap().len() == 1;
+                let mute = has("mute") && received.lock().unwrap().len() == 1;
                 if has("slow") || mute {
-                    answer(&mut stream, &message(0xab, 50100, "share=0.1"), false)?;
+                    respond(&mut stream, &message(0xab, 50100, "share=0.1"), false)?;
                 } else if has("fail") {
-                    answer(&mut stream, &failed(547), true)?;
+                    respond(&mut stream, &failed(547), true)?;
                 } else if has("full") {
-                    answer(&mut stream, &failed(10928), true)?;
+                    respond(&mut stream, &failed(10928), true)?;
                 } else if has("die") {
                     return Ok(());
                 } else if has("garble") {
                     stream.write_all(b"what is this, no packet at all")?;
                 } else {
-                    let told = message(0xab, 50100, "toil=100 room=8");
-                    let rows = [columns(&["x", "y"]), row(&["a", "b"]), row(&["c", "d"]), told, done(0x10)];
-                    answer(&mut stream, &rows.concat(), true)?;
+                    let report = message(0xab, 50100, "toil=100 room=8");
+                    let rows = [columns(&["x", "y"]), row(&["a", "b"]), row(&["c", "d"]), report, done(0x10)];
+                    respond(&mut stream, &rows.concat(), true)?;
                 }
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! The program as a process, and stand-ins for its clients and engines.
+//! The program as a process, and test doubles for its clients, engines and services.
 #![allow(dead_code)]
 
+pub mod dns;
 pub mod engines;
 pub mod ldap;
-pub mod names;
 
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -14,26 +14,31 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-static STARTED: AtomicU8 = AtomicU8::new(1);
+/// The last byte of the next address.
+static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other test has, in this process or another: no two ever race for a port.
-pub fn own_address() -> IpAddr {
+/// A loopback address that no other test uses, in this process or another, so that no two race for a port.
+pub fn unique_address() -> IpAddr {
     let [a, b] = (std::process::id() as u16).to_le_bytes();
-    IpAddr::from([127, a, b, STARTED.fetch_add(1, Ordering::Relaxed)])
+    IpAddr::from([127, a, b, NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed)])
 }
 
-/// Waits until something holds, far longer than it takes on any machine that is not stuck.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < Duration::from_secs(30), "never came: {what}");
+/// How long [`wait_until`] waits: far longer than anything takes on a machine that is not stuck.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Waits until a condition holds. `description` says which, should it never hold.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "never came: {description}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// The platform's settings: four classes, one tenant, one kind of engine.
 pub fn settings() -> Value {
-    let class = |name: &str, deadline: f64, effect: &str| {
-        json!({"name": name, "targetMs": 1000, "deadlineMs": deadline, "idempotency": effect,
+    let class = |name: &str, deadline_ms: f64, idempotency: &str| {
+        json!({"name": name, "targetMs": 1000, "deadlineMs": deadline_ms, "idempotency": idempotency,
                "dedupScope": "all", "windowMs": 15000, "worth": 1})
     };
     json!({
@@ -48,90 +53,103 @@
     })
 }
 
+/// An entry of an endpoint list, for an engine that is ready.
 pub fn endpoint(name: &str, address: SocketAddr) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "std", "group": 0,
            "status": "ready", "weight": 1.0, "since_ms": 0})
 }
 
+/// A running program. It is killed when this is dropped.
 pub struct Program {
     child: Child,
+    /// The address of the HTTP frontend.
     pub http: SocketAddr,
+    /// The address of the TDS frontend.
     pub tds: SocketAddr,
+    /// The address of the administration API.
     pub admin: SocketAddr,
+    /// The address of the operations endpoint.
     pub ops: SocketAddr,
     config: Value,
     files: Arc<tempdir::Dir>,
 }
 
-/// A folder of this test's own that goes with it.
+/// Temporary directories.
 mod tempdir {
+    /// A directory that is removed when this is dropped.
     pub struct Dir(pub std::path::PathBuf);
     impl Drop for Dir {
         fn drop(&mut self) {
-            let _gone = std::fs::remove_dir_all(&self.0);
+            let _removed = std::fs::remove_dir_all(&self.0);
         }
     }
 }
 
+/// The root token of the administration API.
 pub const TOKEN: &str = "0123456789abcdef-token";
 
-/// A configuration with the administration API on an address of its own, and no engines.
-pub fn settings_file(folder: &std::path::Path) -> Value {
+/// A configuration with the administration API at a unique address, and no engines. Its token file is in `folder`.
+pub fn admin_only_config(folder: &std::path::Path) -> Value {
     std::fs::write(folder.join("token"), TOKEN).unwrap();
-    let admin = SocketAddr::new(own_address(), 8081);
+    let admin = SocketAddr::new(unique_address(), 8081);
     json!({"settings": settings(), "admin": {"listen": admin.to_string(), "token_file": folder.join("token")}})
 }
 
-/// Starts the program on the engines, with more keys for its configuration.
-pub fn start(engines: &[SocketAddr], more: Value) -> Program {
-    start_by(engines, more, |config| spawn(config, None, &[], Stdio::inherit()))
+/// Starts the program with these engines, and waits until it is ready. `overrides` are keys of its configuration.
+pub fn start(engines: &[SocketAddr], overrides: Value) -> Program {
+    start_with_command(engines, overrides, |config| spawn(config, None, &[], Stdio::inherit()))
 }
 
-/// Starts it as the platform does, which ends it by force some time after SIGTERM.
-pub fn on_platform(engines: &[SocketAddr], more: Value) -> Program {
-    start_by(engines, more, |config| {
+/// Starts the program as the platform does, which kills it some time after SIGTERM.
+pub fn start_on_platform(engines: &[SocketAddr], overrides: Value) -> Program {
+    start_with_command(engines, overrides, |config| {
         Command::new(env!("CARGO_BIN_EXE_sanddyke")).env("LB_CONFIG", config).spawn().unwrap()
     })
 }
 
-fn start_by(engines: &[SocketAddr], more: Value, spawn: impl Fn(&std::path::Path) -> Child) -> Program {
-    let own = own_address();
-    let (http, tds, admin) =
-        (SocketAddr::new(own, 8080), SocketAddr::new(own, 1433), SocketAddr::new(own, 8081));
+fn start_with_command(
+    engines: &[SocketAddr],
+    overrides: Value,
+    spawn: impl Fn(&std::path::Path) -> Child,
+) -> Program {
+    let own = unique_address();
+    let http = SocketAddr::new(own, 8080);
+    let tds = SocketAddr::new(own, 1433);
+    let admin = SocketAddr::new(own, 8081);
+    let ops = SocketAddr::new(own, 19000);
     let folder = std::env::temp_dir().join(format!("sanddyke-{}-{}", std::process::id(), own));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("token"), TOKEN).unwrap();
     let endpoints: Vec<Value> =
-        engines.iter().enumerate().map(|(at, address)| endpoint(&format!("e{at}"), *address)).collect();
+        engines.iter().enumerate().map(|(index, address)| endpoint(&format!("e{index}"), *address)).collect();
     let mut config = json!({
         "listen": http.to_string(), "settings": settings(),
         "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"snapshot": true, "endpoints": endpoints}}]},
         "tds": {"listen": tds.to_string()},
         "admin": {"listen": admin.to_string(), "token_file": folder.join("token")},
-        "ops": SocketAddr::new(own, 19000).to_string(),
+        "ops": ops.to_string(),
     });
-    for (key, value) in more.as_object().unwrap() {
+    for (key, value) in overrides.as_object().unwrap() {
         match (config.get_mut(key).and_then(Value::as_object_mut), value.as_object()) {
-            (Some(known), Some(more)) => known.extend(more.clone()),
+            (Some(object), Some(overrides)) => object.extend(overrides.clone()),
             _ => config[key.as_str()] = value.clone(),
         }
     }
     std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
     let files = Arc::new(tempdir::Dir(folder));
     let child = spawn(&files.0.join("config.json"));
-    let ops = SocketAddr::new(own, 19000);
     let program = Program { child, http, tds, admin, ops, config, files };
-    until("the program is ready", || {
+    wait_until("the program is ready", || {
         TcpStream::connect(http).is_ok() && program.call("GET", "/check", &[], "").status == 200
     });
     program
 }
 
-/// Starts a process; with a socket, as descriptor 3, which `LB_ACCEPT_FD` names.
+/// Starts a process with these environment variables. A socket is passed as descriptor 3, which `LB_ACCEPT_FD` names.
 pub fn spawn(
     config: &std::path::Path,
     socket: Option<&TcpListener>,
-    more: &[(&str, &str)],
+    variables: &[(&str, &str)],
     log: Stdio,
 ) -> Child {
     let program = env!("CARGO_BIN_EXE_sanddyke");
@@ -144,48 +162,50 @@
             shell
         }
     };
-    command.arg("--config").arg(config).envs(more.iter().copied()).stderr(log).spawn().unwrap()
+    command.arg("--config").arg(config).envs(variables.iter().copied()).stderr(log).spawn().unwrap()
 }
 
-/// Programs of one configuration on one listening socket, which the test holds as the platform does.
-pub struct Held {
+/// A listening socket that is passed to programs of one configuration (socket activation), as the platform does.
+pub struct SocketActivation {
+    /// The socket, which stays open while programs come and go.
     pub socket: TcpListener,
     config: Value,
     files: Arc<tempdir::Dir>,
 }
 
-/// Such a socket, and a configuration on the engines with more keys.
-pub fn held(engines: &[SocketAddr], more: Value) -> Held {
-    let program = start(engines, more);
-    let (config, files) = (program.config.clone(), program.files.clone());
+/// Opens such a socket, with the configuration that [`start`] would use.
+pub fn socket_activation(engines: &[SocketAddr], overrides: Value) -> SocketActivation {
+    let program = start(engines, overrides);
+    let config = program.config.clone();
+    let files = program.files.clone();
     drop(program);
     let listen: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-    Held { socket: TcpListener::bind(listen).unwrap(), config, files }
+    SocketActivation { socket: TcpListener::bind(listen).unwrap(), config, files }
 }
 
-impl Held {
-    /// Starts a program on the socket, with a second address of its own.
+impl SocketActivation {
+    /// Starts a program on the socket, with an operations endpoint of its own.
     pub fn start(&self) -> Program {
         self.start_with(&[], None)
     }
 
-    /// The folder that all of them share.
+    /// The directory that all programs on the socket share.
     pub fn folder(&self) -> &std::path::Path {
         &self.files.0
     }
 
-    /// Starts one with more variables, and its log in a file.
-    pub fn start_with(&self, more: &[(&str, &str)], log: Option<&std::path::Path>) -> Program {
-        let own = own_address();
+    /// Starts a program with these environment variables too, and its log in a file.
+    pub fn start_with(&self, variables: &[(&str, &str)], log: Option<&std::path::Path>) -> Program {
+        let own = unique_address();
         let (http, ops) = (self.socket.local_addr().unwrap(), SocketAddr::new(own, 19000));
         let mut config = self.config.clone();
-        // Listeners that are not handed over would meet those of the other process.
+        // The other listeners are not passed on: two programs would bind the same addresses.
         (config["tds"], config["admin"]) = (Value::Null, Value::Null);
         let path = self.files.0.join(format!("{own}.json"));
         std::fs::write(&path, config.to_string()).unwrap();
         let address = ops.to_string();
         let mut all = vec![("LB_OPS", address.as_str()), ("TMPDIR", self.files.0.to_str().unwrap())];
-        all.extend(more);
+        all.extend(variables);
         let log = log.map_or(Stdio::inherit(), |path| std::fs::File::create(path).unwrap().into());
         let child = spawn(&path, Some(&self.socket), &all, log);
         Program { child, http, tds: http, admin: http, ops, config, files: self.files.clone() }
@@ -194,29 +214,35 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        let _gone = self.child.kill();
+        let _killed = self.child.kill();
         let _reaped = self.child.wait();
     }
 }
 
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Reply {
+    /// The status.
     pub status: u16,
+    /// The status line and the header fields.
     pub head: String,
+    /// The body.
     pub body: String,
 }
 
 impl Reply {
+    /// The body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap()
     }
 
+    /// The value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
-/// Reads one answer; `None` where the connection ended first.
+/// Reads one response; `None` if the connection was closed first.
 pub fn read_reply(stream: &mut TcpStream) -> Option<Reply> {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -234,6 +260,7 @@
     Some(reply)
 }
 
+/// An HTTP request as it is sent.
 pub fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> String {
     let fields: String = fields.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     format!(
@@ -243,22 +270,32 @@
 }
 
 impl Program {
+    /// Sends a request over HTTP and reads the response.
     pub fn call(&self, method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Reply {
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(request(method, target, fields, body).as_bytes()).unwrap();
         read_reply(&mut stream).expect("an answer")
     }
 
-    /// A client's request over HTTP, sent and not yet answered.
-    pub fn send(&self, name: &str, class: &str, ttl: u64, key: Option<&str>, statement: &str) -> TcpStream {
-        let (txn, ttl) = (format!("{:0>16}", hex(name)), ttl.to_string());
-        let mut fields = vec![("X-Txn", txn.as_str()), ("X-Ttl-Ms", &ttl), ("X-Merchant", "acme")];
+    /// Sends a query of a tenant over HTTP. Its response is to be read from the connection.
+    pub fn send(
+        &self,
+        name: &str,
+        class: &str,
+        ttl_ms: u64,
+        key: Option<&str>,
+        statement: &str,
+    ) -> TcpStream {
+        let name = format!("{:0>16}", hex(name));
+        let ttl_ms = ttl_ms.to_string();
+        let mut fields = vec![("X-Txn", name.as_str()), ("X-Ttl-Ms", &ttl_ms), ("X-Merchant", "acme")];
         fields.extend(key.map(|key| ("X-Txn-Key", key)));
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(request("POST", &format!("/do/{class}"), &fields, statement).as_bytes()).unwrap();
         stream
     }
 
+    /// Sends a request to the administration API and reads the response.
     pub fn admin(&self, method: &str, target: &str, token: &str) -> Reply {
         let mut stream = TcpStream::connect(self.admin).unwrap();
         let field = format!("Bearer {token}");
@@ -266,14 +303,14 @@
         read_reply(&mut stream).expect("an answer")
     }
 
-    /// A call at the second address; `None` where it can't be reached.
+    /// Sends a request to the operations endpoint and reads the response; `None` if it cannot be reached.
     pub fn ops(&self, method: &str, target: &str) -> Option<Reply> {
         let mut stream = TcpStream::connect(self.ops).ok()?;
         stream.write_all(request(method, target, &[], "").as_bytes()).ok()?;
         read_reply(&mut stream)
     }
 
-    /// What the second address says of its health.
+    /// The status and the state that the operations endpoint reports.
     pub fn health(&self) -> Option<(u16, String)> {
         let reply = self.ops("GET", "/admin/health")?;
         Some((reply.status, reply.json()["state"].as_str().unwrap().to_owned()))
@@ -291,7 +328,7 @@
     pub fn pause(&self, paused: bool) {
         if paused {
             self.signal("-STOP");
-            until("every thread of the program is stopped", || self.is_stopped());
+            wait_until("every thread of the program is stopped", || self.is_stopped());
         } else {
             self.signal("-CONT");
         }
@@ -309,12 +346,13 @@
         })
     }
 
-    /// Ends it at once, whatever it is doing.
+    /// Kills the process, and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         self.signal("-TERM");
     }
@@ -339,11 +377,13 @@
         stream
     }
 
+    /// Waits for the end of the process.
     pub fn wait(&mut self) -> std::process::ExitStatus {
         self.child.wait().unwrap()
     }
 }
 
+/// The bytes of a text in hexadecimal digits.
 pub fn hex(name: &str) -> String {
     name.bytes().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -5,7 +5,7 @@
 
 use common::{TOKEN, start};
 #[cfg(feature = "cluster")]
-use common::{read_reply, until};
+use common::{read_reply, wait_until};
 use rstest::rstest;
 use sanddyke::core::HandoverState;
 use sanddyke_store::voter_file::VoterFile;
@@ -29,7 +29,7 @@
 
 /// Nothing listens there: connections are refused.
 fn unreachable_engine() -> SocketAddr {
-    SocketAddr::new(common::own_address(), 4001)
+    SocketAddr::new(common::unique_address(), 4001)
 }
 
 #[rstest]
@@ -110,11 +110,11 @@
 #[test]
 fn the_metrics_page_has_the_same_bytes() {
     let folder = tempfile::tempdir().unwrap();
-    let peer = SocketAddr::new(common::own_address(), 9101).to_string();
+    let peer = SocketAddr::new(common::unique_address(), 9101).to_string();
     let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
                          "path": folder.path().join("m1.votes")});
     let program = start(&[unreachable_engine()], json!({"name": "m1", "cluster": cluster}));
-    until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    wait_until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
     let mut client = program.send("r", "lookup", 600, None, "SELECT ok");
     assert_eq!(read_reply(&mut client).unwrap().status, 503);
     let page = program.admin("GET", "/metrics", TOKEN).body;
@@ -126,11 +126,11 @@
 #[test]
 fn the_fleet_view_has_the_same_fields() {
     let folder = tempfile::tempdir().unwrap();
-    let peer = SocketAddr::new(common::own_address(), 9101).to_string();
+    let peer = SocketAddr::new(common::unique_address(), 9101).to_string();
     let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
                          "path": folder.path().join("m1.votes")});
     let program = start(&[], json!({"name": "m1", "cluster": cluster}));
-    until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    wait_until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
     let view = program.admin("GET", "/v1/fleet", TOKEN).json();
     let fields = |value: &Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>().join(" ");
     assert_eq!(
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -3,8 +3,10 @@
 
 mod common;
 
-use common::engines::{self, Blocked, Late};
-use common::{Program, TOKEN, endpoint, names, on_platform, read_reply, request, settings, start, until};
+use common::engines::{self, BlockedEngine, LateEngine, Unblock};
+use common::{
+    Program, TOKEN, dns, endpoint, read_reply, request, settings, start, start_on_platform, wait_until,
+};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::Write;
@@ -38,7 +40,7 @@
     json!({ "settings": settings })
 }
 
-/// A statement that does not fit into the socket buffers of [`Blocked`].
+/// A statement that does not fit into the socket buffers of [`BlockedEngine`].
 fn long(word: &str) -> String {
     format!("SELECT {word} {}", "x".repeat(60_000))
 }
@@ -57,23 +59,23 @@
 #[case("report", 503)]
 #[case("post", 500)]
 fn graceful_shutdown_sends_every_answer_before_sigkill(#[case] class: &str, #[case] status: u16) {
-    let engine = engines::lines();
-    let mut program = on_platform(&[engine.address], slow_progress_reports());
+    let engine = engines::line_protocol();
+    let mut program = start_on_platform(&[engine.address], slow_progress_reports());
     let mut open = program.send("t", class, 15_000, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     let began = Instant::now();
     program.terminate();
     assert_eq!(read_reply(&mut open).map(|reply| reply.status), Some(status));
     assert!(program.wait().success());
     assert!(began.elapsed() < KILL_DELAY, "{:?}", began.elapsed());
-    until("its work is stopped", || engine.count("STOP") == 1);
+    wait_until("its work is stopped", || engine.count("STOP") == 1);
 }
 
 /// Guards against an end of the program before a request whose last bytes are on the way is answered.
 #[test]
 fn a_request_half_received_when_accepting_stops_is_answered() {
-    let engine = engines::lines();
-    let mut program = on_platform(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let mut program = start_on_platform(&[engine.address], json!({}));
     let (mut stream, (first, second)) = (program.connect(), halves("00000000000000aa"));
     stream.write_all(first.as_bytes()).unwrap();
     program.terminate();
@@ -86,10 +88,10 @@
 /// Guards against a close of the listening socket that resets connections which were not accepted yet.
 #[test]
 fn a_connection_in_the_backlog_when_accepting_stops_is_answered() {
-    let engine = engines::lines();
-    let mut program = on_platform(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let mut program = start_on_platform(&[engine.address], json!({}));
     program.terminate();
-    until("the health check says so", || program.call("GET", "/check", &[], "").status == 503);
+    wait_until("the health check says so", || program.call("GET", "/check", &[], "").status == 503);
     program.pause(true);
     let mut waiting: Vec<TcpStream> =
         (0..8).map(|number| program.send(&number.to_string(), "lookup", 4000, None, "SELECT ok")).collect();
@@ -104,8 +106,8 @@
 /// Guards against a connection without a request that delays the end, or is reset.
 #[test]
 fn a_silent_connection_does_not_delay_shutdown() {
-    let engine = engines::lines();
-    let mut program = on_platform(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let mut program = start_on_platform(&[engine.address], json!({}));
     let silent: Vec<TcpStream> = (0..4).map(|_| program.connect()).collect();
     let began = Instant::now();
     program.terminate();
@@ -118,24 +120,24 @@
 /// nobody.
 #[test]
 fn the_disconnect_of_a_client_with_much_pipelined_input_is_noticed() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], slow_progress_reports());
     let mut stream = program.send("t", "report", 15_000, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     stream.write_all(&vec![b'x'; 200_000]).unwrap();
     drop(stream);
     let began = Instant::now();
-    until("its work is stopped", || engine.count("STOP") == 1);
+    wait_until("its work is stopped", || engine.count("STOP") == 1);
     assert!(began.elapsed() < ms(5000), "{:?}", began.elapsed());
 }
 
 /// Pipelined input beyond the buffer costs a client its connection, but not its answer.
 #[test]
 fn a_client_that_never_stops_sending_gets_its_answer_and_is_closed() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({}));
     let mut stream = program.send("t", "lookup", 4000, None, "SELECT nap");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     stream.write_all(&vec![b'x'; 150_000]).unwrap();
     let reply = read_reply(&mut stream).expect("an answer");
     assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
@@ -145,24 +147,24 @@
 /// written all the same.
 #[test]
 fn a_draining_engine_is_sent_nothing_queued_behind_a_late_connection() {
-    let late = Late::lines();
-    let resolver = names::service(vec![late.engine.address]);
+    let late = LateEngine::line_protocol();
+    let resolver = dns::server(vec![late.engine.address]);
     let mut more = quiet(10_000);
     more["resolver"] = json!("127.0.0.1:9");
     let program = start(&[late.engine.address], more);
     let mut stream = program.send("r", "lookup", 4900, None, "SELECT 1");
     let state = || program.admin("GET", "/engines", TOKEN).json()["engines"][0].clone();
-    until("it is sent", || state()["attempts_out"] == 1);
+    wait_until("it is sent", || state()["attempts_out"] == 1);
     program.reload("resolver", json!(resolver.to_string()));
-    until("the engine drains", || state()["state"] == "draining");
-    let engine = late.go_on();
+    wait_until("the engine drains", || state()["state"] == "draining");
+    let engine = late.accept_connections();
     assert_eq!(read_reply(&mut stream).map(|reply| reply.status), Some(503));
     std::thread::sleep(ms(300));
-    assert_eq!(engine.count("SELECT 1"), 0, "{:?}", engine.seen);
+    assert_eq!(engine.count("SELECT 1"), 0, "{:?}", engine.received);
 }
 
-fn blocked() -> (Program, Blocked) {
-    let blocked = Blocked::start();
+fn blocked() -> (Program, BlockedEngine) {
+    let blocked = BlockedEngine::start();
     let program = start(&[blocked.engine.address], quiet(250));
     (program, blocked)
 }
@@ -171,7 +173,7 @@
 fn send_in_part(program: &Program, class: &str, word: &str) -> TcpStream {
     let stream = program.send(word, class, 4900, None, &long(word));
     let out = || program.admin("GET", "/engines", TOKEN).json()["engines"][0]["attempts_out"].clone();
-    until("it is sent", || out() == 1);
+    wait_until("it is sent", || out() == 1);
     std::thread::sleep(ms(200));
     stream
 }
@@ -184,8 +186,8 @@
     let _first = send_in_part(&program, "lookup", "first");
     let reply = read_reply(&mut program.send("over", "lookup", 300, None, "SELECT over")).unwrap();
     assert_eq!(reply.status, 503);
-    blocked.go_on(true);
-    until("the engine reads on", || blocked.engine.count("SELECT first") == 1);
+    blocked.unblock(Unblock::Read);
+    wait_until("the engine reads on", || blocked.engine.count("SELECT first") == 1);
     let served = read_reply(&mut program.send("next", "lookup", 4000, None, "SELECT next")).unwrap();
     assert_eq!((served.status, blocked.engine.count("SELECT over")), (200, 0));
 }
@@ -196,9 +198,9 @@
     let (program, blocked) = blocked();
     drop(send_in_part(&program, "lookup", "gone"));
     let out = || program.admin("GET", "/engines", TOKEN).json()["engines"][0]["attempts_out"].clone();
-    until("it is cancelled", || out() == 0);
+    wait_until("it is cancelled", || out() == 0);
     std::thread::sleep(ms(100));
-    blocked.go_on(true);
+    blocked.unblock(Unblock::Read);
     let served = read_reply(&mut program.send("next", "lookup", 4000, None, "SELECT next")).unwrap();
     assert_eq!((served.status, blocked.engine.count("SELECT gone")), (200, 0));
 }
@@ -209,7 +211,7 @@
 fn a_non_idempotent_request_written_in_part_is_retried() {
     let (program, blocked) = blocked();
     let mut stream = send_in_part(&program, "post", "unsafe");
-    blocked.go_on(false);
+    blocked.unblock(Unblock::Close);
     assert_eq!(read_reply(&mut stream).map(|reply| reply.status), Some(200));
     assert_eq!(blocked.engine.count("SELECT unsafe"), 1);
 }
@@ -217,20 +219,20 @@
 /// Guards against a socket to the name service on which no more answers arrive: queries are sent from another.
 #[test]
 fn the_name_service_is_polled_from_a_new_socket_when_one_gets_no_answers() {
-    let (old, new) = (engines::lines(), engines::lines());
+    let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let both = vec![old.address, new.address];
     let mut unanswered: Option<SocketAddr> = None;
-    let resolver = names::service_for(both.clone(), move |from| *unanswered.get_or_insert(from) != from);
+    let resolver = dns::server_for(both.clone(), move |from| *unanswered.get_or_insert(from) != from);
     let program = start(&both, json!({"resolver": resolver.to_string()}));
     let state = || program.admin("GET", "/engines", TOKEN).json()["engines"][0]["state"].clone();
-    until("the first engine drains", || state() == "draining");
+    wait_until("the first engine drains", || state() == "draining");
 }
 
 /// Guards against an idle connection on which health checks are never answered: the engine was unavailable until the
 /// connection's idle timeout.
 #[test]
 fn a_connection_with_only_unanswered_health_checks_is_replaced() {
-    let blocked = Blocked::start();
+    let blocked = BlockedEngine::start();
     let mut settings = settings();
     settings["allowed"]["connectTimeoutMs"] = json!(250);
     let program = start(&[blocked.engine.address], json!({ "settings": settings }));
@@ -243,7 +245,7 @@
 /// progress, the absence of reports means nothing.
 #[rstest]
 fn an_attempt_without_progress_reports_runs_to_its_end(#[values(true, false)] probes: bool) {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], if probes { json!({}) } else { quiet(250) });
     let reply = read_reply(&mut program.send("r", "report", 15_000, None, "SELECT long nap")).unwrap();
     assert_eq!((reply.status, engine.count("SELECT long nap")), (200, 1));
@@ -253,7 +255,7 @@
 /// established late.
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
-    let (first, late) = (engines::lines(), Late::lines());
+    let (first, late) = (engines::line_protocol(), LateEngine::line_protocol());
     let known = |rev: u32, statuses: [&str; 2]| {
         let mut both = [endpoint("e0", first.address), endpoint("late", late.engine.address)];
         both.iter_mut().zip(statuses).for_each(|(one, status)| one["status"] = json!(status));
@@ -264,16 +266,16 @@
     more["known"] = known(1, ["ready", "draining"]);
     let program = start(&[first.address], more);
     let mut stream = program.send("k", "load", 8000, Some("key"), "LOAD nap then fail");
-    until("it runs", || first.count("REQ") == 1);
+    wait_until("it runs", || first.count("REQ") == 1);
     program.reload("known", known(2, ["draining", "ready"]));
-    until("the retry waits for its connection", || {
+    wait_until("the retry waits for its connection", || {
         std::thread::sleep(ms(100)); // the API limits calls a second
         let state = program.admin("GET", "/engines", TOKEN).json();
         let waits = |one: &Value| one["name"] == "late" && one["attempts_out"] == 1;
         state["engines"].as_array().unwrap().iter().any(waits)
     });
     std::thread::sleep(ms(2000));
-    let engine = late.go_on();
+    let engine = late.accept_connections();
     assert_eq!(read_reply(&mut stream).map(|reply| reply.status), Some(500));
-    assert_eq!(engine.count("REQ"), 0, "{:?}", engine.seen);
+    assert_eq!(engine.count("REQ"), 0, "{:?}", engine.received);
 }
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::engines;
-use common::{Program, Reply, TOKEN, read_reply, request, start, until};
+use common::{Program, Reply, TOKEN, read_reply, request, start, wait_until};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_tenant_lives_from_its_creation_to_its_removal() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     assert_eq!(ask(&program, "acme", 1).status, 200, "the settings' tenants are the first import");
     assert_eq!(ask(&program, "glannau", 2).status, 400, "nobody else is known");
@@ -129,7 +129,7 @@
 #[case(json!({"open_requests": 1}), 429, "tenant_open")]
 #[case(json!({"result_bytes": 1}), 500, "tenant_result_bytes")]
 fn a_limit_refuses_with_its_code(#[case] limits: Value, #[case] status: u16, #[case] code: &str) {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     create(&program, "t", json!({"limits": limits}));
     let _open = match code {
@@ -140,7 +140,7 @@
         _ => None,
     };
     if code == "tenant_open" {
-        until("it runs", || engine.count("REQ") == 1);
+        wait_until("it runs", || engine.count("REQ") == 1);
     }
     let refused = ask(&program, "t", 2);
     assert_eq!((refused.status, refused.json()["reason"].as_str()), (status, Some(code)), "{}", refused.body);
@@ -153,7 +153,7 @@
 /// Two operators change one tenant at once: one is told, and nothing is lost.
 #[test]
 fn of_two_changes_at_once_one_is_told() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     let seen = root(&program, "GET", "/v1/tenants/acme", Value::Null).field("ETag").unwrap().to_owned();
     let change =
@@ -174,7 +174,7 @@
 /// A token of one tenant reads and changes nothing of another, and learns not even its name.
 #[test]
 fn a_tenants_token_sees_its_tenant_only() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     create(&program, "own", json!({}));
     create(&program, "other", json!({}));
@@ -191,7 +191,7 @@
     );
     assert_eq!(own("PATCH", "/v1/tenants/own", r#"{"labels": {"site": "north"}}"#).status, 200);
     let _open = send(&program, "other", "report", 9, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     let before = root(&program, "GET", "/v1/export", Value::Null).body;
     let denied = [
         ("GET", "/v1/tenants/other", "", 404),
@@ -241,7 +241,7 @@
 
 #[test]
 fn a_creation_with_a_key_is_made_once() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     let post = |key: &str, body: &str| {
         call(&program, TOKEN, "POST", "/v1/tenants", &[("Idempotency-Key", key)], body)
@@ -255,7 +255,7 @@
 
 #[test]
 fn a_dry_run_tells_shares_and_changes_nothing() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     let told =
         root(&program, "POST", "/v1/tenants?dry_run=true", json!({"name": "new", "weight": 3.0})).json();
@@ -266,7 +266,7 @@
 
 #[test]
 fn pages_go_through_all_tenants_once() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     (0..25).for_each(|number| create(&program, &format!("t{number}"), json!({})));
     let (mut names, mut cursor) = (Vec::new(), String::new());
@@ -288,7 +288,7 @@
 /// A watcher is told of a change when it comes, resumes from where it was, and lists anew where that is gone.
 #[test]
 fn a_watcher_misses_nothing() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     let began = Instant::now();
     let told = std::thread::scope(|scope| {
@@ -315,7 +315,7 @@
 /// flight: every request is answered once, and no load runs twice.
 #[test]
 fn changes_in_mid_run_lose_and_repeat_nothing() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     create(&program, "t", json!({}));
     let mut first: Vec<TcpStream> = (0..4)
@@ -327,7 +327,7 @@
             _ => send(&program, "t", "report", number, None, &format!("SELECT slow n{number} x")),
         })
         .collect();
-    until("loads and reports are in flight", || engine.count("REQ") == 4);
+    wait_until("loads and reports are in flight", || engine.count("REQ") == 4);
     assert_eq!(root(&program, "PATCH", "/v1/tenants/t", json!({"weight": 9.0})).status, 200);
     root(&program, "POST", "/v1/tenants/t/suspend", Value::Null);
     assert_eq!(root(&program, "DELETE", "/v1/tenants/t", Value::Null).status, 200);
@@ -356,7 +356,7 @@
 /// Bodies, heads and targets that make no sense are answered with a problem or a close, and change nothing.
 #[test]
 fn what_makes_no_sense_changes_nothing() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     create(&program, "t", json!({"limits": {"open_requests": 5}}));
     let before = root(&program, "GET", "/v1/export", Value::Null).body;
@@ -423,7 +423,9 @@
     assert_eq!(root(&program, "PUT", "/v1/tenants/t", Value::Null).status, 405);
     let long = "x".repeat(2 << 20);
     assert_eq!(call(&program, TOKEN, "POST", "/v1/import", &[], &long).status, 413);
-    until("the bucket has calls again", || root(&program, "GET", "/v1/export", Value::Null).status == 200);
+    wait_until("the bucket has calls again", || {
+        root(&program, "GET", "/v1/export", Value::Null).status == 200
+    });
     assert_eq!(root(&program, "GET", "/v1/export", Value::Null).body, before);
 }
 
@@ -431,7 +433,7 @@
 /// nothing half.
 #[test]
 fn all_that_was_acknowledged_survives_sigkill() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let mut acknowledged = 0;
     for round in 0..6u64 {
         let mut program = start(&[engine.address], folder.config());
@@ -471,7 +473,7 @@
             }
         });
         let wanted = from + 4 + 5 * round as usize;
-        until("the storm is on", || count.load(Ordering::Relaxed) >= wanted);
+        wait_until("the storm is on", || count.load(Ordering::Relaxed) >= wanted);
         std::thread::sleep(Duration::from_micros(731 * round));
         program.kill();
         acknowledged = storm.join().unwrap();
@@ -484,7 +486,7 @@
     let folder = Folder::new();
     let path = folder.0.join("state.redb");
     std::fs::write(&path, "this is no store").unwrap();
-    let mut config = common::settings_file(&folder.0);
+    let mut config = common::admin_only_config(&folder.0);
     config["store"] = json!({"path": path});
     std::fs::write(folder.0.join("config.json"), config.to_string()).unwrap();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_sanddyke"))
@@ -504,7 +506,7 @@
 /// A backup that is made while the program runs is restored by the command line, which keeps what was there.
 #[test]
 fn a_backup_is_restored() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let path = folder.0.join("state.redb");
     let run = |arguments: &[&str]| {
         std::process::Command::new(env!("CARGO_BIN_EXE_sanddyke")).args(arguments).output().unwrap()
@@ -569,7 +571,7 @@
 /// The API is encrypted, lets in callers with a certificate only, and takes a new certificate at SIGHUP.
 #[test]
 fn an_encrypted_api_wants_a_certificate_and_reads_its_own_again() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let (_, servers) = certificates(&folder, "server");
     let (_, operators) = certificates(&folder, "operators");
     let mut config = folder.config();
@@ -596,7 +598,7 @@
     assert!(client(true).get("/v1/self").is_err(), "the certificate is for other addresses");
     sign(&folder, &servers, "api", &program.admin.ip().to_string());
     program.hangup();
-    until("the new certificate is used", || client(true).get("/v1/self").is_ok());
+    wait_until("the new certificate is used", || client(true).get("/v1/self").is_ok());
     assert_eq!(client(true).get("/v1/self").unwrap()["id"], "root");
     assert!(client(false).get("/v1/self").is_err(), "no certificate, no call");
     let made = client(true).create_tenant("t", &Default::default(), Some("k")).unwrap();
@@ -606,7 +608,7 @@
 /// The client's pages, updates and problems, against the program.
 #[test]
 fn the_client_goes_through_pages_and_works_out_an_update_anew() {
-    let (engine, folder) = (engines::lines(), Folder::new());
+    let (engine, folder) = (engines::line_protocol(), Folder::new());
     let program = start(&[engine.address], folder.config());
     let options = sanddyke_client::Options {
         url: format!("http://{}", program.admin),
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Program, engines, held, read_reply, request, start, until};
+use common::{Program, engines, read_reply, request, socket_activation, start, wait_until};
 use rstest::rstest;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -28,7 +28,7 @@
 
 #[test]
 fn operations_endpoint_calls_report_and_change_the_lifecycle() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let mut program = start(&[engine.address], json!({}));
     let call = |program: &Program, method, target| {
         let reply = program.ops(method, target).unwrap();
@@ -49,10 +49,10 @@
     // SIGTERM while drained shuts down all the same; calls from then on are rejected with the reason.
     let mut open = program.connect();
     open.write_all(query(1, "SELECT slow").as_bytes()).unwrap();
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     assert_eq!(call(&program, "POST", "/admin/quiesce"), is(200, "drained"));
     program.terminate();
-    until("it stops", || call(&program, "GET", "/admin/health") == is(503, "stopping"));
+    wait_until("it stops", || call(&program, "GET", "/admin/health") == is(503, "stopping"));
     for target in ["/admin/quiesce", "/admin/resume"] {
         assert_eq!(call(&program, "POST", target), is(409, "stopping"));
     }
@@ -70,7 +70,7 @@
 #[case("\u{0}\u{1}noise\r\n\r\n", "400")]
 #[case("GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n", "200")]
 fn an_invalid_operations_call_is_answered_and_changes_nothing(#[case] call: &str, #[case] status: &str) {
-    let program = start(&[engines::lines().address], json!({}));
+    let program = start(&[engines::line_protocol().address], json!({}));
     let mut stream = TcpStream::connect(program.ops).unwrap();
     stream.write_all(call.as_bytes()).unwrap();
     let mut response = String::new();
@@ -83,7 +83,7 @@
 /// Callers that send nothing, a byte at a time, or noise delay neither other callers nor clients.
 #[test]
 fn silent_operations_connections_delay_neither_callers_nor_clients() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({"limits": {"sockets": 256}}));
     let mut callers = Vec::new();
     for number in 0..300 {
@@ -107,21 +107,21 @@
 /// A service that makes no progress is not ready, and neither is one that does not respond in time.
 #[test]
 fn a_paused_program_answers_nothing_and_is_well_again_afterwards() {
-    let program = start(&[engines::lines().address], json!({}));
+    let program = start(&[engines::line_protocol().address], json!({}));
     program.pause(true);
     let mut stream = TcpStream::connect(program.ops).unwrap();
     stream.write_all(request("GET", "/admin/health", &[], "").as_bytes()).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     assert!(stream.read(&mut [0]).is_err());
     program.pause(false);
-    until("it is well", || program.health() == Some((200, "ready".to_owned())));
+    wait_until("it is well", || program.health() == Some((200, "ready".to_owned())));
 }
 
 /// A drained program closes its clients' connections without losing a request, and keeps connections again when
 /// resumed.
 #[test]
 fn a_drain_closes_connections_and_loses_no_request() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({}));
     let mut idle = program.connect();
     idle.write_all(query(1, "SELECT ok").as_bytes()).unwrap();
@@ -131,7 +131,7 @@
     let mut writing = program.connect();
     let text = query(3, "SELECT ok");
     writing.write_all(&text.as_bytes()[..40]).unwrap();
-    until("it runs", || engine.count("REQ") == 2);
+    wait_until("it runs", || engine.count("REQ") == 2);
     assert_eq!(program.ops("POST", "/admin/quiesce").unwrap().status, 200);
     // A client that has not noticed yet is served, and its connection closes.
     let mut late = program.connect();
@@ -197,10 +197,10 @@
 /// Two new versions in a row under steady requests: every connection is accepted, every request answered once.
 #[test]
 fn a_new_version_takes_over_without_losing_a_request() {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    until("the first is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the first is ready", || old.health() == Some((200, "ready".to_owned())));
     let counts = Arc::new(ClientCounts::default());
     let clients: Vec<_> = (0..12)
         .map(|number| {
@@ -211,14 +211,14 @@
     for _ in 0..2 {
         let began = Instant::now();
         let new = platform.start();
-        until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+        wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
         assert!(began.elapsed() < Duration::from_secs(6));
         std::thread::sleep(Duration::from_millis(300));
         old.terminate();
         assert!(old.wait().success());
         old = new;
         let so_far = counts.served.load(Ordering::Relaxed);
-        until("the new one serves", || counts.served.load(Ordering::Relaxed) > so_far + 50);
+        wait_until("the new one serves", || counts.served.load(Ordering::Relaxed) > so_far + 50);
     }
     counts.stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
@@ -233,10 +233,10 @@
 /// A new version that can't start changes nothing for the one that serves.
 #[test]
 fn a_new_version_that_fails_to_start_leaves_the_old_one_serving() {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let old = platform.start();
-    until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut new = platform.start();
     new.kill();
     for name in 0..20 {
@@ -252,7 +252,7 @@
 #[case("LB_OPS", "9000")]
 fn an_unusable_variable_at_start_up_is_named(#[case] variable: &str, #[case] value: &str) {
     let config = std::env::temp_dir().join(format!("sanddyke-named-{}-{value}.json", std::process::id()));
-    let listen = SocketAddr::new(common::own_address(), 8080).to_string();
+    let listen = SocketAddr::new(common::unique_address(), 8080).to_string();
     std::fs::write(&config, json!({"listen": listen, "settings": common::settings()}).to_string()).unwrap();
     let ended = std::process::Command::new(env!("CARGO_BIN_EXE_sanddyke"))
         .env(variable, value)
@@ -269,12 +269,12 @@
 }
 
 /// The snapshot in the folder that both versions share, once there is one.
-fn snapshot_path(platform: &common::Held) -> std::path::PathBuf {
+fn snapshot_path(platform: &common::SocketActivation) -> std::path::PathBuf {
     let find = || {
         let files = std::fs::read_dir(platform.folder()).unwrap().flatten().map(|entry| entry.path());
         files.into_iter().find(|path| path.extension().is_some_and(|extension| extension == "learnt"))
     };
-    until("a snapshot is written", || find().is_some());
+    wait_until("a snapshot is written", || find().is_some());
     find().unwrap()
 }
 
@@ -288,10 +288,10 @@
 #[case("old", "s old")]
 #[case("unread", "left out")]
 fn a_new_version_restores_the_learned_state_of_the_old_one(#[case] what: &str, #[case] logged: &str) {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let old = platform.start();
-    until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut stream = old.connect();
     stream.write_all(query(1, "SELECT ok").as_bytes()).unwrap();
     assert_eq!(read_reply(&mut stream).unwrap().status, 200);
@@ -310,7 +310,7 @@
     std::fs::write(&path, bytes).unwrap();
     let log = platform.folder().join("log");
     let new = platform.start_with(&[("RUST_LOG", "info")], Some(&log));
-    until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+    wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
     let lines = std::fs::read_to_string(&log).unwrap();
     let handover_lines: Vec<&str> = lines.lines().filter(|line| line.contains("handover: ")).collect();
     assert_eq!(handover_lines.len(), 1, "{lines}");
@@ -322,13 +322,13 @@
 /// the temporary files of the killed processes are removed.
 #[test]
 fn a_process_killed_while_it_writes_a_snapshot_leaves_no_unusable_file() {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let mut rng = oorandom::Rand32::new(20261201);
     for round in 0..6 {
         let log = platform.folder().join(format!("log-{round}"));
         let mut program = platform.start_with(&[("RUST_LOG", "info")], Some(&log));
-        until("it is ready", || program.health() == Some((200, "ready".to_owned())));
+        wait_until("it is ready", || program.health() == Some((200, "ready".to_owned())));
         // The first snapshot is written a second after the start.
         std::thread::sleep(Duration::from_micros(990_000 + u64::from(rng.rand_range(0..20_000))));
         program.kill();
@@ -340,7 +340,7 @@
         let files = std::fs::read_dir(platform.folder()).unwrap().flatten();
         files.filter(|entry| entry.path().extension().is_some_and(|of| of == "part")).count()
     };
-    until("temporary files are removed", || parts() == 0);
+    wait_until("temporary files are removed", || parts() == 0);
 }
 
 /// A new version is not ready, and accepts no connection, before its engines have answered a health check; where they
@@ -348,12 +348,12 @@
 #[test]
 fn a_new_version_is_ready_once_engines_were_checked_or_the_wait_is_over() {
     let mute = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let platform = held(&[mute.local_addr().unwrap()], json!({}));
+    let platform = socket_activation(&[mute.local_addr().unwrap()], json!({}));
     let began = Instant::now();
     let program = platform.start();
-    until("its second address answers", || program.health().is_some());
+    wait_until("its second address answers", || program.health().is_some());
     assert_eq!(program.health(), Some((503, "starting".to_owned())));
-    until("it is ready", || program.health() == Some((200, "ready".to_owned())));
+    wait_until("it is ready", || program.health() == Some((200, "ready".to_owned())));
     let took = began.elapsed();
     assert!(took > Duration::from_millis(1900) && took < Duration::from_secs(5), "{took:?}");
 }
@@ -361,13 +361,13 @@
 /// A drain of the old version while a new one starts: the new one is not drained, and the old one ends with success.
 #[test]
 fn a_drain_applies_to_one_process_only() {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
     old.ops("POST", "/admin/quiesce").unwrap();
     let new = platform.start();
-    until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+    wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
     old.hangup();
     assert_eq!(old.health(), Some((503, "drained".to_owned())));
     old.terminate();
@@ -381,15 +381,15 @@
 /// gets none. (Observed: 156 requests a run not accepted, with 110 open in one process and 21 in the other.)
 #[test]
 fn a_process_that_shuts_down_publishes_its_open_connections() {
-    let engine = engines::lines();
-    let platform = held(&[engine.address], json!({}));
+    let engine = engines::line_protocol();
+    let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut open: Vec<TcpStream> = (0..3).map(|_| old.connect()).collect();
     for (name, stream) in open.iter_mut().enumerate() {
         stream.write_all(query(name as u64, "SELECT slow").as_bytes()).unwrap();
     }
-    until("they run", || engine.count("REQ") == 3);
+    wait_until("they run", || engine.count("REQ") == 3);
     let file = sanddyke_snapshot::SnapshotFile::new(platform.folder(), "sanddyke-leaving");
     let published = || {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
@@ -398,10 +398,10 @@
     };
     assert_eq!(published(), None, "a process that serves publishes nothing");
     old.terminate();
-    until("three are published", || published() == Some(3));
+    wait_until("three are published", || published() == Some(3));
     open.pop();
-    until("two are published", || published() == Some(2));
+    wait_until("two are published", || published() == Some(2));
     drop(open);
     assert!(old.wait().success());
-    until("the count is outdated", || published().is_none());
+    wait_until("the count is outdated", || published().is_none());
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::engines::{self, Engine};
-use common::{Program, TOKEN, endpoint, ldap, names, read_reply, request, settings, start, until};
+use common::{Program, TOKEN, dns, endpoint, ldap, read_reply, request, settings, start, wait_until};
 use rstest::rstest;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -28,7 +28,7 @@
 fn service(wire: Wire) -> (Program, Engine) {
     match wire {
         Wire::Lines => {
-            let engine = engines::lines();
+            let engine = engines::line_protocol();
             (start(&[engine.address], json!({})), engine)
         }
         Wire::Tds => {
@@ -154,7 +154,7 @@
     assert_eq!(ask(&program, front, "report", 600, None, "SELECT slow").await, refused);
     assert!(began.elapsed() >= Duration::from_millis(500));
     let stop = if wire == Wire::Lines { "STOP" } else { "ATTENTION" };
-    until("the stop reaches the engine", || engine.count(stop) >= 1);
+    wait_until("the stop reaches the engine", || engine.count(stop) >= 1);
     // What can't be used reaches no engine.
     assert_eq!(ask(&program, front, "nothing", 4000, None, "SELECT unusable").await, End::Unusable);
     assert_eq!(ask(&program, front, "load", 4000, None, "LOAD unusable").await, End::Unusable);
@@ -170,13 +170,13 @@
     let reply = read_reply(&mut program.send("p", "report", 9000, None, "SELECT big once")).unwrap();
     let whole = json!([["a", "b"], ["c", "d"], ["e", "f"], ["e", "f"]]);
     assert_eq!((reply.status, &reply.json()["result"]), (200, &whole));
-    until("the engine reads the end", || (engine.count("REQ"), engine.count("END")) == (2, 1));
+    wait_until("the engine reads the end", || (engine.count("REQ"), engine.count("END")) == (2, 1));
 }
 
 /// A result above the size of a page goes out in pages, each of which can be called again.
 #[test]
 fn pages_can_be_called_again_and_deleted() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({"page_bytes": 12}));
     let mut reply = read_reply(&mut program.send("q", "lookup", 4000, None, "SELECT big")).unwrap();
     let mut rows = Vec::new();
@@ -218,9 +218,9 @@
 fn a_client_that_leaves_stops_its_work() {
     let (program, engine) = service(Wire::Lines);
     let stream = program.send("r", "report", 9000, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     drop(stream);
-    until("it is stopped", || engine.count("STOP") == 1);
+    wait_until("it is stopped", || engine.count("STOP") == 1);
 }
 
 /// An attention in the midst of a report stops the work, and brings one DONE with DONE_ATTN and nothing else.
@@ -249,12 +249,12 @@
     say(packet::LOGIN7, &login::login(&told));
     read(&mut answers);
     say(packet::SQL_BATCH, &token::batch("/*class='report'*/ SELECT slow"));
-    until("it runs", || engine.count("slow") == 1);
+    wait_until("it runs", || engine.count("slow") == 1);
     say(packet::ATTENTION, &[]);
     let end = read(&mut answers);
     assert_eq!((end.len(), &end[..3]), (13, &[0xfd, 0x20, 0x00][..]), "{end:?}");
     let stop = if wire == Wire::Lines { "STOP" } else { "ATTENTION" };
-    until("it is stopped", || engine.count(stop) == 1);
+    wait_until("it is stopped", || engine.count(stop) == 1);
     // The next answer on the connection is the next request's, whole.
     say(packet::SQL_BATCH, &token::batch("SELECT ok"));
     assert_eq!(read(&mut answers)[0], 0x81);
@@ -263,7 +263,7 @@
 /// With a certificate the whole wire is encrypted, and a client without encryption is let go.
 #[tokio::test]
 async fn an_encrypted_client_is_served_and_a_plain_one_is_not() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).unwrap();
     let folder = std::env::temp_dir().join(format!("sanddyke-tls-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -299,7 +299,7 @@
 
 #[tokio::test]
 async fn a_login_names_a_tenant_by_its_directory() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let url = format!("ldap://{}", ldap::directory());
     let told = json!({"url": url, "bind_dn": "uid={user},dc=x", "base": "dc=x"});
     let program = start(&[engine.address], json!({ "ldap": told }));
@@ -324,7 +324,7 @@
         assert_eq!(program.admin("GET", target, token).status, 401);
     }
     let mut stream = program.send("s", "report", 9000, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     let open = program.admin("GET", "/requests", TOKEN).json();
     let name = open["requests"][0]["name"].as_str().unwrap().to_owned();
     assert_eq!(open["requests"][0]["state"], "on e0");
@@ -332,7 +332,7 @@
     assert_eq!(program.admin("DELETE", "/requests/none", TOKEN).status, 404);
     assert_eq!(program.admin("DELETE", &format!("/requests/{name}"), TOKEN).status, 200);
     assert_eq!(read_reply(&mut stream).unwrap().json()["fault"], "Cancelled");
-    until("it is stopped", || engine.count("STOP") == 1);
+    wait_until("it is stopped", || engine.count("STOP") == 1);
     let metrics = program.admin("GET", "/metrics", TOKEN).body;
     assert!(metrics.contains(r#"class="report",tenant="acme",end="cancelled"} 1"#), "{metrics}");
     assert_eq!(program.admin("GET", "/health", "").status, 200);
@@ -342,11 +342,11 @@
 /// engine that drains.
 #[test]
 fn nothing_new_goes_to_an_engine_that_the_name_service_drains() {
-    let (old, new) = (engines::lines(), engines::lines());
+    let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let both = [old.address, new.address];
-    let program = start(&both, json!({"resolver": names::service(both.to_vec()).to_string()}));
+    let program = start(&both, json!({"resolver": dns::server(both.to_vec()).to_string()}));
     let state = || program.admin("GET", "/engines", TOKEN).json()["engines"][0]["state"].clone();
-    until("the first engine drains", || state() == "draining");
+    wait_until("the first engine drains", || state() == "draining");
     let before = old.count("REQ");
     for number in 0..20 {
         let name = number.to_string();
@@ -361,9 +361,9 @@
 fn sigterm_answers_what_is_open_and_ends() {
     let (mut program, engine) = service(Wire::Lines);
     let mut open = program.send("t", "report", 2000, None, "SELECT slow");
-    until("it runs", || engine.count("REQ") == 1);
+    wait_until("it runs", || engine.count("REQ") == 1);
     program.terminate();
-    until("the health check says so", || program.call("GET", "/check", &[], "").status == 503);
+    wait_until("the health check says so", || program.call("GET", "/check", &[], "").status == 503);
     assert_eq!(read_reply(&mut program.send("u", "lookup", 900, None, "SELECT ok")).unwrap().status, 200);
     assert_eq!(read_reply(&mut open).unwrap().status, 503);
     assert!(program.wait().success());
@@ -372,7 +372,7 @@
 /// Guards against ending at the start over keys of the platform's that have the names of this program's own.
 #[test]
 fn keys_of_the_platform_that_are_not_ours_are_passed_over() {
-    let http = SocketAddr::new(common::own_address(), 8080);
+    let http = SocketAddr::new(common::unique_address(), 8080);
     let file = std::env::temp_dir().join(format!("sanddyke-platform-{}", std::process::id()));
     let more = serde_json::json!({"admin": "10.0.0.1:9901", "tds": true, "store": "none", "engines": 8, "ldap": [],
         "page_bytes": "all", "settings": settings()});
@@ -384,7 +384,7 @@
         .env("LB_NAME", "n0")
         .spawn()
         .unwrap();
-    until("it listens or has ended", || {
+    wait_until("it listens or has ended", || {
         TcpStream::connect(http).is_ok() || child.try_wait().unwrap().is_some()
     });
     let ended = child.try_wait().unwrap();
@@ -423,7 +423,7 @@
 /// nobody, and kept all others out.
 #[test]
 fn clients_that_hold_connections_keep_nobody_out() {
-    let engine = engines::lines();
+    let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({"limits": {"sockets": 64}}));
     let silent: Vec<TcpStream> = (0..100).map(|_| program.connect()).collect();
     let mut held = Vec::new();
@@ -472,15 +472,15 @@
 /// name service is heeded, with the numbers going on.
 #[test]
 fn sighup_reads_the_configuration_again() {
-    let (old, new) = (engines::lines(), engines::lines());
+    let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let both = [old.address, new.address];
     let program = start(&both, json!({}));
     let mut open = program.send("v", "report", 3000, None, "SELECT slow");
-    until("it runs", || old.count("REQ") + new.count("REQ") == 1);
+    wait_until("it runs", || old.count("REQ") + new.count("REQ") == 1);
     program.reload("resolver", json!("nowhere"));
-    program.reload("resolver", json!(names::service(both.to_vec()).to_string()));
+    program.reload("resolver", json!(dns::server(both.to_vec()).to_string()));
     let state = || program.admin("GET", "/engines", TOKEN).json()["engines"][0]["state"].clone();
-    until("the first engine drains", || state() == "draining");
+    wait_until("the first engine drains", || state() == "draining");
     assert_eq!(read_reply(&mut open).map(|reply| reply.status), Some(503));
 }
 
@@ -490,7 +490,7 @@
 fn more_than_belongs_to_an_answer_is_dropped() {
     let (program, engine) = service(Wire::Lines);
     let mut neighbour = program.send("n", "report", 1500, None, "SELECT slow");
-    until("it runs", || engine.count("slow") == 1);
+    wait_until("it runs", || engine.count("slow") == 1);
     let reply = read_reply(&mut program.send("w", "lookup", 4000, None, "SELECT twice")).unwrap();
     assert_eq!((reply.status, &reply.json()["result"]), (200, &json!([["a", "b"], ["c", "d"], ["e", "f"]])));
     assert_eq!(read_reply(&mut neighbour).map(|reply| reply.status), Some(503));
@@ -515,19 +515,19 @@
 /// not before what is out there is over.
 #[test]
 fn an_engine_that_is_gone_is_forgotten_once_nothing_is_out_there() {
-    let (old, new) = (engines::lines(), engines::lines());
+    let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let program = start(&[old.address], json!({}));
     let mut open = program.send("y", "report", 2500, None, "SELECT slow");
-    until("it runs", || old.count("REQ") == 1);
+    wait_until("it runs", || old.count("REQ") == 1);
     let list = json!([{"rev": 2, "pool": {"snapshot": true, "endpoints": [endpoint("f0", new.address)]}}]);
     program.reload("known", json!({"rev": 2, "notices": list}));
     let engines = || program.admin("GET", "/engines", TOKEN).json()["engines"].as_array().unwrap().clone();
-    until("the new one is listed", || engines().len() == 2);
+    wait_until("the new one is listed", || engines().len() == 2);
     assert_eq!(engines()[0]["state"], "gone");
     assert_eq!(read_reply(&mut open).map(|reply| reply.status), Some(503));
-    until("the old one is forgotten", || engines().len() == 1);
+    wait_until("the old one is forgotten", || engines().len() == 1);
     assert_eq!(engines()[0]["name"], "f0");
-    until("its connections are closed", || old.count("END OF CONNECTION") >= 1);
+    wait_until("its connections are closed", || old.count("END OF CONNECTION") >= 1);
 }
 
 /// Guards against an answer that never comes, or that trickles for ever, while its engine goes on: the request
@@ -540,7 +540,7 @@
     let mut settings = settings();
     settings["familyInfo"]["tellsEveryMs"] = json!(1000); // what is not told for 3 s does not run
     let (engine, wired) = match wire {
-        Wire::Lines => (engines::lines(), json!({"wire": "lines"})),
+        Wire::Lines => (engines::line_protocol(), json!({"wire": "lines"})),
         Wire::Tds => (engines::tds(), json!({"wire": "tds", "user": "u"})),
     };
     let program = start(&[engine.address], json!({"settings": settings, "engines": wired}));
@@ -559,29 +559,29 @@
     let mut settings = settings();
     settings["allowed"]["connectTimeoutMs"] = json!(10_000);
     let (late, more) = match wire {
-        Wire::Lines => (engines::Late::lines(), json!({"settings": settings})),
-        Wire::Tds => (engines::Late::tds(), json!({"settings": settings, "engines": {"wire": "tds"}})),
+        Wire::Lines => (engines::LateEngine::line_protocol(), json!({"settings": settings})),
+        Wire::Tds => (engines::LateEngine::tds(), json!({"settings": settings, "engines": {"wire": "tds"}})),
     };
     let program = start(&[late.engine.address], more);
     let reply = read_reply(&mut program.send("r", "lookup", 400, None, "SELECT 1")).unwrap();
     assert_eq!(reply.status, 503);
-    let engine = late.go_on();
+    let engine = late.accept_connections();
     std::thread::sleep(Duration::from_millis(1500)); // until it has come again, and is up
     let served = read_reply(&mut program.send("s", "lookup", 5000, None, "SELECT 2")).unwrap();
     assert_eq!((served.status, engine.count("SELECT 2")), (200, 1));
-    assert_eq!(engine.count("SELECT 1"), 0, "{:?}", engine.seen);
+    assert_eq!(engine.count("SELECT 1"), 0, "{:?}", engine.received);
 }
 
 /// Guards against a connection that ends with all of an engine's requests on it: few are put on one.
 #[test]
 fn the_end_of_a_connection_takes_few_requests_with_it() {
-    let (engine, mut settings) = (engines::lines(), settings());
+    let (engine, mut settings) = (engines::line_protocol(), settings());
     settings["familyInfo"]["tellsEveryMs"] = json!(10_000);
     let program = start(&[engine.address], json!({"settings": settings}));
     let open: Vec<TcpStream> = (0..8)
         .map(|number| {
             let stream = program.send(&format!("s{number}"), "lookup", 4000, None, "SELECT slow");
-            until("it runs", || engine.count("slow") == number + 1);
+            wait_until("it runs", || engine.count("slow") == number + 1);
             stream
         })
         .collect();
