--- a/crates/testbed/src/operations_endpoint.rs
+++ b/crates/testbed/src/operations_endpoint.rs
@@ -1,9 +1,9 @@
-//! How long the second address takes to answer: idle, under load, beside callers who say nothing, and with the
-//! program's part of a core used up by others.
+//! The response time of the operations endpoint: idle, under load, beside silent connections, and with a fraction of a
+//! core.
 
-use crate::client;
 use crate::experiment::Experiment;
-use crate::{Testbed, TestbedError, report};
+use crate::report::{BarGroup, bars};
+use crate::{Testbed, TestbedError, client};
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -16,35 +16,60 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// An answer is owed within this.
-pub const OWED: Duration = Duration::from_secs(1);
-/// Calls a second, as a front makes them.
-const CALLS: Duration = Duration::from_millis(100);
-/// A caller holds its connection for so long and says nothing whole.
-const HOLD: Duration = Duration::from_secs(4);
-/// The core on which the program and its rivals run.
+/// Time within which a call must be answered; a later answer counts as late.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a call is given up; until then its time is measured.
+const MAX_CALL_TIME: Duration = Duration::from_secs(5);
+/// Time from one call to the next.
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which a silent connection is open.
+const SILENT_CONNECTION_LIFETIME: Duration = Duration::from_secs(4);
+/// Time before the measurement where there are no silent connections.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// The core of the program and of the processes that compete for it.
 const CORE: &str = "0";
 
-/// What a row is measured under.
+/// Unit, range and precision (decimal digits) of the histogram of response times: from 10 us to an hour.
+const TICK_US: u128 = 10;
+const TICKS_PER_MS: f64 = 100.0;
+const MAX_TICKS: u64 = 360_000_000;
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// A condition of the measurement.
 #[derive(Debug, Clone, Copy)]
 struct Condition {
     name: &'static str,
-    /// Requests come, 110 a second.
-    load: bool,
-    /// Callers of the second address who hold on.
-    silent: usize,
-    /// Programs that use all of the core that they can get, on the core of the program.
-    rivals: usize,
+    /// Whether clients send 110 requests a second.
+    has_load: bool,
+    /// Number of connections to the operations endpoint without a complete request.
+    silent_connections: usize,
+    /// Number of processes that compete for the core of the program.
+    competing_processes: usize,
 }
 
 const CONDITIONS: [Condition; 4] = [
-    Condition { name: "idle", load: false, silent: 0, rivals: 0 },
-    Condition { name: "110 requests a second", load: true, silent: 0, rivals: 0 },
-    Condition { name: "and 400 silent callers", load: true, silent: 400, rivals: 0 },
-    Condition { name: "and a fifth of a core", load: true, silent: 400, rivals: 4 },
+    Condition { name: "idle", has_load: false, silent_connections: 0, competing_processes: 0 },
+    Condition {
+        name: "110 requests a second",
+        has_load: true,
+        silent_connections: 0,
+        competing_processes: 0,
+    },
+    Condition {
+        name: "and 400 silent callers",
+        has_load: true,
+        silent_connections: 400,
+        competing_processes: 0,
+    },
+    Condition {
+        name: "and a fifth of a core",
+        has_load: true,
+        silent_connections: 400,
+        competing_processes: 4,
+    },
 ];
 
-/// The traffic: 12 cores, of which it asks 55 in 100.
+/// The load: 12 cores, of which it uses 55 %.
 const TRAFFIC: &str = r#"
 title = "The second address"
 seed = 20
@@ -65,26 +90,31 @@
 mix = { report = 1 }
 "#;
 
-/// One condition's answers.
+/// The response times under one condition.
 #[derive(Debug, Clone)]
-pub struct Row {
+pub struct ResponseTimes {
     /// The condition.
-    pub name: &'static str,
-    /// Calls made.
+    pub condition: &'static str,
+    /// Number of calls.
     pub calls: u64,
-    /// Of those, how many were not answered within [`OWED`].
+    /// Number of calls that failed or were not answered within [`CALL_TIMEOUT`].
     pub late: u64,
-    /// Times of answers (ms): half of them, 99 in 100, and the longest.
-    pub ms: [f64; 3],
+    /// Median (ms).
+    pub p50_ms: f64,
+    /// 99th percentile (ms).
+    pub p99_ms: f64,
+    /// Maximum (ms).
+    pub max_ms: f64,
 }
 
-/// Ends with its process.
-struct Rival(Child);
+/// A child process that is killed when it is dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Rival {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        let _gone = self.0.kill();
-        let _reaped = self.0.wait();
+        // It may have ended by itself.
+        let _ = self.0.kill();
+        let _ = self.0.wait();
     }
 }
 
@@ -94,110 +124,152 @@
     child.map_err(|error| TestbedError::Program(format!("taskset: {error}")))
 }
 
-fn call(to: SocketAddr) -> std::io::Result<bool> {
-    let mut stream = TcpStream::connect_timeout(&to, 5 * OWED)?;
-    stream.set_read_timeout(Some(5 * OWED))?;
-    stream.write_all(b"GET /admin/health HTTP/1.1\r\nHost: rig\r\n\r\n")?;
-    let mut answer = [0; 12];
-    stream.read_exact(&mut answer)?;
-    Ok(&answer[9..] == b"200")
+/// Measures each condition for this many seconds, each with a program that is started for it.
+///
+/// # Errors
+/// Fails where a process cannot be started. Calls that fail are counted.
+pub async fn run(binary: &Path, seconds: u64) -> Result<Vec<ResponseTimes>, TestbedError> {
+    let invalid = |error: toml::de::Error| TestbedError::Experiment {
+        path: "the traffic".into(),
+        reason: error.to_string(),
+    };
+    let experiment: Arc<Experiment> = Arc::new(toml::from_str(TRAFFIC).map_err(invalid)?);
+    let mut rows = Vec::new();
+    for condition in CONDITIONS {
+        rows.push(run_condition(condition, &experiment, binary, seconds).await?);
+    }
+    Ok(rows)
 }
 
-/// Callers who hold on, until told that it is over.
-fn hold_on(to: SocketAddr, most: usize, over: &AtomicBool) {
-    let mut held = VecDeque::new();
-    while !over.load(Ordering::Relaxed) {
-        while held.front().is_some_and(|(since, _): &(Instant, TcpStream)| since.elapsed() > HOLD) {
-            held.pop_front();
-        }
-        if held.len() < most
-            && let Ok(mut stream) = TcpStream::connect_timeout(&to, OWED)
-        {
-            // Some begin a call and never end it.
-            let _sent = if held.len() % 3 == 0 { stream.write(b"GET /adm") } else { Ok(0) };
-            held.push_back((Instant::now(), stream));
+async fn run_condition(
+    condition: Condition,
+    experiment: &Arc<Experiment>,
+    binary: &Path,
+    seconds: u64,
+) -> Result<ResponseTimes, TestbedError> {
+    let testbed = Testbed::start(experiment, binary).await?;
+    let program = &testbed.program;
+    let _competitors = start_competitors(condition, program.id())?;
+    let (sender, mut outcomes) = mpsc::unbounded_channel();
+    let load = condition.has_load.then(|| {
+        let start = tokio::time::Instant::now();
+        tokio::spawn(client::tenant(experiment.clone(), 0, program.http, start, sender))
+    });
+    let discard = tokio::spawn(async move { while outcomes.recv().await.is_some() {} });
+    let address = program.ops;
+    let measured = tokio::task::spawn_blocking(move || measure(condition, address, seconds)).await;
+    let row = measured.map_err(|error| TestbedError::Program(error.to_string()))?;
+    if let Some(load) = load {
+        load.abort();
+    }
+    discard.abort();
+    Ok(row)
+}
+
+/// Binds the program to a core and starts the processes that compete for it, if any.
+fn start_competitors(condition: Condition, program: u32) -> Result<Vec<KillOnDrop>, TestbedError> {
+    let mut competitors = Vec::new();
+    if condition.competing_processes > 0 {
+        taskset(&["-a", "-c", "-p", CORE, &program.to_string()])?.wait()?;
+        for _ in 0..condition.competing_processes {
+            competitors.push(KillOnDrop(taskset(&["-c", CORE, "sh", "-c", "while :; do :; done"])?));
         }
-        std::thread::sleep(HOLD / most.max(1) as u32);
     }
+    Ok(competitors)
 }
 
-fn measure(condition: Condition, to: SocketAddr, seconds: u64) -> Row {
-    let over = Arc::new(AtomicBool::new(false));
-    let holders = (condition.silent > 0).then(|| {
-        let over = over.clone();
-        std::thread::spawn(move || hold_on(to, condition.silent, &over))
+fn measure(condition: Condition, address: SocketAddr, seconds: u64) -> ResponseTimes {
+    let is_over = Arc::new(AtomicBool::new(false));
+    let has_silent_connections = condition.silent_connections > 0;
+    let silent_connections = has_silent_connections.then(|| {
+        let is_over = is_over.clone();
+        std::thread::spawn(move || hold_silent_connections(address, condition.silent_connections, &is_over))
     });
-    std::thread::sleep(if condition.silent > 0 { HOLD } else { Duration::from_secs(1) });
-    // Three digits from 10 us to an hour: such bounds are always taken.
-    let mut times = Histogram::<u64>::new_with_bounds(1, 360_000_000, 3).expect("good bounds");
-    let (mut calls, mut late) = (0, 0);
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(seconds) {
-        let asked = Instant::now();
-        let yes = call(to).unwrap_or(false);
-        let took = asked.elapsed();
+    std::thread::sleep(if has_silent_connections { SILENT_CONNECTION_LIFETIME } else { SETTLE_TIME });
+    let mut times =
+        Histogram::<u64>::new_with_bounds(1, MAX_TICKS, HISTOGRAM_DIGITS).expect("constant bounds are valid");
+    let mut calls = 0;
+    let mut late = 0;
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_secs(seconds) {
+        let call_start = Instant::now();
+        let is_healthy = call(address).unwrap_or(false);
+        let time = call_start.elapsed();
         calls += 1;
-        late += u64::from(!yes || took > OWED);
-        times.saturating_record((took.as_micros() / 10) as u64);
-        std::thread::sleep(CALLS.saturating_sub(took));
+        late += u64::from(!is_healthy || time > CALL_TIMEOUT);
+        times.saturating_record((time.as_micros() / TICK_US) as u64);
+        std::thread::sleep(CALL_INTERVAL.saturating_sub(time));
+    }
+    is_over.store(true, Ordering::Relaxed);
+    if let Some(thread) = silent_connections {
+        // A panic there has been printed, and leaves the calls as they were measured.
+        let _ = thread.join();
+    }
+    let quantile_ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / TICKS_PER_MS;
+    ResponseTimes {
+        condition: condition.name,
+        calls,
+        late,
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+        max_ms: quantile_ms(1.0),
     }
-    over.store(true, Ordering::Relaxed);
-    holders.map(std::thread::JoinHandle::join);
-    let at = |part: f64| times.value_at_quantile(part) as f64 / 100.0;
-    Row { name: condition.name, calls, late, ms: [at(0.5), at(0.99), at(1.0)] }
 }
 
-/// Measures each condition for so many seconds, on a program that is started for it.
-pub async fn run(binary: &Path, seconds: u64) -> Result<Vec<Row>, TestbedError> {
-    let wrong = |error: toml::de::Error| TestbedError::Experiment {
-        path: "the traffic".into(),
-        reason: error.to_string(),
-    };
-    let experiment: Arc<Experiment> = Arc::new(toml::from_str(TRAFFIC).map_err(wrong)?);
-    let mut rows = Vec::new();
-    for condition in CONDITIONS {
-        let testbed = Testbed::start(&experiment, binary).await?;
-        let program = &testbed.program;
-        let mut rivals = Vec::new();
-        if condition.rivals > 0 {
-            taskset(&["-a", "-c", "-p", CORE, &program.id().to_string()])?.wait()?;
-            for _ in 0..condition.rivals {
-                rivals.push(Rival(taskset(&["-c", CORE, "sh", "-c", "while :; do :; done"])?));
+/// Calls the health check; gives whether its status is 200.
+fn call(address: SocketAddr) -> std::io::Result<bool> {
+    let mut stream = TcpStream::connect_timeout(&address, MAX_CALL_TIME)?;
+    stream.set_read_timeout(Some(MAX_CALL_TIME))?;
+    stream.write_all(b"GET /admin/health HTTP/1.1\r\nHost: rig\r\n\r\n")?;
+    let mut status_line = [0; 12];
+    stream.read_exact(&mut status_line)?;
+    Ok(&status_line[9..] == b"200")
+}
+
+/// A connection without a complete request.
+struct SilentConnection {
+    opened: Instant,
+    _stream: TcpStream,
+}
+
+/// Keeps up to `max` silent connections open until it is over, and replaces each at the end of its lifetime.
+fn hold_silent_connections(address: SocketAddr, max: usize, is_over: &AtomicBool) {
+    let mut open: VecDeque<SilentConnection> = VecDeque::new();
+    let is_expired = |connection: &SilentConnection| connection.opened.elapsed() > SILENT_CONNECTION_LIFETIME;
+    while !is_over.load(Ordering::Relaxed) {
+        while open.front().is_some_and(is_expired) {
+            open.pop_front();
+        }
+        if open.len() < max
+            && let Ok(mut stream) = TcpStream::connect_timeout(&address, CALL_TIMEOUT)
+        {
+            if open.len().is_multiple_of(3) {
+                // Some begin a request and never complete it; a closed connection is replaced later.
+                let _ = stream.write(b"GET /adm");
             }
+            open.push_back(SilentConnection { opened: Instant::now(), _stream: stream });
         }
-        let (sink, mut outcomes) = mpsc::unbounded_channel();
-        let traffic = condition.load.then(|| {
-            tokio::spawn(client::tenant(
-                experiment.clone(),
-                0,
-                program.http,
-                tokio::time::Instant::now(),
-                sink,
-            ))
-        });
-        let drained = tokio::spawn(async move { while outcomes.recv().await.is_some() {} });
-        let to = program.ops;
-        let measured = tokio::task::spawn_blocking(move || measure(condition, to, seconds)).await;
-        rows.push(measured.map_err(|error| TestbedError::Program(error.to_string()))?);
-        traffic.inspect(tokio::task::JoinHandle::abort);
-        drained.abort();
+        std::thread::sleep(SILENT_CONNECTION_LIFETIME / max.max(1) as u32);
     }
-    Ok(rows)
 }
 
-/// The rows as CSV.
-pub fn csv(rows: &[Row]) -> String {
+/// The measurement as CSV.
+pub fn csv(rows: &[ResponseTimes]) -> String {
     let mut text = "condition,calls,late,p50_ms,p99_ms,longest_ms\n".to_owned();
     for row in rows {
-        let [half, most, longest] = row.ms;
+        let ResponseTimes { condition, calls, late, p50_ms, p99_ms, max_ms } = row;
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "{},{},{},{half:.2},{most:.2},{longest:.2}", row.name, row.calls, row.late);
+        let _ = writeln!(text, "{condition},{calls},{late},{p50_ms:.2},{p99_ms:.2},{max_ms:.2}");
     }
     text
 }
 
-/// The rows as a chart.
-pub fn chart(rows: &[Row], path: &Path) -> Result<(), TestbedError> {
-    let bars = rows.iter().map(|row| (row.name.to_owned(), row.ms)).collect::<Vec<_>>();
-    report::bars("Answers of the second address (ms)", &["half", "99 in 100", "longest"], &bars, path)
+/// Draws the measurement as an SVG chart.
+pub fn chart(rows: &[ResponseTimes], path: &Path) -> Result<(), TestbedError> {
+    let group = |row: &ResponseTimes| BarGroup {
+        name: row.condition.to_owned(),
+        values: [row.p50_ms, row.p99_ms, row.max_ms],
+    };
+    let groups: Vec<BarGroup> = rows.iter().map(group).collect();
+    bars("Answers of the second address (ms)", ["half", "99 in 100", "longest"], &groups, path)
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -183,40 +183,52 @@
     }
 }
 
-/// Groups of bars on a logarithmic scale, one group a row.
+/// A group of three bars in a chart.
+#[derive(Debug, Clone, PartialEq)]
+pub struct BarGroup {
+    /// The label below the group.
+    pub name: String,
+    /// The values of the bars.
+    pub values: [f64; BARS_PER_GROUP],
+}
+
+/// Number of bars in each group.
+const BARS_PER_GROUP: usize = 3;
+
+/// Draws groups of bars on a logarithmic scale as an SVG chart; `names` are those of the bars, in the legend.
 pub fn bars(
     title: &str,
-    names: &[&str],
-    rows: &[(String, [f64; 3])],
+    names: [&str; BARS_PER_GROUP],
+    groups: &[BarGroup],
     path: &Path,
 ) -> Result<(), TestbedError> {
     let failed = |error: String| TestbedError::Chart(error);
     let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
     root.fill(&WHITE).map_err(|error| failed(error.to_string()))?;
-    let all = || rows.iter().flat_map(|(_, values)| values.iter().copied());
-    let least = all().fold(f64::INFINITY, f64::min).max(0.001) / 2.0;
-    let most = all().fold(0.01, f64::max) * 2.0;
+    let all = || groups.iter().flat_map(|group| group.values.iter().copied());
+    let min = all().fold(f64::INFINITY, f64::min).max(0.001) / 2.0;
+    let max = all().fold(0.01, f64::max) * 2.0;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..rows.len() as f64, (least..most).log_scale())
+        .build_cartesian_2d(0.0..groups.len() as f64, (min..max).log_scale())
         .map_err(|error| failed(error.to_string()))?;
-    let label = |at: &f64| rows.get(*at as usize).map_or(String::new(), |(name, _)| name.clone());
+    let label = |at: &f64| groups.get(*at as usize).map_or(String::new(), |group| group.name.clone());
     let mut mesh = chart.configure_mesh();
     // One more than there are groups: with fewer the library names every second one.
-    let drawn = mesh.disable_x_mesh().x_labels(rows.len() + 1).x_label_formatter(&label).draw();
+    let drawn = mesh.disable_x_mesh().x_labels(groups.len() + 1).x_label_formatter(&label).draw();
     drawn.map_err(|error| failed(error.to_string()))?;
-    for (index, name) in names.iter().enumerate() {
+    for (index, name) in names.into_iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
-        let bar = |(at, (_, values)): (usize, &(String, [f64; 3]))| {
+        let bar = |(at, group): (usize, &BarGroup)| {
             let from = at as f64 + 0.1 + 0.27 * index as f64;
-            Rectangle::new([(from, least), (from + 0.25, values[index].max(least))], color.filled())
+            Rectangle::new([(from, min), (from + 0.25, group.values[index].max(min))], color.filled())
         };
-        let drawn = chart.draw_series(rows.iter().enumerate().map(bar));
+        let drawn = chart.draw_series(groups.iter().enumerate().map(bar));
         let legend = move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], color.filled());
-        drawn.map_err(|error| failed(error.to_string()))?.label(*name).legend(legend);
+        drawn.map_err(|error| failed(error.to_string()))?.label(name).legend(legend);
     }
     let mut labels = chart.configure_series_labels();
     let drawn = labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program with faults between them: the invariants of a lease, by what they logged and did.
 
 use rstest::rstest;
-use sanddyke_testbed::fleet::{Fleet, Plan};
+use sanddyke_testbed::fleet::{CutDirection, Fleet, Plan};
 use sanddyke_testbed::links::LinkFault;
 use std::path::Path;
 use std::time::Duration;
@@ -38,11 +38,11 @@
 async fn a_suspended_holder_holds_nothing_when_it_resumes() {
     let mut fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
-    fleet.stop(first, true).await.unwrap();
+    fleet.suspend(first).await.unwrap();
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
-    fleet.stop(first, false).await.unwrap();
+    fleet.resume(first).await.unwrap();
     fleet
-        .until(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
+        .wait_for_view(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
         .unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
@@ -60,7 +60,9 @@
     let mut fleet = fleet(Plan { lease_ms: 10_000, ..Plan::default() }).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     match how {
-        "drain" => assert_eq!(fleet.ops(first, "POST", "/admin/quiesce").await.unwrap(), 200),
+        "drain" => {
+            assert_eq!(fleet.call_operations_endpoint(first, "POST", "/admin/quiesce").await.unwrap(), 200)
+        }
         "terminate" => fleet.terminate(first).await.unwrap(),
         _ => drop(fleet.call(first, "POST", "/v1/fleet/duties/backup/hand-over").await.unwrap()),
     }
@@ -73,22 +75,19 @@
 
 /// Guards against a holder that continues though the voters can't receive from it, or it can't receive from them.
 #[rstest]
-#[case(true, true)]
-#[case(true, false)]
-#[case(false, true)]
+#[case(CutDirection::Both)]
+#[case(CutDirection::Outgoing)]
+#[case(CutDirection::Incoming)]
 #[tokio::test]
-async fn a_holder_that_is_cut_off_stops_in_time_and_another_continues(
-    #[case] out: bool,
-    #[case] inward: bool,
-) {
+async fn a_holder_that_is_cut_off_stops_in_time_and_another_continues(#[case] direction: CutDirection) {
     let fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
-    fleet.cut(first, &[0, 1, 2], out, inward);
+    fleet.cut(first, &[0, 1, 2], direction);
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
     fleet.links.clear_faults();
     fleet
-        .until(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
+        .wait_for_view(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
         .unwrap();
     check_history(&fleet, 3).await;
@@ -100,7 +99,7 @@
     let fleet = fleet(Plan { managers: 4, ..Plan::default() }).await;
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     for number in 0..3 {
-        fleet.cut(number, &[0, 1, 2], true, true);
+        fleet.cut(number, &[0, 1, 2], CutDirection::Both);
     }
     tokio::time::sleep(A_WHILE).await;
     assert_eq!(fleet.holder(LEASE).await, None);
@@ -124,7 +123,7 @@
     fleet.links.reset();
     fleet.kill(first).await.unwrap();
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
-    fleet.run(first).unwrap();
+    fleet.start_manager(first).unwrap();
     fleet.links.reset();
     tokio::time::sleep(A_WHILE).await;
     assert!(fleet.holder(LEASE).await.is_some(), "{second}");
@@ -140,8 +139,8 @@
     fleet.set_all_links(LinkFault::default());
     let fault = LinkFault { stalled: true, ..LinkFault::default() };
     for peer in (0..3).filter(|peer| *peer != silent) {
-        fleet.set(peer, silent, fault);
-        fleet.set(silent, peer, fault);
+        fleet.set_link(peer, silent, fault);
+        fleet.set_link(silent, peer, fault);
     }
     tokio::time::sleep(A_WHILE).await;
     assert_eq!(fleet.holder(LEASE).await, Some(first), "two of three voters are enough");
@@ -158,19 +157,21 @@
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.kill(2).await.unwrap();
     match lost {
-        true => fleet.lose(2, "votes").unwrap(),
-        false => fleet.spoil(2, "votes", b"nothing of a voter's").unwrap(),
+        true => fleet.remove_file(2, "votes").unwrap(),
+        false => fleet.overwrite_file(2, "votes", b"nothing of a voter's").unwrap(),
     }
-    fleet.run(2).unwrap();
+    fleet.start_manager(2).unwrap();
     if !lost {
-        fleet.until(2, "that it has no vote", |view| view["vote"] == "no voter").await.unwrap();
+        fleet.wait_for_view(2, "that it has no vote", |view| view["vote"] == "no voter").await.unwrap();
         assert!(fleet.log(2).unwrap().contains("cluster: no vote: "), "{}", fleet.log(2).unwrap());
         fleet.kill(2).await.unwrap();
-        fleet.lose(2, "votes").unwrap();
-        fleet.run(2).unwrap();
+        fleet.remove_file(2, "votes").unwrap();
+        fleet.start_manager(2).unwrap();
     }
     fleet
-        .until(2, "that it has no vote", |view| view["vote"].as_str().unwrap().starts_with("has no vote"))
+        .wait_for_view(2, "that it has no vote", |view| {
+            view["vote"].as_str().unwrap().starts_with("has no vote")
+        })
         .await
         .unwrap();
     let mut is_admitted = false;
@@ -184,7 +185,10 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert!(is_admitted, "the leader lets it in");
-    fleet.until(2, "that it votes", |view| view["vote"].as_str().unwrap().contains("in term")).await.unwrap();
+    fleet
+        .wait_for_view(2, "that it votes", |view| view["vote"].as_str().unwrap().contains("in term"))
+        .await
+        .unwrap();
     // With it, one of the others may go.
     fleet.kill(1).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
@@ -213,18 +217,21 @@
 #[tokio::test]
 async fn a_rolling_restart_continues_when_its_controller_goes(#[case] how: &str) {
     let mut fleet = fleet(Plan { managers: 5, ..Plan::default() }).await;
-    fleet.until(0, "all members", |view| view["members"].as_array().unwrap().len() == 4).await.unwrap();
-    let first = fleet.govern("/v1/fleet/roll", &format!(r#"{{"how":"{how}"}}"#)).await.unwrap();
+    fleet
+        .wait_for_view(0, "all members", |view| view["members"].as_array().unwrap().len() == 4)
+        .await
+        .unwrap();
+    let first = fleet.post_to_any("/v1/fleet/roll", &format!(r#"{{"how":"{how}"}}"#)).await.unwrap();
     let (mut killed, mut most_out) = (false, 0);
     for _ in 0..1200 {
-        fleet.revive().unwrap();
+        fleet.restart_exited().unwrap();
         let now = rolling_restart(&fleet).await;
         let done = now["done"].as_array().map_or(0, Vec::len);
         most_out = most_out.max(now["now"].as_array().map_or(0, Vec::len));
         if done >= 1 && !killed {
             killed = true;
             fleet.kill(first).await.unwrap();
-            fleet.run(first).unwrap();
+            fleet.start_manager(first).unwrap();
         }
         if now["state"] == "done" {
             break;
@@ -245,16 +252,19 @@
 #[tokio::test]
 async fn a_cancelled_rolling_restart_leaves_all_managers_at_work() {
     let mut fleet = fleet(Plan::default()).await;
-    fleet.until(0, "all members", |view| view["members"].as_array().unwrap().len() == 2).await.unwrap();
+    fleet
+        .wait_for_view(0, "all members", |view| view["members"].as_array().unwrap().len() == 2)
+        .await
+        .unwrap();
     let holder = fleet.wait_for_holder("warden", None).await.unwrap();
     let other = (0..3).find(|number| *number != holder).unwrap();
     // A suspended manager delays it.
-    fleet.stop(other, true).await.unwrap();
-    fleet.govern("/v1/fleet/roll", r#"{"how":"drain"}"#).await.unwrap();
+    fleet.suspend(other).await.unwrap();
+    fleet.post_to_any("/v1/fleet/roll", r#"{"how":"drain"}"#).await.unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
     assert!(fleet.call(holder, "POST", "/v1/fleet/roll").await.is_err(), "one at a time");
-    fleet.govern("/v1/fleet/roll/take-back", "").await.unwrap();
-    fleet.stop(other, false).await.unwrap();
+    fleet.post_to_any("/v1/fleet/roll/take-back", "").await.unwrap();
+    fleet.resume(other).await.unwrap();
     for _ in 0..400 {
         if rolling_restart(&fleet).await["state"] == "stopped" {
             break;
@@ -263,7 +273,11 @@
     }
     assert_eq!(rolling_restart(&fleet).await["state"], "stopped");
     for number in 0..3 {
-        assert_eq!(fleet.ops(number, "GET", "/admin/health").await.unwrap(), 200, "m{number}");
+        assert_eq!(
+            fleet.call_operations_endpoint(number, "GET", "/admin/health").await.unwrap(),
+            200,
+            "m{number}"
+        );
     }
 }
 
@@ -279,16 +293,16 @@
     let addresses = engines.iter().map(|engine| engine.address).collect();
     let fleet = fleet(Plan { engines: addresses, ..Plan::default() }).await;
     fleet.wait_for_holder(LEASE, None).await.unwrap();
-    fleet.make_tenant().await.unwrap();
+    fleet.create_tenant().await.unwrap();
     let mut slowest = [Duration::ZERO; 2];
     for part in 0..2u64 {
         for number in 0..60u64 {
-            let (status, took) = fleet.ask((number % 3) as usize, 1000 * part + number).await.unwrap();
-            assert_eq!(status, 200, "query {number} of part {part}");
-            slowest[part as usize] = slowest[part as usize].max(took);
+            let response = fleet.query((number % 3) as usize, 1000 * part + number).await.unwrap();
+            assert_eq!(response.status, 200, "query {number} of part {part}");
+            slowest[part as usize] = slowest[part as usize].max(response.latency);
         }
         // Each alone from here on.
-        (0..3).for_each(|number| fleet.cut(number, &[0, 1, 2], true, true));
+        (0..3).for_each(|number| fleet.cut(number, &[0, 1, 2], CutDirection::Both));
         tokio::time::sleep(A_WHILE / 2).await;
     }
     assert!(slowest[1] < Duration::from_millis(1000), "{slowest:?}, for 5 ms of work");
