--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Open-loop clients: requests come when they come, whether or not others have been answered.
+//! Open-loop clients: requests are sent at their times, whether or not earlier ones have been answered.
 
 use crate::experiment::{Class, Experiment, Tenant};
 use oorandom::Rand64;
@@ -10,171 +10,205 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Requests that one tenant's clients have open at most: a bound on sockets, reported where it binds.
-const MOST_OPEN: usize = 250;
-/// A client that is not told when to come back waits this long.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of requests in flight of one tenant. It bounds the sockets; requests past it are reported as unsent.
+const MAX_IN_FLIGHT: usize = 250;
+/// Wait before a retry where the response advises none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Minimum work of a request (ms), and maximum as a multiple of its class's mean.
+const MIN_WORK_MS: f64 = 0.5;
+const MAX_WORK_FACTOR: f64 = 5.0;
+/// Maximum length of a response that is read (bytes).
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Served.
+    /// It was served.
     Served,
-    /// Refused, also at its last try.
-    Refused,
-    /// Failed, or an answer that makes no sense.
+    /// Its last attempt was rejected.
+    Rejected,
+    /// It failed, or its response is malformed.
     Failed,
-    /// No answer in its time.
-    Unanswered,
-    /// Not sent: too many were open.
+    /// It had no response within its deadline.
+    TimedOut,
+    /// It was not sent, because [`MAX_IN_FLIGHT`] others were in flight.
     Unsent,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Outcome {
-    /// Its tenant, by its place in [`Experiment::named`].
+    /// The tenant, by its position in [`Experiment::named`].
     pub tenant: usize,
-    /// Its class.
+    /// The class, by its position in [`Experiment::classes`].
     pub class: usize,
-    /// When it was first sent (s since the start).
+    /// Time of the first attempt (s since the start).
     pub sent_s: f64,
-    /// When it ended.
+    /// Time of the end (s since the start).
     pub ended_s: f64,
-    /// Its work (ms of one thread).
+    /// Work, as single-thread time (ms).
     pub work_ms: f64,
-    /// Tries.
-    pub tries: u32,
+    /// Number of attempts.
+    pub attempts: u32,
     /// How it ended.
     pub end: End,
 }
 
-/// One tenant's traffic, until the experiment's time is up.
+/// Sends one tenant's requests until the experiment's time is up, and each outcome to `sender`.
 pub async fn tenant(
     experiment: Arc<Experiment>,
     index: usize,
-    to: SocketAddr,
+    address: SocketAddr,
     start: Instant,
-    sink: mpsc::UnboundedSender<Outcome>,
+    sender: mpsc::UnboundedSender<Outcome>,
 ) {
     let named = experiment.named();
-    let (name, row) = (named[index].0.clone(), named[index].1.clone());
-    let mut rng = Rand64::new(u128::from(experiment.seed) << 32 | index as u128);
-    let rate = experiment.rate(&row);
-    let open = Arc::new(Semaphore::new(MOST_OPEN));
-    let (mut at, mut number) = (0.0, 0u64);
+    let name = named[index].0.clone();
+    let tenant = named[index].1.clone();
+    let rate = experiment.rate(&tenant);
     if rate <= 0.0 {
         return;
     }
+    let mut rng = Rand64::new(u128::from(experiment.seed) << 32 | index as u128);
+    let permits = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+    let mut sent_s = 0.0;
+    let mut number = 0u64;
     loop {
-        // Thinning: arrivals at the greatest rate, of which those of a quiet time are passed over.
-        let most = row.bursts.iter().fold(1.0, |most: f64, burst| most.max(burst.factor));
-        at += -(1.0 - rng.rand_float()).ln() / (rate * most);
-        if at >= experiment.seconds {
+        // Thinning: arrivals are drawn at the maximum rate, and those beyond the current rate are skipped.
+        let max_factor = tenant.bursts.iter().fold(1.0, |max: f64, burst| max.max(burst.factor));
+        sent_s += -(1.0 - rng.rand_float()).ln() / (rate * max_factor);
+        if sent_s >= experiment.seconds {
             return;
         }
-        let burst = row.bursts.iter().find(|burst| (burst.from_s..burst.to_s).contains(&at));
-        if rng.rand_float() * most > burst.map_or(1.0, |burst| burst.factor) {
+        let burst = tenant.bursts.iter().find(|burst| (burst.from_s..burst.to_s).contains(&sent_s));
+        if rng.rand_float() * max_factor > burst.map_or(1.0, |burst| burst.factor) {
             continue;
         }
-        let class = draw_class(&experiment, &row, &mut rng);
-        let of = &experiment.classes[class];
-        let work_ms = (-(1.0 - rng.rand_float()).ln() * of.work_ms).clamp(0.5, 5.0 * of.work_ms);
+        let class = draw_class(&experiment, &tenant, &mut rng);
+        let mean_work_ms = experiment.classes[class].work_ms;
+        let work_ms = -(1.0 - rng.rand_float()).ln() * mean_work_ms;
+        let work_ms = work_ms.clamp(MIN_WORK_MS, MAX_WORK_FACTOR * mean_work_ms);
         number += 1;
-        tokio::time::sleep_until(start + Duration::from_secs_f64(at)).await;
-        let outcome =
-            Outcome { tenant: index, class, sent_s: at, ended_s: at, work_ms, tries: 0, end: End::Unsent };
-        let Ok(place) = open.clone().try_acquire_owned() else {
-            let _over = sink.send(outcome);
+        tokio::time::sleep_until(start + Duration::from_secs_f64(sent_s)).await;
+        let unsent =
+            Outcome { tenant: index, class, sent_s, ended_s: sent_s, work_ms, attempts: 0, end: End::Unsent };
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            // The receiver ends with the experiment.
+            let _ = sender.send(unsent);
             continue;
         };
-        let (experiment, name, sink, row) = (experiment.clone(), name.clone(), sink.clone(), row.clone());
-        let id = (index as u64) << 40 | number << 4;
+        let request = Request {
+            class: experiment.classes[class].clone(),
+            tenant: tenant.clone(),
+            tenant_name: name.clone(),
+            id: (index as u64) << 40 | number << 4,
+            work_ms,
+            address,
+        };
+        let sender = sender.clone();
         tokio::spawn(async move {
-            let (tries, end) = request(&experiment.classes[class], &row, &name, id, work_ms, to).await;
+            let (attempts, end) = request.run().await;
             let ended_s = start.elapsed().as_secs_f64();
-            let _over = sink.send(Outcome { ended_s, tries, end, ..outcome });
-            drop(place);
+            let _ = sender.send(Outcome { ended_s, attempts, end, ..unsent });
+            drop(permit);
         });
     }
 }
 
-fn draw_class(experiment: &Experiment, row: &Tenant, rng: &mut Rand64) -> usize {
-    let whole: f64 = row.mix.values().sum();
-    let mut drawn = rng.rand_float() * whole;
-    let mut last = 0;
-    for (name, part) in &row.mix {
-        last = experiment.classes.iter().position(|class| class.name == *name).unwrap_or(0);
-        if drawn < *part {
+fn draw_class(experiment: &Experiment, tenant: &Tenant, rng: &mut Rand64) -> usize {
+    let total: f64 = tenant.mix.values().sum();
+    let mut draw = rng.rand_float() * total;
+    let mut class = 0;
+    for (name, fraction) in &tenant.mix {
+        class = experiment.classes.iter().position(|class| class.name == *name).unwrap_or(0);
+        if draw < *fraction {
             break;
         }
-        drawn -= part;
+        draw -= fraction;
     }
-    last
+    class
 }
 
-/// One request with its further tries.
-async fn request(
-    class: &Class,
-    row: &Tenant,
-    tenant: &str,
+/// A request with its retries.
+struct Request {
+    class: Class,
+    tenant: Tenant,
+    tenant_name: String,
+    /// Its number, whose lowest four bits are those of the attempt.
     id: u64,
     work_ms: f64,
-    to: SocketAddr,
-) -> (u32, End) {
-    let until = Instant::now() + Duration::from_secs_f64(class.deadline_ms / 1000.0);
-    let mut tries = 0;
-    loop {
-        tries += 1;
-        let left = until.saturating_duration_since(Instant::now());
-        let name = id | u64::from(tries % 16);
-        let one = once(class, tenant, name, id, work_ms, to, left);
-        let (end, wait) = tokio::time::timeout(left, one)
-            .await
-            .unwrap_or(Ok((End::Unanswered, None)))
-            .unwrap_or((End::Failed, None));
-        let wait = if row.patient { wait.unwrap_or(PAUSE) } else { Duration::ZERO };
-        let more = end == End::Refused && tries < row.tries && Instant::now() + wait < until;
-        if !more {
-            return (tries, end);
+    address: SocketAddr,
+}
+
+/// The response to one attempt.
+struct AttemptResponse {
+    end: End,
+    /// Advised wait before a retry.
+    retry_after: Option<Duration>,
+}
+
+impl Request {
+    /// Sends attempts until one ends the request; gives their number and the end.
+    async fn run(&self) -> (u32, End) {
+        let deadline = Instant::now() + Duration::from_secs_f64(self.class.deadline_ms / 1000.0);
+        let mut attempts = 0;
+        loop {
+            attempts += 1;
+            let left = deadline.saturating_duration_since(Instant::now());
+            let AttemptResponse { end, retry_after } =
+                match tokio::time::timeout(left, self.attempt(attempts, left)).await {
+                    Ok(Ok(response)) => response,
+                    Ok(Err(_)) => AttemptResponse { end: End::Failed, retry_after: None },
+                    Err(_) => AttemptResponse { end: End::TimedOut, retry_after: None },
+                };
+            let wait = match self.tenant.patient {
+                true => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
+                false => Duration::ZERO,
+            };
+            let may_retry = end == End::Rejected && attempts < self.tenant.max_attempts;
+            if !may_retry || Instant::now() + wait >= deadline {
+                return (attempts, end);
+            }
+            tokio::time::sleep(wait).await;
         }
-        tokio::time::sleep(wait).await;
+    }
+
+    /// Sends one attempt and reads its response.
+    async fn attempt(&self, attempt: u32, left: Duration) -> std::io::Result<AttemptResponse> {
+        let mut stream = TcpStream::connect(self.address).await?;
+        stream.set_nodelay(true)?;
+        stream.write_all(self.http_request(attempt, left).as_bytes()).await?;
+        let mut response = Vec::new();
+        stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut response).await?;
+        Ok(parse_response(&String::from_utf8_lossy(&response)))
+    }
+
+    fn http_request(&self, attempt: u32, left: Duration) -> String {
+        let Class { name, threads, memory_mb, .. } = &self.class;
+        let body = format!("SELECT 1 work={:.2} threads={threads} mem={memory_mb}", self.work_ms);
+        let transaction = self.id | u64::from(attempt % 16);
+        let idempotency_key = match self.class.idempotency.as_str() {
+            "by_key" => format!("X-Txn-Key: k{:x}\r\n", self.id),
+            _ => String::new(),
+        };
+        format!(
+            "POST /do/{name} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\nX-Txn: {transaction:016x}\r\nX-Ttl-Ms: {}\r\n\
+             X-Merchant: {}\r\n{idempotency_key}Content-Length: {}\r\n\r\n{body}",
+            left.as_millis().max(1),
+            self.tenant_name,
+            body.len()
+        )
     }
 }
 
-async fn once(
-    class: &Class,
-    tenant: &str,
-    name: u64,
-    key: u64,
-    work_ms: f64,
-    to: SocketAddr,
-    left: Duration,
-) -> std::io::Result<(End, Option<Duration>)> {
-    let mut stream = TcpStream::connect(to).await?;
-    stream.set_nodelay(true)?;
-    let (threads, memory) = (class.threads, class.memory_mb);
-    let body = format!("SELECT 1 work={work_ms:.2} threads={threads} mem={memory}");
-    let key = if class.idempotency == "by_key" { format!("X-Txn-Key: k{key:x}\r\n") } else { String::new() };
-    let head = format!(
-        "POST /do/{} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\nX-Txn: {name:016x}\r\nX-Ttl-Ms: {}\r\n\
-         X-Merchant: {tenant}\r\n{key}Content-Length: {}\r\n\r\n{body}",
-        class.name,
-        left.as_millis().max(1),
-        body.len()
-    );
-    stream.write_all(head.as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.take(64 * 1024).read_to_end(&mut answer).await?;
-    let text = String::from_utf8_lossy(&answer);
-    let field = |name: &str| {
-        let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
-        line.and_then(|value| value.trim().parse::<u64>().ok())
-    };
-    let wait = field("X-Throttle-Ms").map(Duration::from_millis);
-    Ok(match text.get(9..12) {
-        Some("200") => (End::Served, None),
-        Some("503" | "429" | "403") => (End::Refused, wait),
-        _ => (End::Failed, None),
-    })
+fn parse_response(text: &str) -> AttemptResponse {
+    let retry_after = text.lines().find_map(|line| line.strip_prefix("X-Throttle-Ms: "));
+    let retry_after_ms = retry_after.and_then(|value| value.trim().parse::<u64>().ok());
+    match text.get(9..12) {
+        Some("200") => AttemptResponse { end: End::Served, retry_after: None },
+        Some("503" | "429" | "403") => {
+            AttemptResponse { end: End::Rejected, retry_after: retry_after_ms.map(Duration::from_millis) }
+        }
+        _ => AttemptResponse { end: End::Failed, retry_after: None },
+    }
 }
--- a/crates/testbed/src/engine/tests.rs
+++ b/crates/testbed/src/engine/tests.rs
@@ -1,6 +1,8 @@
 //! The emulated cores, over the engine protocol.
 
 use super::*;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
 
 /// Two queries on one core take twice as long as one.
 #[tokio::test(flavor = "current_thread")]
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -89,10 +89,10 @@
     /// When it asks for more or less: from, to (s) and the factor.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// Tries of a request that is refused, the first among them.
-    #[serde(default = "many_tries")]
-    pub tries: u32,
-    /// Whether its clients come back when they are told, or at once.
+    /// Maximum number of attempts of a request that is rejected.
+    #[serde(rename = "tries", default = "default_max_attempts")]
+    pub max_attempts: u32,
+    /// Whether its clients wait as advised before a retry, or retry at once.
     #[serde(default = "yes")]
     pub patient: bool,
 }
@@ -153,7 +153,7 @@
     1
 }
 
-fn many_tries() -> u32 {
+fn default_max_attempts() -> u32 {
     3
 }
 
