--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -31,7 +31,7 @@
     Failed,
     /// It had no response within its deadline.
     TimedOut,
-    /// It was not sent, because [`MAX_IN_FLIGHT`] others were in flight.
+    /// It was not sent, because `MAX_IN_FLIGHT` others were in flight.
     Unsent,
 }
 
