--- a/tests/service.rs
+++ b/tests/service.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Front {
+enum Frontend {
     Http,
     Tds,
 }
@@ -54,40 +54,40 @@
     Client::connect(config, stream.compat_write()).await
 }
 
-/// How a request ended, in the words of neither wire.
+/// How a request ended, whatever the protocol.
 #[derive(Debug, PartialEq)]
-enum End {
+enum Outcome {
     Served(Vec<Vec<String>>),
-    Refused { retry_after_ms: u64 },
+    Rejected { retry_after_ms: u64 },
     Failed,
     Unusable,
 }
 
-async fn ask(
+async fn query(
     program: &Program,
-    front: Front,
+    frontend: Frontend,
     class: &str,
     ttl: u64,
     key: Option<&str>,
     statement: &str,
-) -> End {
-    match front {
-        Front::Http => {
+) -> Outcome {
+    match frontend {
+        Frontend::Http => {
             let reply = read_reply(&mut program.send(class, class, ttl, key, statement)).unwrap();
             match reply.status {
-                200 => End::Served(serde_json::from_value(reply.json()["result"].clone()).unwrap()),
+                200 => Outcome::Served(serde_json::from_value(reply.json()["result"].clone()).unwrap()),
                 503 => {
                     assert_eq!(reply.json()["fault"], "Rejected");
                     let ms: u64 = reply.field("X-Throttle-Ms").unwrap().parse().unwrap();
                     let seconds: u64 = reply.field("Retry-After").unwrap().parse().unwrap();
                     assert_eq!(seconds, ms.div_ceil(1000));
-                    End::Refused { retry_after_ms: ms }
+                    Outcome::Rejected { retry_after_ms: ms }
                 }
-                500 => End::Failed,
-                _ => End::Unusable,
+                500 => Outcome::Failed,
+                _ => Outcome::Unusable,
             }
         }
-        Front::Tds => {
+        Frontend::Tds => {
             let key = key.map(|key| format!(",key='{key}'")).unwrap_or_default();
             let text = format!("/*class='{class}',ttl_ms='{ttl}'{key}*/ {statement}");
             let mut client = login(program, "ann", "any", "acme").await.unwrap();
@@ -98,15 +98,15 @@
             match found {
                 Ok(rows) => {
                     let cell = |row: &tiberius::Row, at| row.get::<&str, _>(at).unwrap().to_owned();
-                    End::Served(rows.iter().map(|row| vec![cell(row, 0), cell(row, 1)]).collect())
+                    Outcome::Served(rows.iter().map(|row| vec![cell(row, 0), cell(row, 1)]).collect())
                 }
-                Err(tiberius::error::Error::Server(told)) => match told.code() {
+                Err(tiberius::error::Error::Server(error)) => match error.code() {
                     40501 => {
-                        let ms = told.message().rsplit('=').next().unwrap().parse().unwrap();
-                        End::Refused { retry_after_ms: ms }
+                        let ms = error.message().rsplit('=').next().unwrap().parse().unwrap();
+                        Outcome::Rejected { retry_after_ms: ms }
                     }
-                    50010 => End::Failed,
-                    50011 => End::Unusable,
+                    50010 => Outcome::Failed,
+                    50011 => Outcome::Unusable,
                     other => panic!("error {other}"),
                 },
                 Err(other) => panic!("{other}"),
@@ -115,57 +115,57 @@
     }
 }
 
-fn rows() -> End {
+fn rows() -> Outcome {
     let row = |a: &str, b: &str| vec![a.to_owned(), b.to_owned()];
-    End::Served(vec![row("a", "b"), row("c", "d")])
+    Outcome::Served(vec![row("a", "b"), row("c", "d")])
 }
 
-/// The same mix of classes has the same ends on every pair of wires.
+/// Requests of all classes have the same outcomes with each frontend and each protocol of the engines.
 #[rstest]
 #[tokio::test]
-async fn the_same_mix_has_the_same_ends(
-    #[values(Front::Http, Front::Tds)] front: Front,
+async fn the_same_requests_have_the_same_outcomes_on_all_protocols(
+    #[values(Frontend::Http, Frontend::Tds)] frontend: Frontend,
     #[values(Wire::Lines, Wire::Tds)] wire: Wire,
 ) {
     let (program, engine) = service(wire);
-    let refused = End::Refused { retry_after_ms: 2000 };
+    let rejected = Outcome::Rejected { retry_after_ms: 2000 };
     for class in ["lookup", "report", "post"] {
         assert_eq!(
-            ask(&program, front, class, 4000, None, "SELECT 'ok' FROM s_1.t").await,
+            query(&program, frontend, class, 4000, None, "SELECT 'ok' FROM s_1.t").await,
             rows(),
             "{class}"
         );
     }
-    assert_eq!(ask(&program, front, "load", 4000, Some("k1"), "LOAD ok").await, rows());
+    assert_eq!(query(&program, frontend, "load", 4000, Some("k1"), "LOAD ok").await, rows());
     assert!(engine.count("k1") == 1, "the key reaches the engine once");
-    // A load that may have run goes out again under its key, as often as attempts allow, and is then refused.
-    assert_eq!(ask(&program, front, "load", 4000, Some("k2"), "LOAD fail").await, refused);
+    // A load that was possibly executed is retried with its key, as often as attempts allow, and then rejected.
+    assert_eq!(query(&program, frontend, "load", 4000, Some("k2"), "LOAD fail").await, rejected);
     assert_eq!(engine.count("k2"), 3);
-    // What must never run twice is sent once, and failed.
-    assert_eq!(ask(&program, front, "post", 4000, None, "POST fail").await, End::Failed);
+    // A request that is not idempotent is sent once, and fails.
+    assert_eq!(query(&program, frontend, "post", 4000, None, "POST fail").await, Outcome::Failed);
     assert_eq!(engine.count("POST fail"), 1);
-    assert_eq!(ask(&program, front, "post", 4000, None, "POST die").await, End::Failed);
+    assert_eq!(query(&program, frontend, "post", 4000, None, "POST die").await, Outcome::Failed);
     assert_eq!(engine.count("POST die"), 1);
-    // A full engine ran nothing: refused, also what must never run twice.
-    assert_eq!(ask(&program, front, "post", 3000, None, "POST full").await, refused);
-    assert_eq!(ask(&program, front, "lookup", 4000, None, "SELECT garble").await, refused);
-    // A deadline ends what runs for too long: answered before it, and stopped on the engine.
+    // A full engine executed nothing: a request that is not idempotent is rejected too.
+    assert_eq!(query(&program, frontend, "post", 3000, None, "POST full").await, rejected);
+    assert_eq!(query(&program, frontend, "lookup", 4000, None, "SELECT garble").await, rejected);
+    // A request that runs too long is answered by its deadline, and cancelled on the engine.
     let began = Instant::now();
-    assert_eq!(ask(&program, front, "report", 600, None, "SELECT slow").await, refused);
+    assert_eq!(query(&program, frontend, "report", 600, None, "SELECT slow").await, rejected);
     assert!(began.elapsed() >= Duration::from_millis(500));
     let stop = if wire == Wire::Lines { "STOP" } else { "ATTENTION" };
     wait_until("the stop reaches the engine", || engine.count(stop) >= 1);
-    // What can't be used reaches no engine.
-    assert_eq!(ask(&program, front, "nothing", 4000, None, "SELECT unusable").await, End::Unusable);
-    assert_eq!(ask(&program, front, "load", 4000, None, "LOAD unusable").await, End::Unusable);
-    assert_eq!(ask(&program, front, "lookup", 0, None, "SELECT unusable").await, End::Unusable);
+    // An invalid request reaches no engine.
+    assert_eq!(query(&program, frontend, "nothing", 4000, None, "SELECT unusable").await, Outcome::Unusable);
+    assert_eq!(query(&program, frontend, "load", 4000, None, "LOAD unusable").await, Outcome::Unusable);
+    assert_eq!(query(&program, frontend, "lookup", 0, None, "SELECT unusable").await, Outcome::Unusable);
     assert_eq!(engine.count("unusable"), 0);
-    assert_eq!(ask(&program, front, "lookup", 4000, None, "SELECT ok").await, rows());
+    assert_eq!(query(&program, frontend, "lookup", 4000, None, "SELECT ok").await, rows());
 }
 
-/// Guards against an engine that dies between pages: no row has gone out, so the request runs again.
+/// Guards against an engine that dies between pages: no row was sent to the client, so the request is retried.
 #[test]
-fn a_result_in_pages_survives_an_engine_that_dies_between_them() {
+fn a_request_is_retried_when_the_engine_dies_between_pages() {
     let (program, engine) = service(Wire::Lines);
     let reply = read_reply(&mut program.send("p", "report", 9000, None, "SELECT big once")).unwrap();
     let whole = json!([["a", "b"], ["c", "d"], ["e", "f"], ["e", "f"]]);
@@ -173,9 +173,9 @@
     wait_until("the engine reads the end", || (engine.count("REQ"), engine.count("END")) == (2, 1));
 }
 
-/// A result above the size of a page goes out in pages, each of which can be called again.
+/// A result that is longer than a page is split into pages, each of which can be read again.
 #[test]
-fn pages_can_be_called_again_and_deleted() {
+fn result_pages_can_be_read_again_and_deleted() {
     let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({"page_bytes": 12}));
     let mut reply = read_reply(&mut program.send("q", "lookup", 4000, None, "SELECT big")).unwrap();
@@ -213,9 +213,9 @@
     assert_eq!(engine.count("REQ"), 0);
 }
 
-/// A client that closes its connection stops the work on the engine.
+/// When a client closes its connection, its request is cancelled on the engine.
 #[test]
-fn a_client_that_leaves_stops_its_work() {
+fn a_disconnected_clients_request_is_cancelled() {
     let (program, engine) = service(Wire::Lines);
     let stream = program.send("r", "report", 9000, None, "SELECT slow");
     wait_until("it runs", || engine.count("REQ") == 1);
@@ -223,14 +223,14 @@
     wait_until("it is stopped", || engine.count("STOP") == 1);
 }
 
-/// An attention in the midst of a report stops the work, and brings one DONE with DONE_ATTN and nothing else.
+/// An attention during a request cancels it. The response is one DONE with DONE_ATTN, and nothing else.
 #[rstest]
-fn an_attention_stops_a_report_and_brings_one_end(#[values(Wire::Lines, Wire::Tds)] wire: Wire) {
+fn an_attention_cancels_a_request_and_is_acknowledged_once(#[values(Wire::Lines, Wire::Tds)] wire: Wire) {
     use sanddyke::tds::{login, packet, token};
     let (program, engine) = service(wire);
     let mut stream = TcpStream::connect(program.tds).unwrap();
     let mut say = |kind: u8, data: &[u8]| {
-        // Bytes come one by one: packets are cut anywhere.
+        // Bytes are sent one by one, so packets are split anywhere.
         for byte in packet::message(kind, data) {
             stream.write_all(&[byte]).unwrap();
         }
@@ -245,8 +245,8 @@
     };
     let mut answers = say(packet::PRELOGIN, &login::prelogin(login::ENCRYPT_NOT_SUPPORTED));
     read(&mut answers);
-    let told = login::Login { user: "ann".into(), database: "acme".into(), ..Default::default() };
-    say(packet::LOGIN7, &login::login(&told));
+    let credentials = login::Login { user: "ann".into(), database: "acme".into(), ..Default::default() };
+    say(packet::LOGIN7, &login::login(&credentials));
     read(&mut answers);
     say(packet::SQL_BATCH, &token::batch("/*class='report'*/ SELECT slow"));
     wait_until("it runs", || engine.count("slow") == 1);
@@ -255,12 +255,12 @@
     assert_eq!((end.len(), &end[..3]), (13, &[0xfd, 0x20, 0x00][..]), "{end:?}");
     let stop = if wire == Wire::Lines { "STOP" } else { "ATTENTION" };
     wait_until("it is stopped", || engine.count(stop) == 1);
-    // The next answer on the connection is the next request's, whole.
+    // The next response on the connection is that of the next request, and complete.
     say(packet::SQL_BATCH, &token::batch("SELECT ok"));
     assert_eq!(read(&mut answers)[0], 0x81);
 }
 
-/// With a certificate the whole wire is encrypted, and a client without encryption is let go.
+/// With a certificate the whole connection is encrypted, and that of a client without encryption is closed.
 #[tokio::test]
 async fn an_encrypted_client_is_served_and_a_plain_one_is_not() {
     let engine = engines::line_protocol();
@@ -287,7 +287,7 @@
     }
 }
 
-/// A call with parameters reaches the engine with their values in place, and strings are left alone.
+/// A call reaches the engine with the values of its parameters in place, except in strings.
 #[tokio::test]
 async fn parameters_of_a_call_travel_in_the_statement() {
     let (program, engine) = service(Wire::Lines);
@@ -338,10 +338,10 @@
     assert_eq!(program.admin("GET", "/health", "").status, 200);
 }
 
-/// A lost answer and one that is cut short change nothing; the next is heeded, and nothing new goes to an
-/// engine that drains.
+/// A DNS response that is lost or truncated changes nothing. The next one is used: an engine that drains gets no
+/// further requests.
 #[test]
-fn nothing_new_goes_to_an_engine_that_the_name_service_drains() {
+fn no_request_is_sent_to_an_engine_that_dns_reports_as_draining() {
     let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let both = [old.address, new.address];
     let program = start(&both, json!({"resolver": dns::server(both.to_vec()).to_string()}));
@@ -356,9 +356,9 @@
     assert_eq!((old.count("REQ") - before, new.count("REQ")), (0, 20));
 }
 
-/// After SIGTERM what is open and what still comes is answered, and the program ends well.
+/// After SIGTERM, open requests and those that still come are answered, and the program exits with success.
 #[test]
-fn sigterm_answers_what_is_open_and_ends() {
+fn after_sigterm_open_requests_are_answered_and_the_program_ends() {
     let (mut program, engine) = service(Wire::Lines);
     let mut open = program.send("t", "report", 2000, None, "SELECT slow");
     wait_until("it runs", || engine.count("REQ") == 1);
@@ -369,9 +369,9 @@
     assert!(program.wait().success());
 }
 
-/// Guards against ending at the start over keys of the platform's that have the names of this program's own.
+/// Guards against a failed start because of keys that the platform uses under the names of this program's own.
 #[test]
-fn keys_of_the_platform_that_are_not_ours_are_passed_over() {
+fn unknown_configuration_keys_of_the_platform_are_ignored() {
     let http = SocketAddr::new(common::unique_address(), 8080);
     let file = std::env::temp_dir().join(format!("sanddyke-platform-{}", std::process::id()));
     let more = serde_json::json!({"admin": "10.0.0.1:9901", "tds": true, "store": "none", "engines": 8, "ldap": [],
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_key_that_cannot_be_used_is_named_and_ends_the_program() {
+fn an_invalid_configuration_key_is_named_and_ends_the_program() {
     let file = std::env::temp_dir().join(format!("sanddyke-bad-{}", std::process::id()));
     let text = include_str!("../deploy/operator.toml").replace("wire = \"tds\"", "wire = \"post\"");
     std::fs::write(&file, text).unwrap();
@@ -406,9 +406,9 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("engines.wire"), "{output:?}");
 }
 
-/// An answer that came too late for a client that waits on one connection never mixes with the next.
+/// A response that is late for its client is never taken for that to the next request on the connection.
 #[test]
-fn one_connection_carries_one_call_after_another() {
+fn one_connection_carries_consecutive_requests() {
     let (program, _engine) = service(Wire::Lines);
     let mut stream = TcpStream::connect(program.http).unwrap();
     for number in 0..20 {
@@ -419,10 +419,10 @@
     }
 }
 
-/// Guards against clients that say nothing, or ask once and hold their connections for good: they gave way to
-/// nobody, and kept all others out.
+/// Guards against clients that send nothing, or one request, and keep their connections open: these were not evicted,
+/// and excluded all others.
 #[test]
-fn clients_that_hold_connections_keep_nobody_out() {
+fn idle_and_silent_connections_are_evicted_for_new_clients() {
     let engine = engines::line_protocol();
     let program = start(&[engine.address], json!({"limits": {"sockets": 64}}));
     let silent: Vec<TcpStream> = (0..100).map(|_| program.connect()).collect();
@@ -438,12 +438,12 @@
     drop((silent, held));
 }
 
-/// Guards against a client that says nothing, or half of something: it is let go within 3 s.
+/// Guards against a client that sends nothing, or an incomplete request: its connection is closed within 3 s.
 #[rstest]
 #[case("")]
 #[case("POST /do/lookup HTTP/1.1\r\nContent-Le")]
 #[case("POST /do/lookup HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc")]
-fn half_a_request_is_let_go(#[case] sent: &str) {
+fn a_connection_with_an_incomplete_request_is_closed(#[case] sent: &str) {
     let (program, _engine) = service(Wire::Lines);
     let (mut stream, began) = (program.connect(), Instant::now());
     stream.write_all(sent.as_bytes()).unwrap();
@@ -452,10 +452,9 @@
     assert!((2..9).contains(&seconds), "a slow client is given time, but not for long: {seconds} s");
 }
 
-/// Guards against a refusal that is lost: a close with input unread resets the connection, and what was
-/// written on it goes with it.
+/// Guards against a lost rejection: closing a connection with unread input resets it, and discards what was written.
 #[test]
-fn a_refusal_reaches_a_client_that_is_still_sending() {
+fn a_rejection_reaches_a_client_that_is_still_sending() {
     let (program, engine) = service(Wire::Lines);
     let mut stream = program.connect();
     let head = "POST /do/lookup HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n";
@@ -468,10 +467,10 @@
     assert_eq!(engine.count("REQ"), 0);
 }
 
-/// Guards against an end on SIGHUP. What is open goes on, a file that can't be used changes nothing, and a new
-/// name service is heeded, with the numbers going on.
+/// Guards against an end on SIGHUP. Open requests continue, an invalid file changes nothing, and a new DNS server is
+/// used, with revisions that continue.
 #[test]
-fn sighup_reads_the_configuration_again() {
+fn sighup_reloads_the_configuration() {
     let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let both = [old.address, new.address];
     let program = start(&both, json!({}));
@@ -484,10 +483,10 @@
     assert_eq!(read_reply(&mut open).map(|reply| reply.status), Some(503));
 }
 
-/// Guards against what a good answer may bring besides: a copy of it, or an answer that nobody awaits. They are
-/// dropped, and what else the connection carries lives on.
+/// Guards against a copy of a valid response, or a response that nobody awaits. They are ignored, and other requests on
+/// the connection are not affected.
 #[test]
-fn more_than_belongs_to_an_answer_is_dropped() {
+fn duplicate_and_unexpected_responses_are_ignored() {
     let (program, engine) = service(Wire::Lines);
     let mut neighbour = program.send("n", "report", 1500, None, "SELECT slow");
     wait_until("it runs", || engine.count("slow") == 1);
@@ -511,10 +510,10 @@
     assert_eq!(read_reply(&mut program.send("ok", "lookup", 4000, None, "SELECT ok")).unwrap().status, 200);
 }
 
-/// Guards against engines that come and go all day: one that is gone is forgotten with its connections, but
-/// not before what is out there is over.
+/// Guards against a leak where engines come and go: a removed one is forgotten with its connections, but not before its
+/// requests have ended.
 #[test]
-fn an_engine_that_is_gone_is_forgotten_once_nothing_is_out_there() {
+fn a_removed_engine_is_forgotten_once_its_requests_have_ended() {
     let (old, new) = (engines::line_protocol(), engines::line_protocol());
     let program = start(&[old.address], json!({}));
     let mut open = program.send("y", "report", 2500, None, "SELECT slow");
@@ -530,13 +529,13 @@
     wait_until("its connections are closed", || old.count("END OF CONNECTION") >= 1);
 }
 
-/// Guards against an answer that never comes, or that trickles for ever, while its engine goes on: the request
-/// runs again long before its deadline, and the engine is not to blame.
+/// Guards against a response that never comes, or comes byte by byte, while its engine works on: the request is retried
+/// long before its deadline, and the engine is not blamed.
 #[rstest]
 #[case(Wire::Lines, "mute")]
 #[case(Wire::Lines, "trickle")]
 #[case(Wire::Tds, "mute")]
-fn an_answer_that_does_not_come_is_given_up(#[case] wire: Wire, #[case] how: &str) {
+fn a_response_that_does_not_complete_is_retried(#[case] wire: Wire, #[case] how: &str) {
     let mut settings = settings();
     settings["familyInfo"]["tellsEveryMs"] = json!(1000); // what is not told for 3 s does not run
     let (engine, wired) = match wire {
@@ -550,10 +549,10 @@
     assert!(metrics.contains(r#"sanddyke_attempts_total{outcome="Spoilt"} 1"#), "{metrics}");
 }
 
-/// Guards against a request that reaches an engine after its final answer, as the connection that it was meant for
-/// came up late. (Seen on the bench: 'request 1096880104 was sent on after its final answer'.)
+/// Guards against a request that reaches an engine after its final answer, because the connection that it waited for
+/// was established late. (Seen on the bench: 'request 1096880104 was sent on after its final answer'.)
 #[rstest]
-fn what_is_answered_reaches_no_engine_whose_connection_comes_up_late(
+fn an_answered_request_is_not_sent_on_a_connection_that_is_established_late(
     #[values(Wire::Lines, Wire::Tds)] wire: Wire,
 ) {
     let mut settings = settings();
@@ -566,15 +565,15 @@
     let reply = read_reply(&mut program.send("r", "lookup", 400, None, "SELECT 1")).unwrap();
     assert_eq!(reply.status, 503);
     let engine = late.accept_connections();
-    std::thread::sleep(Duration::from_millis(1500)); // until it has come again, and is up
+    std::thread::sleep(Duration::from_millis(1500)); // until the client has sent its first packet again
     let served = read_reply(&mut program.send("s", "lookup", 5000, None, "SELECT 2")).unwrap();
     assert_eq!((served.status, engine.count("SELECT 2")), (200, 1));
     assert_eq!(engine.count("SELECT 1"), 0, "{:?}", engine.received);
 }
 
-/// Guards against a connection that ends with all of an engine's requests on it: few are put on one.
+/// Guards against a connection that carries all requests of an engine when it is closed: one carries only a few.
 #[test]
-fn the_end_of_a_connection_takes_few_requests_with_it() {
+fn a_closed_connection_affects_few_requests() {
     let (engine, mut settings) = (engines::line_protocol(), settings());
     settings["familyInfo"]["tellsEveryMs"] = json!(10_000);
     let program = start(&[engine.address], json!({"settings": settings}));
@@ -592,11 +591,11 @@
     assert_eq!(engine.count("slow"), 8, "those on other connections went on");
 }
 
-/// Guards against a TDS client that says nothing, or half of a login: it is let go within 3 s.
+/// Guards against a TDS client that sends nothing, or an incomplete login: its connection is closed within 3 s.
 #[rstest]
 #[case(0)]
 #[case(11)]
-fn half_a_login_is_let_go(#[case] sent: usize) {
+fn a_connection_with_an_incomplete_login_is_closed(#[case] sent: usize) {
     use sanddyke::tds::{login, packet};
     let (program, _engine) = service(Wire::Lines);
     let (mut stream, began) = (TcpStream::connect(program.tds).unwrap(), Instant::now());
