--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -3,6 +3,7 @@
 use crate::TestbedError;
 use crate::experiment::{Class, Experiment};
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -12,25 +13,37 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-static STARTED: AtomicU8 = AtomicU8::new(0);
+/// The administration token of every program that the testbed starts.
 pub(crate) const TOKEN: &str = "the-rig-s-own-token-0001";
-/// The program must be ready by then.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that it may hold.
-const SOCKETS: usize = 4096;
+/// Time within which the program must be ready, and the time between two checks.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of sockets of the program.
+const MAX_SOCKETS: usize = 4096;
+const CLIENT_PORT: u16 = 8080;
+const ADMIN_PORT: u16 = 8081;
+const OPERATIONS_PORT: u16 = 19000;
+/// Second byte of the loopback address of the first program of this process, and the number of programs until it repeats.
+const FIRST_ADDRESS_BLOCK: u8 = 77;
+const ADDRESS_BLOCKS: u8 = 100;
 
-/// A running program; it ends with this.
+/// Number of programs that this process has started.
+static PROGRAMS_STARTED: AtomicU8 = AtomicU8::new(0);
+
+/// A running program; its process ends with this value.
 #[derive(Debug)]
 pub struct Program {
     child: Child,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub http: SocketAddr,
-    /// The second address.
+    /// Address of the operations endpoint.
     pub ops: SocketAddr,
     admin: SocketAddr,
+    /// Its files, which are removed with this value.
     _folder: TempDir,
 }
 
+/// The settings of a program with these classes, on engines with these resources.
 pub(crate) fn settings(classes: &[Class], cores: f64, memory_mb: f64) -> Value {
     let threads: Vec<f64> = classes.iter().map(|class| class.threads).collect();
     let classes = classes.iter().map(|class| {
@@ -53,27 +66,34 @@
 }
 
 impl Program {
-    /// Starts it on engines, with the experiment's tenants in a store of its own.
+    /// Starts the program on engines, with the experiment's tenants in a store of its own.
+    ///
+    /// # Errors
+    /// Fails where it cannot be started, is not ready in time, or rejects the tenants.
     pub async fn start(
         binary: &Path,
         experiment: &Experiment,
         engines: &[SocketAddr],
-        names: SocketAddr,
+        name_server: SocketAddr,
     ) -> Result<Program, TestbedError> {
         let folder = tempfile::tempdir()?;
-        let [a, b] = (std::process::id() as u16).to_le_bytes();
-        // No two programs of this process, or of another, race for a port.
-        let own = IpAddr::from([127, 77 + STARTED.fetch_add(1, Ordering::Relaxed) % 100, a, b]);
-        let (http, admin) = (SocketAddr::new(own, 8080), SocketAddr::new(own, 8081));
-        let ops = SocketAddr::new(own, 19000);
+        let address = unused_address();
+        let http = SocketAddr::new(address, CLIENT_PORT);
+        let admin = SocketAddr::new(address, ADMIN_PORT);
+        let ops = SocketAddr::new(address, OPERATIONS_PORT);
         std::fs::write(folder.path().join("token"), TOKEN)?;
-        let endpoints = engines.iter().enumerate().map(|(number, address)| {
-            json!({"name": format!("e{number}"), "address": address.to_string(), "zone": "a", "type": "std"})
-        });
-        let pool = json!({"snapshot": true, "endpoints": endpoints.collect::<Vec<_>>()});
+        let endpoint = |(number, address): (usize, &SocketAddr)| json!({"name": format!("e{number}"), "address": address.to_string(), "zone": "a", "type": "std"});
+        let endpoints: Vec<Value> = engines.iter().enumerate().map(endpoint).collect();
+        let pool = json!({"snapshot": true, "endpoints": endpoints});
+        let resources = &experiment.engines;
         let config = json!({
-            "name": "rig", "listen": http.to_string(), "ops": ops.to_string(), "seed": format!("{:x}", experiment.seed),
-            "limits": {"sockets": SOCKETS}, "resolver": names.to_string(), "settings": settings(&experiment.classes, experiment.engines.cores, experiment.engines.memory_mb),
+            "name": "rig",
+            "listen": http.to_string(),
+            "ops": ops.to_string(),
+            "seed": format!("{:x}", experiment.seed),
+            "limits": {"sockets": MAX_SOCKETS},
+            "resolver": name_server.to_string(),
+            "settings": settings(&experiment.classes, resources.cores, resources.memory_mb),
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": pool}]},
             "admin": {"listen": admin.to_string(), "token_file": folder.path().join("token")},
             "store": {"path": folder.path().join("state.redb")},
@@ -86,42 +106,63 @@
             .spawn()
             .map_err(|error| TestbedError::Program(format!("{}: {error}", binary.display())))?;
         let mut program = Program { child, http, ops, admin, _folder: folder };
-        let ready = tokio::time::timeout(READY_WITHIN, async {
-            while TcpStream::connect(program.admin).await.is_err() {
-                tokio::time::sleep(Duration::from_millis(10)).await;
+        program.wait_until_ready().await?;
+        program.import_tenants(experiment).await?;
+        Ok(program)
+    }
+
+    async fn wait_until_ready(&mut self) -> Result<(), TestbedError> {
+        let admin = self.admin;
+        let ready = async {
+            while TcpStream::connect(admin).await.is_err() {
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
-        });
-        if ready.await.is_err() || program.child.try_wait()?.is_some() {
+        };
+        let in_time = tokio::time::timeout(READY_TIMEOUT, ready).await.is_ok();
+        if !in_time || self.child.try_wait()?.is_some() {
             return Err(TestbedError::Program("it did not become ready".to_owned()));
         }
-        program.import(experiment).await?;
-        Ok(program)
+        Ok(())
     }
 
-    /// Its process.
+    /// The process id; 0 where the process has ended.
     pub fn id(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    async fn import(&self, experiment: &Experiment) -> Result<(), TestbedError> {
-        let mut text = "format = 1\n".to_owned();
-        let groups: std::collections::BTreeSet<&String> =
-            experiment.tenants.iter().filter_map(|row| row.group.as_ref()).collect();
-        groups.iter().for_each(|group| text.push_str(&format!("[groups.{group}]\nweight = 1.0\n")));
-        for (name, row) in experiment.named() {
-            let group = row.group.as_ref().map_or(String::new(), |group| format!("group = \"{group}\"\n"));
-            text.push_str(&format!("[tenants.{name}.spec]\nweight = {:?}\n{group}", row.weight));
+    /// Imports the tenants and their groups.
+    async fn import_tenants(&self, experiment: &Experiment) -> Result<(), TestbedError> {
+        let mut document = "format = 1\n".to_owned();
+        let groups: BTreeSet<&String> =
+            experiment.tenants.iter().filter_map(|tenant| tenant.group.as_ref()).collect();
+        for group in groups {
+            document.push_str(&format!("[groups.{group}]\nweight = 1.0\n"));
+        }
+        for (name, tenant) in experiment.named() {
+            let group = tenant.group.as_ref().map_or(String::new(), |group| format!("group = \"{group}\"\n"));
+            document.push_str(&format!("[tenants.{name}.spec]\nweight = {:?}\n{group}", tenant.weight));
         }
-        self.call("POST", "/v1/import", &text).await.map(drop)
+        self.call("POST", "/v1/import", &document).await?;
+        Ok(())
     }
 
-    /// Calls the administration API.
+    /// Calls the administration API; gives the body of the response.
+    ///
+    /// # Errors
+    /// Fails where the service cannot be reached or rejects the call.
     pub async fn call(&self, method: &str, target: &str, body: &str) -> Result<Value, TestbedError> {
         call(self.admin, method, target, body).await
     }
 }
 
-/// Calls an administration API.
+/// A loopback address that no other program of this process uses, nor one of another process.
+fn unused_address() -> IpAddr {
+    let [process_low, process_high] = (std::process::id() as u16).to_le_bytes();
+    let block = FIRST_ADDRESS_BLOCK + PROGRAMS_STARTED.fetch_add(1, Ordering::Relaxed) % ADDRESS_BLOCKS;
+    IpAddr::from([127, block, process_low, process_high])
+}
+
+/// Calls the administration API at an address; gives the body of the response.
 pub(crate) async fn call(
     admin: SocketAddr,
     method: &str,
@@ -135,9 +176,9 @@
         body.len()
     );
     stream.write_all(request.as_bytes()).await?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await?;
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((&answer, ""));
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await?;
+    let (head, body) = response.split_once("\r\n\r\n").unwrap_or((&response, ""));
     match head.get(9..10) {
         Some("2") => Ok(serde_json::from_str(body).unwrap_or(Value::Null)),
         _ => Err(TestbedError::step(format!("{method} {target}"), body.to_owned())),
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment showed: one row a tenant, a table of seconds, and a chart of both.
+//! The results of an experiment: a row for each tenant, a table of the service by second, and a chart of it.
 
 use crate::TestbedError;
 use crate::client::{End, Outcome};
@@ -9,104 +9,130 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Tenants with a line of their own in the chart.
-const MOST_LINES: usize = 8;
+/// Maximum number of tenants in the chart.
+const MAX_CHART_LINES: usize = 8;
+/// Unit, range and precision (decimal digits) of the latency histograms: from 0.1 ms to an hour.
+const LATENCY_TICKS_PER_S: f64 = 10_000.0;
+const LATENCY_TICKS_PER_MS: f64 = 10.0;
+const MAX_LATENCY_TICKS: u64 = 36_000_000;
+const LATENCY_DIGITS: u8 = 3;
 
-/// One tenant's row.
+/// The results of one tenant. The field names are the columns of the CSV file and the keys of the JSON output.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
     /// The tenant.
     pub tenant: String,
-    /// Its share.
+    /// Quota, as a fraction of all service.
     pub share: f64,
-    /// Its part of the work that was served.
+    /// Fraction of the work of all served requests.
     pub service: f64,
-    /// Work that was served of it, as a part of what the engines could do.
+    /// Work of its served requests, as a fraction of the capacity of the engines.
     pub of_capacity: f64,
-    /// Requests that its clients sent first tries of.
+    /// Number of requests.
     pub asked: u64,
-    /// Served.
+    /// Number of served requests.
     pub served: u64,
-    /// Refused at their last try.
+    /// Number of requests whose last attempt was rejected.
     pub refused: u64,
-    /// Failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Without an answer in their time.
+    /// Number of requests without a response within their deadline.
     pub unanswered: u64,
-    /// Not sent: its clients had too many open.
+    /// Number of requests that were not sent, because too many were in flight.
     pub unsent: u64,
-    /// Tries in all.
+    /// Number of attempts.
     pub tries: u64,
-    /// Latency of what was served (ms): median, 95th and 99th percentile.
+    /// Median latency of the served requests (ms).
     pub p50_ms: f64,
-    /// 95th percentile.
+    /// 95th percentile of the latency of the served requests (ms).
     pub p95_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the latency of the served requests (ms).
     pub p99_ms: f64,
 }
 
-/// All rows, and the work served in each second.
+/// The results of an experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// The experiment's title.
     pub title: String,
-    /// One row a tenant.
+    /// One row for each tenant.
     pub rows: Vec<Row>,
-    /// Of each second, the work served of each tenant as a part of what the engines can do.
+    /// For each second, the work of the served requests of each tenant, as a fraction of the capacity of the engines.
     pub seconds: Vec<Vec<f64>>,
-    /// Requests that each engine was sent.
+    /// Number of requests that each engine has received.
     pub engines: Vec<u64>,
-    /// Greatest distance of a tenant's part of the service from its share, in points.
+    /// Maximum difference between a tenant's fraction of the service and its quota (percentage points).
     pub worst_points: f64,
 }
 
+/// The work that all tenants together got and could have got in the measured time.
+struct Totals {
+    served_work_ms: f64,
+    capacity_ms: f64,
+}
+
+/// Work of the served requests, as single-thread time (ms).
+fn served_work_ms(outcomes: &[&Outcome]) -> f64 {
+    let served = outcomes.iter().filter(|outcome| outcome.end == End::Served);
+    served.map(|outcome| outcome.work_ms).sum()
+}
+
+impl Row {
+    /// Counts one tenant's outcomes.
+    fn of(tenant: &str, share: f64, outcomes: &[&Outcome], totals: &Totals) -> Row {
+        let count = |end: End| outcomes.iter().filter(|outcome| outcome.end == end).count() as u64;
+        let work_ms = served_work_ms(outcomes);
+        let mut latency = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_TICKS, LATENCY_DIGITS)
+            .expect("constant bounds are valid");
+        for outcome in outcomes.iter().filter(|outcome| outcome.end == End::Served) {
+            latency.saturating_record(((outcome.ended_s - outcome.sent_s) * LATENCY_TICKS_PER_S) as u64);
+        }
+        let percentile_ms = |quantile: f64| latency.value_at_quantile(quantile) as f64 / LATENCY_TICKS_PER_MS;
+        Row {
+            tenant: tenant.to_owned(),
+            share,
+            service: if totals.served_work_ms > 0.0 { work_ms / totals.served_work_ms } else { 0.0 },
+            of_capacity: work_ms / totals.capacity_ms,
+            asked: outcomes.len() as u64,
+            served: count(End::Served),
+            refused: count(End::Rejected),
+            failed: count(End::Failed),
+            unanswered: count(End::TimedOut),
+            unsent: count(End::Unsent),
+            tries: outcomes.iter().map(|outcome| u64::from(outcome.attempts)).sum(),
+            p50_ms: percentile_ms(0.5),
+            p95_ms: percentile_ms(0.95),
+            p99_ms: percentile_ms(0.99),
+        }
+    }
+}
+
 impl Report {
-    /// Counts outcomes.
+    /// Counts the outcomes. Those that ended outside of the measured time count in [`Report::seconds`] only.
     pub fn of(experiment: &Experiment, outcomes: &[Outcome]) -> Report {
-        let (named, shares) = (experiment.named(), experiment.shares());
-        let counts = |outcome: &&Outcome| (experiment.from_s..experiment.seconds).contains(&outcome.ended_s);
-        let served = |outcome: &&Outcome| outcome.end == End::Served;
-        let work = |outcome: &Outcome| outcome.work_ms;
-        let whole: f64 = outcomes.iter().filter(counts).filter(served).map(work).sum();
-        let could = experiment.capacity() * (experiment.seconds - experiment.from_s);
-        let row = |(index, (name, _)): (usize, &(String, &crate::experiment::Tenant))| {
-            let own: Vec<&Outcome> =
-                outcomes.iter().filter(counts).filter(|outcome| outcome.tenant == index).collect();
-            let count = |end: End| own.iter().filter(|outcome| outcome.end == end).count() as u64;
-            let done: f64 =
-                own.iter().filter(|outcome| outcome.end == End::Served).map(|one| one.work_ms).sum();
-            // Three digits from 0.1 ms to an hour: such bounds are always taken.
-            let mut latency = Histogram::<u64>::new_with_bounds(1, 36_000_000, 3).expect("good bounds");
-            for outcome in own.iter().filter(|outcome| outcome.end == End::Served) {
-                latency.saturating_record(((outcome.ended_s - outcome.sent_s) * 10_000.0) as u64);
-            }
-            let at = |part: f64| latency.value_at_quantile(part) as f64 / 10.0;
-            Row {
-                tenant: name.clone(),
-                share: shares[index],
-                service: if whole > 0.0 { done / whole } else { 0.0 },
-                of_capacity: done / could,
-                asked: own.len() as u64,
-                served: count(End::Served),
-                refused: count(End::Rejected),
-                failed: count(End::Failed),
-                unanswered: count(End::TimedOut),
-                unsent: count(End::Unsent),
-                tries: own.iter().map(|outcome| u64::from(outcome.attempts)).sum(),
-                p50_ms: at(0.5),
-                p95_ms: at(0.95),
-                p99_ms: at(0.99),
-            }
+        let measured_time = experiment.from_s..experiment.seconds;
+        let is_measured = |outcome: &&Outcome| measured_time.contains(&outcome.ended_s);
+        let measured: Vec<&Outcome> = outcomes.iter().filter(is_measured).collect();
+        let totals = Totals {
+            served_work_ms: served_work_ms(&measured),
+            capacity_ms: experiment.capacity() * (experiment.seconds - experiment.from_s),
         };
-        let rows: Vec<Row> = named.iter().enumerate().map(row).collect();
+        let named = experiment.named();
+        let shares = experiment.shares();
+        let mut rows = Vec::new();
+        for (index, (name, _)) in named.iter().enumerate() {
+            let own: Vec<&Outcome> =
+                measured.iter().copied().filter(|outcome| outcome.tenant == index).collect();
+            rows.push(Row::of(name, shares[index], &own, &totals));
+        }
         let mut seconds = vec![vec![0.0; named.len()]; experiment.seconds.ceil() as usize];
-        for outcome in outcomes.iter().filter(served) {
+        for outcome in outcomes.iter().filter(|outcome| outcome.end == End::Served) {
             if let Some(second) = seconds.get_mut(outcome.ended_s as usize) {
                 second[outcome.tenant] += outcome.work_ms / experiment.capacity();
             }
         }
-        let worst = rows.iter().map(|row| (row.service - row.share).abs() * 100.0).fold(0.0, f64::max);
-        Report { title: experiment.title.clone(), rows, seconds, engines: Vec::new(), worst_points: worst }
+        let worst_points = rows.iter().map(|row| (row.service - row.share).abs() * 100.0).fold(0.0, f64::max);
+        Report { title: experiment.title.clone(), rows, seconds, engines: Vec::new(), worst_points }
     }
 
     /// The rows as CSV.
@@ -163,7 +189,7 @@
         let mut mesh = chart.configure_mesh();
         let drawn = mesh.x_desc("seconds").y_desc("work served, of what the engines can do").draw();
         drawn.map_err(|error| failed(error.to_string()))?;
-        for (index, row) in self.rows.iter().enumerate().take(MOST_LINES) {
+        for (index, row) in self.rows.iter().enumerate().take(MAX_CHART_LINES) {
             let color = Palette99::pick(index).to_rgba();
             let points = self.seconds.iter().enumerate().map(|(at, parts)| (at as f64 + 0.5, parts[index]));
             let line = LineSeries::new(points, color.stroke_width(2));
