--- /dev/null
+++ b/tests/common/engines/line_protocol_session.rs
@@ -0,0 +1,158 @@
+//! A connection with an emulated engine of the line protocol.
+
+use super::Received;
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+const TWO_ROWS: &str = "200 sheets=1,toil=100,room=8 8\r\na\tb\nc\td\n\r\n";
+const PROGRESS: &str = "status n=share,val=0.1 0\r\n\r\n";
+
+/// Serves a connection until it is closed, or a statement closes it.
+pub fn speak_line_protocol(stream: TcpStream, received: &Received) -> std::io::Result<()> {
+    let out = stream.try_clone()?;
+    let mut input = BufReader::new(stream);
+    let mut session = Session { out, received, closes_at_fetch: HashMap::new(), huge: false };
+    loop {
+        let mut line = String::new();
+        if input.read_line(&mut line)? == 0 {
+            session.record("END OF CONNECTION".to_owned());
+            return Ok(());
+        }
+        let line = line.trim_end();
+        let words: Vec<&str> = line.split(' ').collect();
+        let open = match words[0] {
+            "STAT" | "HELO" => session.report_load(words[1])?,
+            "FETCH" => {
+                session.record(line.to_owned());
+                session.send_page(words[1], words[2])?
+            }
+            "REQ" => {
+                let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
+                input.read_exact(&mut body)?;
+                let body = String::from_utf8(body).unwrap();
+                let statement = body.trim_end();
+                session.record(format!("{line} {statement}"));
+                session.execute(words[1], statement)?
+            }
+            _ => {
+                session.record(format!("{line} "));
+                true
+            }
+        };
+        if !open {
+            return Ok(());
+        }
+    }
+}
+
+/// The state of a connection. Its methods return false if the connection is to be closed.
+struct Session<'a> {
+    out: TcpStream,
+    received: &'a Received,
+    /// For each request with several pages, whether the connection is closed when the second is fetched.
+    closes_at_fetch: HashMap<String, bool>,
+    /// Whether pages are as long as they may be.
+    huge: bool,
+}
+
+impl Session<'_> {
+    fn record(&self, entry: String) {
+        self.received.lock().unwrap().push(entry);
+    }
+
+    /// How many entries contain a text.
+    fn count(&self, text: &str) -> usize {
+        self.received.lock().unwrap().iter().filter(|line| line.contains(text)).count()
+    }
+
+    fn report_load(&mut self, id: &str) -> std::io::Result<bool> {
+        write!(self.out, "{id} alive l=util:0.1;queue:0;x0:0.1;x1:0.1\r\n")?;
+        Ok(true)
+    }
+
+    fn send_page(&mut self, id: &str, page: &str) -> std::io::Result<bool> {
+        if self.closes_at_fetch[id] {
+            return Ok(false);
+        }
+        if self.huge {
+            write!(self.out, "{id} chunk sheet={page} 60000\r\n{}\n\r\n", "x".repeat(59_999))?;
+        } else {
+            write!(self.out, "{id} chunk sheet={page} 4\r\ne\tf\n\r\n")?;
+        }
+        Ok(true)
+    }
+
+    /// Executes a statement as its words say.
+    fn execute(&mut self, id: &str, statement: &str) -> std::io::Result<bool> {
+        let has = |word: &str| statement.contains(word);
+        // Only the first attempt of such a statement goes wrong.
+        let first_attempt = |word: &str| has(word) && self.count(word) == 1;
+        if first_attempt("mute") {
+            write!(self.out, "{id} {PROGRESS}")?;
+        } else if first_attempt("trickle") {
+            self.trickle(id)?;
+        } else if has("nap") {
+            self.nap(id, statement)?;
+        } else if has("slow") {
+            write!(self.out, "{id} {PROGRESS}")?;
+        } else if has("fail") {
+            write!(self.out, "{id} 500 - 0\r\n\r\n")?;
+        } else if has("full") {
+            write!(self.out, "{id} 503 - 0\r\n\r\n")?;
+        } else if has("die") {
+            return Ok(false);
+        } else if has("garble") {
+            write!(self.out, "what is this\r\n")?;
+        } else if has("twice") {
+            self.respond_twice(id)?;
+        } else if has("huge") {
+            self.huge = true;
+            self.closes_at_fetch.insert(id.to_owned(), false);
+            write!(self.out, "{id} 200 sheets=64,toil=100,room=8 4\r\na\tb\n\r\n")?;
+        } else if has("torn") {
+            write!(self.out, "{id} 200 sheets=1,toil=100,room=8 6\r\na\tb\nc\t\r\n")?;
+        } else if has("big") {
+            // The first attempt of a `big once` ends between its pages.
+            let is_retry = self.count("big once") > 1;
+            self.closes_at_fetch.insert(id.to_owned(), has("once") && !is_retry);
+            write!(self.out, "{id} 200 sheets=3,toil=100,room=8 8\r\na\tb\nc\td\n\r\n")?;
+        } else {
+            write!(self.out, "{id} {TWO_ROWS}")?;
+        }
+        Ok(true)
+    }
+
+    /// Sends a response byte by byte until the connection is closed.
+    fn trickle(&mut self, id: &str) -> std::io::Result<()> {
+        write!(self.out, "{id} 200 sheets=1,toil=100,room=8 9000\r\n")?;
+        while self.out.write_all(b"x").is_ok() {
+            std::thread::sleep(Duration::from_millis(100));
+        }
+        Ok(())
+    }
+
+    /// Responds after some time, while other requests of the connection are served.
+    fn nap(&self, id: &str, statement: &str) -> std::io::Result<()> {
+        let mut out = self.out.try_clone()?;
+        let id = id.to_owned();
+        let ms = if statement.contains("long nap") { 4000 } else { 300 };
+        let response = match statement.contains("then fail") {
+            true => "500 - 0\r\n\r\n",
+            false => "200 sheets=1,toil=100,room=8 4\r\na\tb\n\r\n",
+        };
+        std::thread::spawn(move || {
+            std::thread::sleep(Duration::from_millis(ms));
+            write!(out, "{id} {response}")
+        });
+        Ok(())
+    }
+
+    /// A valid response, with others that nobody waits for: one of an unknown id, and the same again.
+    fn respond_twice(&mut self, id: &str) -> std::io::Result<()> {
+        let response = format!("{id} 200 sheets=2,toil=100,room=8 8\r\na\tb\nc\td\n\r\n");
+        self.closes_at_fetch.insert(id.to_owned(), false);
+        write!(self.out, "00000000000000ee 200 sheets=1 4\r\nx\ty\n\r\n{response}{response}")
+    }
+}
--- /dev/null
+++ b/tests/common/engines/mod.rs
@@ -0,0 +1,164 @@
+//! Emulated engines, for the line protocol and for TDS. Words in a statement decide how it is executed:
+//!
+//! - `ok`, and any other: two rows;
+//! - `big`: a result of several pages, in which the connection is closed (`big once`: at the first attempt only);
+//! - `huge`: a result that is longer than any that is collected;
+//! - `fail`, `full`: an error, or a rejection;
+//! - `die`: the connection is closed;
+//! - `garble`, `torn`: a malformed response, or an incomplete row;
+//! - `twice`: a response to an unknown request, then the proper one twice;
+//! - `mute`, `trickle`: at the first attempt a response that never comes, or comes byte by byte;
+//! - `nap`: 0.3 s of work (`long nap`: 4 s; with `then fail` it ends in an error);
+//! - `slow`: work until it is cancelled.
+
+mod line_protocol_session;
+mod tds_session;
+
+use line_protocol_session::speak_line_protocol;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use tds_session::speak_tds;
+
+/// What an engine has received, in order: the lines, or the statements and attentions of TDS.
+pub type Received = Arc<Mutex<Vec<String>>>;
+
+/// A running engine.
+pub struct Engine {
+    /// The address that it listens at.
+    pub address: SocketAddr,
+    /// What it has received.
+    pub received: Received,
+}
+
+impl Engine {
+    /// How many entries of what it has received contain a text.
+    pub fn count(&self, text: &str) -> usize {
+        self.received.lock().unwrap().iter().filter(|line| line.contains(text)).count()
+    }
+}
+
+type ServeConnection = fn(TcpStream, Received);
+
+fn start(serve: ServeConnection) -> Engine {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let engine = Engine { address: listener.local_addr().unwrap(), received: Received::default() };
+    let received = engine.received.clone();
+    std::thread::spawn(move || accept(&listener, &received, serve));
+    engine
+}
+
+fn accept(listener: &TcpListener, received: &Received, serve: ServeConnection) {
+    for stream in listener.incoming().flatten() {
+        let received = received.clone();
+        std::thread::spawn(move || serve(stream, received));
+    }
+}
+
+/// An engine that does not accept connections yet: the backlog of its socket is full, so the kernel drops the first
+/// packet of each connection. Clients send it again about a second later.
+pub struct LateEngine {
+    /// The engine.
+    pub engine: Engine,
+    /// The connections that fill the backlog.
+    backlog: Vec<TcpStream>,
+    listener: TcpListener,
+    serve: ServeConnection,
+}
+
+impl LateEngine {
+    /// One with the line protocol.
+    pub fn line_protocol() -> LateEngine {
+        LateEngine::start(|stream, received| drop(speak_line_protocol(stream, &received)))
+    }
+
+    /// One with TDS.
+    pub fn tds() -> LateEngine {
+        LateEngine::start(|stream, received| drop(speak_tds(stream, &received)))
+    }
+
+    fn start(serve: ServeConnection) -> LateEngine {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let listener = runtime.block_on(async {
+            let socket = tokio::net::TcpSocket::new_v4().unwrap();
+            socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+            socket.listen(1).unwrap().into_std().unwrap()
+        });
+        listener.set_nonblocking(false).unwrap();
+        let address = listener.local_addr().unwrap();
+        let mut backlog = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&address, std::time::Duration::from_millis(100)) {
+            backlog.push(stream);
+        }
+        let engine = Engine { address, received: Received::default() };
+        LateEngine { engine, backlog, listener, serve }
+    }
+
+    /// Accepts connections from now on.
+    pub fn accept_connections(self) -> Engine {
+        for _ in &self.backlog {
+            drop(self.listener.accept().unwrap());
+        }
+        let received = self.engine.received.clone();
+        std::thread::spawn(move || accept(&self.listener, &received, self.serve));
+        self.engine
+    }
+}
+
+/// What a [`BlockedEngine`] does with its first connection.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Unblock {
+    /// It reads what was sent.
+    Read,
+    /// It closes the connection without reading.
+    Close,
+}
+
+/// An engine of the line protocol that does not read from its first connection, whose receive buffer is small. Other
+/// connections are served as usual.
+pub struct BlockedEngine {
+    /// The engine.
+    pub engine: Engine,
+    unblock: std::sync::mpsc::Sender<Unblock>,
+}
+
+impl BlockedEngine {
+    /// Starts one.
+    pub fn start() -> BlockedEngine {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        // The sender's window grows with the size of the segments that its peer accepts.
+        socket.set_tcp_mss(88).unwrap();
+        socket.set_recv_buffer_size(1).unwrap();
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket.listen(16).unwrap();
+        let listener = TcpListener::from(socket);
+        let engine = Engine { address: listener.local_addr().unwrap(), received: Received::default() };
+        let received = engine.received.clone();
+        let (unblock, unblocked) = std::sync::mpsc::channel();
+        std::thread::spawn(move || {
+            let (first, _) = listener.accept().unwrap();
+            let received_first = received.clone();
+            std::thread::spawn(move || {
+                if unblocked.recv() == Ok(Unblock::Read) {
+                    drop(speak_line_protocol(first, &received_first));
+                }
+            });
+            accept(&listener, &received, |stream, received| drop(speak_line_protocol(stream, &received)));
+        });
+        BlockedEngine { engine, unblock }
+    }
+
+    /// Reads from the first connection from now on, or closes it.
+    pub fn unblock(&self, action: Unblock) {
+        self.unblock.send(action).unwrap();
+    }
+}
+
+/// Starts an engine with the line protocol.
+pub fn line_protocol() -> Engine {
+    start(|stream, received| drop(speak_line_protocol(stream, &received)))
+}
+
+/// Starts an engine with TDS.
+pub fn tds() -> Engine {
+    start(|stream, received| drop(speak_tds(stream, &received)))
+}
