--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -21,18 +21,18 @@
             Answer::Rejected { retry_after, reason } => rejected(retry_after, reason),
             Answer::Failed(reason) => Response::json(500, fault_body("Crashed", reason)),
             Answer::Cancelled => Response::json(500, fault_body("Cancelled", None)),
-            Answer::Invalid(why) => unusable(invalid_status(&why), &why.to_string()),
+            Answer::Invalid(error) => unusable(invalid_status(&error), &error.to_string()),
         }
     }
 }
 
 /// The response to a request that cannot be used.
-pub(super) fn unusable(status: u16, why: &str) -> Response {
-    Response::json(status, serde_json::json!({ "fault": "Unusable", "why": why }).to_string())
+pub(super) fn unusable(status: u16, message: &str) -> Response {
+    Response::json(status, serde_json::json!({ "fault": "Unusable", "why": message }).to_string())
 }
 
-fn invalid_status(why: &Invalid) -> u16 {
-    match why {
+fn invalid_status(error: &Invalid) -> u16 {
+    match error {
         Invalid::UnknownClass(_) => 404,
         Invalid::Duplicate => 409,
         _ => 400,
--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -56,7 +56,7 @@
             statement.and_then(|statement| self.frontend.incoming_request(&statement, &self.tenant));
         let request = match request {
             Ok(request) => request,
-            Err(why) => return Some(unusable(kind, &why)),
+            Err(reason) => return Some(unusable(kind, &reason)),
         };
         match self.submit(request).await {
             WaitOutcome::Answered(answer) => Some(answer_response(kind, answer)),
--- a/src/frontend/tds/responses.rs
+++ b/src/frontend/tds/responses.rs
@@ -27,8 +27,8 @@
 const REQUEST_SEVERITY: u8 = 16;
 
 /// The response to a request that cannot be used.
-pub(super) fn unusable(kind: ResponseKind, why: &str) -> Vec<u8> {
-    token::error(kind, error_number::UNUSABLE, REQUEST_SEVERITY, why)
+pub(super) fn unusable(kind: ResponseKind, message: &str) -> Vec<u8> {
+    token::error(kind, error_number::UNUSABLE, REQUEST_SEVERITY, message)
 }
 
 /// The response for an answer of the service.
@@ -48,7 +48,7 @@
             error(error_number::FAILED, &text)
         }
         Answer::Cancelled => error(error_number::CANCELLED, "The request was ended by an operator."),
-        Answer::Invalid(why) => unusable(kind, &why.to_string()),
+        Answer::Invalid(error) => unusable(kind, &error.to_string()),
     }
 }
 
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -52,7 +52,7 @@
         /// The user.
         user: String,
     },
-    /// The directory denied the bind, or could not be asked.
+    /// The directory denied the bind, or the search failed.
     #[error("user {user:?}: the directory says: {source}")]
     Ldap {
         /// The user.
