--- a/crates/client/examples/tenants.rs
+++ b/crates/client/examples/tenants.rs
@@ -1,8 +1,8 @@
-//! Lists the tenants with their shares, then tells of changes as they come.
+//! Lists the tenants with their quotas, then prints changes as they come.
 //!
 //! `SANDDYKE_TOKEN=… cargo run -p sanddyke-client --example tenants -- http://127.0.0.1:8081`
 
-use sanddyke_client::{Client, Error, Options};
+use sanddyke_client::{Changes, Client, Error, Options};
 use std::time::Duration;
 
 fn main() -> Result<(), Error> {
@@ -15,8 +15,10 @@
     }
     let mut after = None;
     loop {
-        let (changes, next) = client.watch(after, Duration::from_secs(20))?;
-        changes.iter().for_each(|change| println!("{change}"));
+        let Changes { changes, next } = client.watch(after, Duration::from_secs(20))?;
+        for change in changes {
+            println!("{change}");
+        }
         after = Some(next);
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,6 +1,5 @@
-//! A client of the administration API (`docs/admin.md`): blocking, with pages, entity tags and problems dealt
-//! with. Calls that are safe to repeat are tried again where the service asks for time (429 and 503 with
-//! `Retry-After`); others are not.
+//! A blocking client of the administration API (`docs/admin.md`), which handles pagination, entity tags and problem
+//! details. Reads are retried where the service advises when (429 and 503 with `Retry-After`); changes are not.
 //!
 //! ```no_run
 //! use sanddyke_client::{Client, Options};
@@ -18,132 +17,185 @@
 use sanddyke_tenancy::{GroupSpec, TenantSpec};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use thiserror::Error;
 use ureq::tls::{Certificate, ClientCert, PrivateKey, RootCerts, TlsConfig};
 
-/// Tries of a call that is safe to repeat.
-const TRIES: u32 = 4;
-/// The longest pause between two of them.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// A call that takes longer is given up; waiting for changes takes up to 25 s.
-const WITHIN: Duration = Duration::from_secs(40);
-/// The longest answer read (bytes).
-const LONGEST_ANSWER: u64 = 64 << 20;
+/// Maximum number of attempts of a read, and of an update whose entity tag is outdated.
+const MAX_ATTEMPTS: u32 = 4;
+/// Maximum wait between two attempts.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Time within which a call must end; waiting for changes takes up to 25 s.
+const CALL_TIMEOUT: Duration = Duration::from_secs(40);
+/// Maximum length of a response body (bytes).
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Where the service is, and who calls.
+/// Where the service is, and with which credentials it is called.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
     /// The service's address, as `https://host:port`.
     pub url: String,
     /// The bearer token.
     pub token: String,
-    /// PEM file of who signed the service's certificate.
+    /// PEM file of the authority that signed the service's certificate.
     pub ca: Option<PathBuf>,
-    /// PEM files of the caller's own certificate and key.
-    pub identity: Option<(PathBuf, PathBuf)>,
+    /// The client's own certificate.
+    pub identity: Option<Identity>,
+}
+
+/// A client certificate.
+#[derive(Debug, Clone)]
+pub struct Identity {
+    /// PEM file of the certificate.
+    pub certificate: PathBuf,
+    /// PEM file of its private key.
+    pub private_key: PathBuf,
 }
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The service refuses it: problem details (RFC 9457).
+    /// The service rejected the call, with problem details (RFC 9457).
     #[error("{title}: {detail}")]
     Problem {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The problem's code.
+        /// The problem's code: the end of its type.
         code: String,
-        /// In short.
+        /// Short description of the type.
         title: String,
-        /// In words.
+        /// Description of this occurrence.
         detail: String,
     },
-    /// The service can't be reached, or what it says can't be read.
-    #[error("{0}: {1}")]
-    Unreachable(String, String),
-    /// A file of the options can't be used.
-    #[error("{0}: {1}")]
-    File(PathBuf, String),
+    /// The service cannot be reached, or its response cannot be read.
+    #[error("{target}: {reason}")]
+    Unreachable {
+        /// URL of the call.
+        target: String,
+        /// What failed.
+        reason: String,
+    },
+    /// A file of the options cannot be read, or its contents are invalid.
+    #[error("{path}: {reason}")]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        reason: String,
+    },
 }
 
-/// An answer.
+impl Error {
+    fn file(path: &Path, reason: impl ToString) -> Error {
+        Error::File { path: path.to_owned(), reason: reason.to_string() }
+    }
+}
+
+/// The response to a successful call.
 #[derive(Debug, Clone)]
-pub struct Answer {
-    /// Its body: JSON, or text as a string.
+pub struct Response {
+    /// The body: JSON, or any other text as a string.
     pub body: Value,
     /// The entity tag, where there is one.
     pub etag: Option<String>,
 }
 
-/// A client.
+/// Changes after a generation.
+#[derive(Debug, Clone)]
+pub struct Changes {
+    /// The changes, oldest first.
+    pub changes: Vec<Value>,
+    /// The generation after which to continue.
+    pub next: u64,
+}
+
+/// The response to one attempt, whatever its status.
+struct AttemptResponse {
+    status: u16,
+    retry_after: Option<Duration>,
+    response: Response,
+}
+
+/// A client of one service.
 #[derive(Debug, Clone)]
 pub struct Client {
     agent: ureq::Agent,
     options: Options,
 }
 
-fn pem(path: &PathBuf) -> Result<Vec<u8>, Error> {
-    std::fs::read(path).map_err(|error| Error::File(path.clone(), error.to_string()))
+fn read_pem(path: &Path) -> Result<Vec<u8>, Error> {
+    std::fs::read(path).map_err(|error| Error::file(path, error))
+}
+
+fn read_certificate(path: &Path) -> Result<Certificate<'static>, Error> {
+    Certificate::from_pem(&read_pem(path)?).map_err(|error| Error::file(path, error))
+}
+
+fn read_private_key(path: &Path) -> Result<PrivateKey<'static>, Error> {
+    PrivateKey::from_pem(&read_pem(path)?).map_err(|error| Error::file(path, error))
 }
 
 impl Client {
-    /// A client; nothing is sent yet.
+    /// Creates a client; nothing is sent yet.
+    ///
+    /// # Errors
+    /// [`Error::File`] where a certificate or key cannot be read.
     pub fn new(options: Options) -> Result<Client, Error> {
         let mut tls = TlsConfig::builder();
         if let Some(path) = &options.ca {
-            let wrong = |error: ureq::Error| Error::File(path.clone(), error.to_string());
-            let root = Certificate::from_pem(&pem(path)?).map_err(wrong)?;
+            let root = read_certificate(path)?;
             tls = tls.root_certs(RootCerts::new_with_certs(&[root]));
         }
-        if let Some((certificate, key)) = &options.identity {
-            let wrong = |path: &PathBuf| {
-                let path = path.clone();
-                move |error: ureq::Error| Error::File(path, error.to_string())
-            };
-            let chain = [Certificate::from_pem(&pem(certificate)?).map_err(wrong(certificate))?];
-            let private = PrivateKey::from_pem(&pem(key)?).map_err(wrong(key))?;
-            tls = tls.client_cert(Some(ClientCert::new_with_certs(&chain, private)));
+        if let Some(identity) = &options.identity {
+            let chain = [read_certificate(&identity.certificate)?];
+            let private_key = read_private_key(&identity.private_key)?;
+            tls = tls.client_cert(Some(ClientCert::new_with_certs(&chain, private_key)));
         }
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(WITHIN))
+            .timeout_global(Some(CALL_TIMEOUT))
             .tls_config(tls.build())
             .build();
         Ok(Client { agent: config.new_agent(), options })
     }
 
-    /// Calls the API; `if_match` goes out as it is.
+    /// Calls the API with additional header fields, such as `If-Match`.
+    ///
+    /// # Errors
+    /// Fails where the service cannot be reached or rejects the call; a read is retried as the service advises.
     pub fn call(
         &self,
         method: &str,
         target: &str,
         body: &str,
         fields: &[(&str, &str)],
-    ) -> Result<Answer, Error> {
-        let mut tried = 1;
+    ) -> Result<Response, Error> {
+        let mut attempts = 1;
         loop {
-            let (status, wait, answer) = self.once(method, target, body, fields)?;
+            let AttemptResponse { status, retry_after, response } =
+                self.attempt(method, target, body, fields)?;
             if status < 300 {
-                return Ok(answer);
+                return Ok(response);
             }
-            let again = method == "GET" && matches!(status, 429 | 503) && tried < TRIES;
-            let Some(wait) = wait.filter(|_| again) else { return Err(problem(status, &answer.body)) };
-            std::thread::sleep(wait.min(LONGEST_PAUSE));
-            tried += 1;
+            let may_retry = method == "GET" && matches!(status, 429 | 503) && attempts < MAX_ATTEMPTS;
+            let Some(retry_after) = retry_after.filter(|_| may_retry) else {
+                return Err(problem(status, &response.body));
+            };
+            std::thread::sleep(retry_after.min(MAX_RETRY_AFTER));
+            attempts += 1;
         }
     }
 
-    fn once(
+    fn attempt(
         &self,
         method: &str,
         target: &str,
         body: &str,
         fields: &[(&str, &str)],
-    ) -> Result<(u16, Option<Duration>, Answer), Error> {
+    ) -> Result<AttemptResponse, Error> {
         let url = format!("{}{target}", self.options.url.trim_end_matches('/'));
-        let failed = |error: String| Error::Unreachable(url.clone(), error);
+        let failed = |reason: String| Error::Unreachable { target: url.clone(), reason };
         let mut request = ureq::http::Request::builder()
             .method(method)
             .uri(&url)
@@ -157,70 +209,75 @@
             let value = response.headers().get(name)?.to_str().ok()?;
             Some(value.to_owned())
         };
-        let (status, etag) = (response.status().as_u16(), field("ETag"));
-        let wait = field("Retry-After").and_then(|seconds| seconds.parse().ok()).map(Duration::from_secs);
-        let text = response.body_mut().with_config().limit(LONGEST_ANSWER).read_to_string();
+        let status = response.status().as_u16();
+        let etag = field("ETag");
+        let retry_after_s = field("Retry-After").and_then(|seconds| seconds.parse().ok());
+        let text = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_string();
         let text = text.map_err(|error| failed(error.to_string()))?;
         let body = serde_json::from_str(&text).unwrap_or(Value::String(text));
-        Ok((status, wait, Answer { body, etag }))
+        let retry_after = retry_after_s.map(Duration::from_secs);
+        Ok(AttemptResponse { status, retry_after, response: Response { body, etag } })
     }
 
-    /// Reads a path.
+    /// Reads a resource.
     pub fn get(&self, target: &str) -> Result<Value, Error> {
-        self.call("GET", target, "", &[]).map(|answer| answer.body)
+        self.call("GET", target, "", &[]).map(|response| response.body)
     }
 
-    /// All tenants, by pages as they are wanted; `filter` is added to the query, as `&state=active`.
+    /// All tenants, in pages that are read on demand; `filter` is appended to the query, such as `&state=active`.
     pub fn tenants(&self, filter: &str) -> Pages<'_> {
         let target = format!("/v1/tenants?limit=500{filter}");
         Pages { client: self, target, key: "tenants", cursor: Some(String::new()), rows: VecDeque::new() }
     }
 
-    /// The audit trail, the newest first; `filter` as `&tenant=NAME`.
+    /// The audit trail, newest first; `filter` is appended to the query, such as `&tenant=NAME`.
     pub fn audit(&self, filter: &str) -> Pages<'_> {
         let target = format!("/v1/audit?limit=500{filter}");
         Pages { client: self, target, key: "entries", cursor: Some(String::new()), rows: VecDeque::new() }
     }
 
-    /// Makes a tenant. With a key the call may be repeated until it is answered: one tenant is made.
+    /// Creates a tenant. With an idempotency key the call can be repeated until there is a response: one tenant is
+    /// created.
     pub fn create_tenant(&self, name: &str, spec: &TenantSpec, key: Option<&str>) -> Result<Value, Error> {
         let fields: Vec<(&str, &str)> = key.map(|key| ("Idempotency-Key", key)).into_iter().collect();
         let body = with_name(name, spec)?;
-        self.call("POST", "/v1/tenants", &body.to_string(), &fields).map(|answer| answer.body)
+        self.call("POST", "/v1/tenants", &body.to_string(), &fields).map(|response| response.body)
     }
 
-    /// Makes a group.
+    /// Creates a group.
     pub fn create_group(&self, name: &str, spec: &GroupSpec) -> Result<Value, Error> {
-        self.call("POST", "/v1/groups", &with_name(name, spec)?.to_string(), &[]).map(|answer| answer.body)
+        self.call("POST", "/v1/groups", &with_name(name, spec)?.to_string(), &[])
+            .map(|response| response.body)
     }
 
-    /// Changes a tenant or group by a merge patch worked out from what is there, and works it out anew where
-    /// another change came between.
+    /// Updates a tenant or group by a merge patch that is computed from its current state, and computed again where
+    /// another change came first.
     pub fn update(&self, target: &str, mut patch: impl FnMut(&Value) -> Value) -> Result<Value, Error> {
-        let mut tried = 1;
+        let mut attempts = 1;
         loop {
-            let seen = self.call("GET", target, "", &[])?;
-            let tag = seen.etag.unwrap_or_else(|| "*".to_owned());
-            let body = patch(&seen.body).to_string();
-            match self.call("PATCH", target, &body, &[("If-Match", &tag)]) {
-                Err(Error::Problem { status: 412, .. }) if tried < TRIES => tried += 1,
-                other => return other.map(|answer| answer.body),
+            let current = self.call("GET", target, "", &[])?;
+            let etag = current.etag.unwrap_or_else(|| "*".to_owned());
+            let body = patch(&current.body).to_string();
+            match self.call("PATCH", target, &body, &[("If-Match", &etag)]) {
+                Err(Error::Problem { status: 412, .. }) if attempts < MAX_ATTEMPTS => attempts += 1,
+                result => return result.map(|response| response.body),
             }
         }
     }
 
-    /// Changes after a generation, or of now on; waits for one. Gives them, and the generation to go on from.
-    pub fn watch(&self, after: Option<u64>, wait: Duration) -> Result<(Vec<Value>, u64), Error> {
+    /// Waits for changes after a generation, or from now on, for up to `wait`.
+    pub fn watch(&self, after: Option<u64>, wait: Duration) -> Result<Changes, Error> {
         let after = after.map_or(String::new(), |after| format!("&after={after}"));
-        let told = self.get(&format!("/v1/watch?wait_ms={}{after}", wait.as_millis()))?;
-        let changes = told["changes"].as_array().cloned().unwrap_or_default();
-        Ok((changes, told["next"].as_u64().unwrap_or(0)))
+        let body = self.get(&format!("/v1/watch?wait_ms={}{after}", wait.as_millis()))?;
+        let changes = body["changes"].as_array().cloned().unwrap_or_default();
+        Ok(Changes { changes, next: body["next"].as_u64().unwrap_or(0) })
     }
 }
 
 fn with_name<T: serde::Serialize>(name: &str, spec: &T) -> Result<Value, Error> {
     let value = serde_json::to_value(spec);
-    let mut value = value.map_err(|error| Error::Unreachable(name.to_owned(), error.to_string()))?;
+    let mut value =
+        value.map_err(|error| Error::Unreachable { target: name.to_owned(), reason: error.to_string() })?;
     value["name"] = json!(name);
     Ok(value)
 }
@@ -232,7 +289,7 @@
     Error::Problem { status, code, title: text("title"), detail }
 }
 
-/// Rows of a list, page after page.
+/// Rows of a list, which is read page by page.
 #[derive(Debug)]
 pub struct Pages<'a> {
     client: &'a Client,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -10,7 +10,7 @@
 use crate::profile::{client, read_file};
 use crate::table;
 use clap::CommandFactory;
-use sanddyke_client::Client;
+use sanddyke_client::{Changes, Client};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::Path;
@@ -82,7 +82,7 @@
 fn watch(client: &Client, mut after: Option<u64>, count: Option<usize>) -> Result<(), CommandError> {
     let mut printed = 0;
     while count.is_none_or(|count| printed < count) {
-        let (changes, next) = client.watch(after, WATCH_TIMEOUT)?;
+        let Changes { changes, next } = client.watch(after, WATCH_TIMEOUT)?;
         after = Some(next);
         for change in changes {
             printed += 1;
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -31,8 +31,8 @@
         match self {
             CommandError::Output(_) => 1,
             CommandError::Usage(_) => 2,
-            CommandError::File { .. } | CommandError::Call(Error::File(..)) => 3,
-            CommandError::Call(Error::Unreachable(..)) => 4,
+            CommandError::File { .. } | CommandError::Call(Error::File { .. }) => 3,
+            CommandError::Call(Error::Unreachable { .. }) => 4,
             CommandError::Call(Error::Problem { status, .. }) => match status {
                 401 | 403 => 5,
                 404 | 410 => 6,
--- a/crates/ctl/src/profile.rs
+++ b/crates/ctl/src/profile.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::Arguments;
 use crate::error::CommandError;
-use sanddyke_client::{Client, Options};
+use sanddyke_client::{Client, Identity, Options};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -53,6 +53,7 @@
         }
     };
     let identity = profile.certificate.zip(profile.private_key);
+    let identity = identity.map(|(certificate, private_key)| Identity { certificate, private_key });
     Ok(Client::new(Options { url, token, ca: profile.ca, identity })?)
 }
 
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -589,7 +589,10 @@
             url: format!("https://{}", program.admin),
             token: TOKEN.to_owned(),
             ca: Some(file("server-ca.pem")),
-            identity: identity.then(|| (file("me.pem"), file("me-key.pem"))),
+            identity: identity.then(|| sanddyke_client::Identity {
+                certificate: file("me.pem"),
+                private_key: file("me-key.pem"),
+            }),
         })
         .unwrap()
     };
