--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,41 +1,44 @@
-//! Experiments as TOML files: engines, classes, tenants with their traffic, and steps on the way.
+//! Experiments as TOML files: engines, query classes, tenants with their load, and steps at given times.
 
 use crate::TestbedError;
 use crate::name_server::EndpointState;
 use serde::Deserialize;
 use std::path::Path;
 
+/// Maximum load of an experiment (requests per second).
+const MAX_REQUESTS_PER_S: f64 = 5000.0;
+
 /// An experiment.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it is to show.
+    /// Title of the report.
     pub title: String,
-    /// Seed of all traffic.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long requests come (s).
+    /// Time for which requests are sent (s).
     pub seconds: f64,
-    /// From when on results count (s): what comes before fills the queues.
+    /// Start of the measured time (s); before it the queues fill.
     #[serde(default)]
     pub from_s: f64,
     /// The engines.
     pub engines: Engines,
-    /// Classes of requests.
+    /// Query classes.
     pub classes: Vec<Class>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
-    /// What is done over the administration API meanwhile.
+    /// Calls of the administration API and changes of engines meanwhile.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// Points by which a tenant's part of all service may lie off its share; beyond it the experiment fails.
+    /// Maximum difference between a tenant's fraction of the service and its quota (percentage points), if bounded.
     pub within_points: Option<f64>,
 }
 
-/// Engines, all alike.
+/// The engines, which are all equal.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
-    /// How many.
+    /// Number of engines.
     pub count: usize,
     /// Cores of each.
     pub cores: f64,
@@ -49,14 +52,14 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Latency aimed at (ms).
+    /// Latency objective (ms).
     pub target_ms: f64,
-    /// How long clients wait (ms).
+    /// Deadline of a request (ms).
     pub deadline_ms: f64,
     /// `repeatable` or `by_key`.
     #[serde(default = "repeatable")]
     pub idempotency: String,
-    /// Mean work of a request (ms of one thread); it is exponential, up to five times that.
+    /// Mean work of a request, as single-thread time (ms); it is exponentially distributed, up to five times the mean.
     pub work_ms: f64,
     /// Threads of a request.
     #[serde(default = "one")]
@@ -64,29 +67,29 @@
     /// Memory of a request (MB).
     #[serde(default)]
     pub memory_mb: f64,
-    /// Worth of a request.
+    /// Priority weight of a request.
     #[serde(default = "one")]
     pub worth: f64,
 }
 
-/// A tenant and its traffic.
+/// A tenant and its load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// How many tenants alike there are; they are numbered where there are several.
-    #[serde(default = "many")]
+    /// Number of equal tenants; where there are several, their names are numbered.
+    #[serde(default = "one_tenant")]
     pub count: usize,
     /// Its weight.
     pub weight: f64,
-    /// Its group, which is made with weight 1 where it is not there.
+    /// Its group, which is created with weight 1.
     pub group: Option<String>,
-    /// Work that it asks for, as a part of what the engines can do.
+    /// Work of its requests, as a fraction of the capacity of the engines.
     pub load: f64,
-    /// Of its requests, how many are of each class.
+    /// Relative frequency of each class among its requests.
     pub mix: std::collections::BTreeMap<String, f64>,
-    /// When it asks for more or less: from, to (s) and the factor.
+    /// Times of more or less load.
     #[serde(default)]
     pub bursts: Vec<Burst>,
     /// Maximum number of attempts of a request that is rejected.
@@ -97,34 +100,34 @@
     pub patient: bool,
 }
 
-/// A time of more or less traffic.
+/// A time of more or less load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// From (s).
+    /// Start (s).
     pub from_s: f64,
-    /// Until (s).
+    /// End (s).
     pub to_s: f64,
-    /// How much more.
+    /// Factor of the load.
     pub factor: f64,
 }
 
-/// Something that is done on the way: a call of the administration API, or a change of an engine.
+/// A call of the administration API, or a change of an engine, at a given time.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When (s).
+    /// Time (s since the start).
     pub at_s: f64,
-    /// A call's method.
+    /// HTTP method of the call.
     #[serde(default)]
     pub method: String,
-    /// Its target.
+    /// HTTP target of the call.
     #[serde(default)]
     pub target: String,
-    /// Its body.
+    /// Body of the call.
     #[serde(default)]
     pub body: String,
-    /// A change of an engine; there is no call then.
+    /// The change of an engine, which replaces the call.
     pub engine: Option<EngineChange>,
 }
 
@@ -149,7 +152,7 @@
     1.0
 }
 
-fn many() -> usize {
+fn one_tenant() -> usize {
     1
 }
 
@@ -162,7 +165,10 @@
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads and checks an experiment.
+    ///
+    /// # Errors
+    /// [`TestbedError::Experiment`] where the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
         let invalid = |reason: String| TestbedError::Experiment { path: path.to_owned(), reason };
         let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
@@ -184,19 +190,19 @@
                 return Err(format!("tenant {}: mix must name classes", tenant.name));
             }
         }
-        // Loads of the rig are bounded in count as well as in time.
-        match self.requests_per_s() <= 5000.0 {
+        // The testbed bounds its load in number as well as in time.
+        match self.requests_per_s() <= MAX_REQUESTS_PER_S {
             true => Ok(()),
             false => Err(format!("{:.0} requests a second are too many", self.requests_per_s())),
         }
     }
 
-    /// Work that all engines can do in a second (ms of one thread).
+    /// Work that all engines can do in a second, as single-thread time (ms).
     pub fn capacity(&self) -> f64 {
         self.engines.count as f64 * self.engines.cores * 1000.0
     }
 
-    /// Requests a second of one tenant of a row, without its bursts.
+    /// Requests per second of one such tenant outside of its bursts.
     pub fn rate(&self, tenant: &Tenant) -> f64 {
         let parts: f64 = tenant.mix.values().sum();
         let work = |name: &String| {
@@ -212,7 +218,7 @@
         self.tenants.iter().map(|tenant| tenant.count as f64 * self.rate(tenant) * most(tenant)).sum()
     }
 
-    /// The tenants by name, each with its row.
+    /// All tenants with their names.
     pub fn named(&self) -> Vec<(String, &Tenant)> {
         let rows = self.tenants.iter().flat_map(|row| (0..row.count).map(move |number| (number, row)));
         rows.map(|(number, row)| match row.count {
@@ -222,7 +228,7 @@
         .collect()
     }
 
-    /// The share of each tenant that weights and groups give it.
+    /// The quota of each tenant by weights and groups, as a fraction of all service.
     pub fn shares(&self) -> Vec<f64> {
         let named = self.named();
         let groups: std::collections::BTreeSet<&String> =
