--- a/src/discovery/dns.rs
+++ b/src/discovery/dns.rs
@@ -1,5 +1,5 @@
-//! DNS messages (RFC 1035) as far as the name service uses them: a query with one question, and responses with SRV
-//! (RFC 2782), A, TXT and SOA records, whose names may be compressed.
+//! The part of DNS (RFC 1035) that the name service uses: queries with one question, and responses with SRV (RFC 2782),
+//! A, TXT and SOA records. Names in responses may be compressed.
 
 use super::DiscoveryError;
 use std::collections::HashMap;
@@ -9,22 +9,22 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
-/// Types of records.
+/// Record types.
 const SRV: u16 = 33;
 const A: u16 = 1;
 const TXT: u16 = 16;
 const SOA: u16 = 6;
 /// The Internet class.
 const INTERNET: u16 = 1;
-/// Flags of a header: a response, cut short, and the bits of its code.
+/// Header flags: the message is a response; it is truncated; the bits of the response code.
 const FLAG_RESPONSE: u16 = 0x8000;
 const FLAG_TRUNCATED: u16 = 0x0200;
 const CODE_MASK: u16 = 0x000f;
-/// A query that wants recursion, with one question and no records.
+/// Header of a query after its id: recursion desired, one question, no records.
 const QUERY_FLAGS_AND_COUNTS: [u8; 10] = [0x01, 0x00, 0, 1, 0, 0, 0, 0, 0, 0];
-/// The longest label of a name.
+/// Length limit of a label (RFC 1035, section 2.3.4).
 const MAX_LABEL_BYTES: usize = 63;
-/// The longest name, and the most compression pointers followed in one: names can be made to point in circles.
+/// Limits of a name's length and of the compression pointers followed in one name. Pointers can form a cycle.
 const MAX_NAME_BYTES: usize = 255;
 const MAX_POINTERS: usize = 32;
 
@@ -33,30 +33,30 @@
 /// An SRV record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its priority; 0 for an engine that accepts requests.
+    /// 0 for a ready engine; any other value says that the engine is draining.
     pub priority: u16,
-    /// Its weight.
+    /// Ten times the engine's relative size.
     pub weight: u16,
-    /// Its port.
+    /// TCP port on which the engine listens.
     pub port: u16,
-    /// The name of the target, under which it has an A and TXT records.
+    /// Name of the target, which owns the engine's A and TXT records.
     pub target: String,
 }
 
 /// The records of a response.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The serial of the SOA record.
+    /// Serial of the SOA record; `None` without that record.
     pub serial: Option<u32>,
-    /// The SRV records.
+    /// All SRV records, in the order of the message.
     pub services: Vec<Service>,
-    /// The addresses of A records, by their owner's name.
+    /// Addresses of the A records by owner name.
     pub addresses: HashMap<String, [u8; 4]>,
-    /// The strings of TXT records, by their owner's name.
+    /// Strings of the TXT records by owner name.
     pub texts: HashMap<String, Vec<String>>,
 }
 
-/// A query for the SRV records of a name.
+/// Builds a query for the SRV records of a name.
 pub fn query(id: u16, name: &str) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
     bytes.extend(id.to_be_bytes());
@@ -72,7 +72,7 @@
     bytes
 }
 
-/// A part of a name.
+/// One element of an encoded name. `Pointer` is an offset in the message at which the name continues.
 enum Label<'a> {
     End,
     Text(&'a [u8]),
@@ -89,7 +89,7 @@
     }
 }
 
-/// Parses a name, which may continue elsewhere in the message; lower case, without the last dot.
+/// Parses a name, which may continue at another offset of the message. Returns it in lower case, without the final dot.
 fn name(message: &[u8], input: &mut &[u8]) -> Parsed<String> {
     let mut text = String::new();
     let mut elsewhere: Option<&[u8]> = None;
@@ -121,7 +121,7 @@
 struct Header {
     flags: u16,
     questions: u16,
-    /// Records of all sections.
+    /// Number of records in all sections together.
     records: u32,
 }
 
@@ -132,7 +132,7 @@
     Ok(Header { flags, questions, records })
 }
 
-/// Parses one record into the response; records of other types are skipped.
+/// Parses one record into the response. Records of unknown types and classes are skipped.
 fn record(message: &[u8], input: &mut &[u8], response: &mut Response) -> Parsed<()> {
     let owner = name(message, input)?;
     let (kind, class, _ttl) = (be_u16, be_u16, be_u32).parse_next(input)?;
@@ -168,7 +168,7 @@
 /// Parses a response.
 ///
 /// # Errors
-/// It is no complete DNS response, is cut short, or has an error code.
+/// Fails if the message is not a complete DNS response, is truncated, or has an error code.
 pub fn parse(message: &[u8]) -> Result<Response, DiscoveryError> {
     let mut input = message;
     let header = header(&mut input).map_err(|_| DiscoveryError::Unreadable)?;
--- a/src/discovery/dns/tests.rs
+++ b/src/discovery/dns/tests.rs
@@ -1,8 +1,8 @@
-//! The parser on a complete response, cut at each byte, and with pointers in circles.
+//! Parsing of a complete response, of one cut off at each byte, and of one with a cycle of compression pointers.
 
 use super::*;
 
-/// A response with one engine, its names compressed.
+/// A response with one engine and compressed names.
 fn sample() -> Vec<u8> {
     let mut bytes = query(7, "_api._tcp.svc.local");
     bytes[2] = 0x84;
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The endpoint list as the name service last reported it.
+//! The endpoint list of the engines, with the serial of the last response that changed it.
 
 use crate::core::Engine;
 use crate::decision::EngineState;
 use std::collections::BTreeMap;
 
-/// The engines that exist, and the serial number of the list.
+/// The listed engines by name, and the serial of the list.
 #[derive(Debug, Clone, Default)]
 pub struct EngineList {
     serial: u32,
@@ -12,7 +12,8 @@
 }
 
 impl EngineList {
-    /// Applies an event of the configuration. A complete list replaces all engines before it.
+    /// Applies a list from the configuration. A complete list replaces all engines; another one updates those that it
+    /// names.
     pub fn apply_initial(&mut self, serial: u32, complete: bool, engines: Vec<Engine>) {
         self.serial = serial;
         if complete {
@@ -26,13 +27,13 @@
         }
     }
 
-    /// All engines that are not removed.
+    /// Returns all engines of the list. Removed engines are not in it.
     pub fn engines(&self) -> Vec<Engine> {
         self.engines.values().cloned().collect()
     }
 
-    /// Replaces the list by a later one and returns the engines that have changed, removed ones first. An older list
-    /// that arrives late changes nothing.
+    /// Replaces the list by one with a higher serial, and returns the changed engines, removed ones first. A list whose
+    /// serial is not higher is ignored: it arrived late.
     pub fn update(&mut self, serial: u32, engines: Vec<Engine>) -> Vec<Engine> {
         if serial <= self.serial {
             return Vec::new();
@@ -49,7 +50,7 @@
         changed
     }
 
-    /// Replaces the list by another one where that is later; returns the engines that have changed.
+    /// Like [`EngineList::update`], with the serial and engines of another list.
     pub fn update_from(&mut self, other: &EngineList) -> Vec<Engine> {
         self.update(other.serial, other.engines())
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Discovery of the engines: the list in the configuration at the start, then the name service, polled over DNS.
+//! Discovery of the engines: starts with the list in the configuration, then polls the name service over DNS.
 //!
-//! Each query is for the SRV records of the configured service. A response lists all engines: the target's labels are
-//! the engine's name and zone, its A record the address, its TXT records kind, cell and start time, and the SOA serial
-//! numbers the list. Only changes go to the core.
+//! Each query requests the SRV records of the configured service. A response lists all engines. The first two labels of
+//! an SRV target are the engine's name and zone, its A record is the address, and its TXT records hold kind, cell and
+//! start time. The SOA serial is the version of the list. The core receives only the engines that changed.
 
 pub mod dns;
 mod endpoint_list;
@@ -22,64 +22,65 @@
 use tokio::time::Instant;
 
 /// Time between two queries. An event counts as announced 1.5 s after it happened at the latest, and a draining engine
-/// may be sent work for 0.5 s more: even two lost responses must not take that long.
+/// may receive work for 0.5 s more. Two lost responses in a row must fit into that time.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest response, with some bytes to spare.
+/// Upper limit of a response. It is above the longest response that the name service sends.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024;
-/// After this many failures in a row the queries go out from another socket: on the way of one socket responses may be
-/// lost for good, and an event must be known 1.5 s after it happened.
+/// After this many consecutive failures the queries are sent from a new socket. All responses to one socket may be lost
+/// on the network path, and an event must be known 1.5 s after it happened.
 const FAILURES_BEFORE_NEW_SOCKET: u32 = 3;
-/// A failure is logged again after this many in a row.
+/// Of consecutive failures, the first of each group of this many is logged as a warning, the others at debug level.
 const FAILURES_PER_WARNING: u32 = 25;
-/// SRV weights are ten times the engine's relative size.
+/// SRV weight of an engine of relative size 1.
 const SRV_WEIGHT_UNIT: f64 = 10.0;
 
 /// Why a response of the name service could not be used.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// Not a response, or not DNS.
-    #[error("an answer that can't be read")]
+    /// The message is not DNS, or is not a response.
+    #[error("response is not a valid DNS response")]
     Unreadable,
-    /// Cut short: it does not list all engines.
-    #[error("an answer that is cut short")]
+    /// The truncation flag is set, so the response does not list all engines.
+    #[error("response is truncated")]
     Truncated,
-    /// The name service answered with an error code (RFC 1035, section 4.1.1).
-    #[error("the name service answered with code {0}")]
+    /// The response has an error code (RFC 1035, section 4.1.1).
+    #[error("response has error code {0}")]
     Code(u8),
-    /// A record that an engine needs is missing.
-    #[error("an engine without its {0}")]
+    /// A record or label that the list or an engine needs is missing; the value says which.
+    #[error("response has no {0}")]
     Missing(&'static str),
 }
 
-/// Why a query has brought no list.
+/// Why a query returned no list.
 #[derive(Debug, Error)]
 enum QueryError {
     #[error("{0}")]
     Socket(#[from] std::io::Error),
-    #[error("no answer")]
+    #[error("no response within {} ms", POLL_INTERVAL.as_millis())]
     NoResponse,
     #[error("{0}")]
     Discovery(#[from] DiscoveryError),
 }
 
-/// What to discover, by the configuration.
+/// What the configuration says about discovery. A reload replaces it.
 #[derive(Debug)]
 pub struct DiscoveryTarget {
-    /// The name service; without one, the configured list stays.
+    /// Address of the name service. Without one, the configured list is used and never polled.
     pub resolver: Option<SocketAddr>,
-    /// The name to query.
+    /// DNS name whose SRV records are queried.
     pub service: String,
-    /// The list as the configuration has it.
+    /// The list in the configuration.
     pub listed: EngineList,
 }
 
-/// A complete list as the name service reported it.
+/// The complete list of one response.
 struct ListedEngines {
     serial: u32,
     engines: Vec<Engine>,
 }
 
-/// Polls the name service until the service ends. A changed target takes effect at once; the list and its serial go on.
+/// Polls the name service until this program's service ends. A changed target takes effect at once. The current list
+/// and its serial are kept then.
 pub async fn run(
     mut target: watch::Receiver<DiscoveryTarget>,
     handle: ServiceHandle,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Notifies the core of the engines that have changed.
+/// Notifies the core of changed engines.
 async fn notify(handle: &ServiceHandle, changed: Vec<Engine>) -> Result<(), ServiceEnded> {
     if changed.is_empty() {
         return Ok(());
@@ -127,7 +128,7 @@
 }
 
 impl Poller<'_> {
-    /// Polls again and again; returns only once the service has ended.
+    /// Polls at [`POLL_INTERVAL`]. Returns only once this program's service has ended.
     async fn poll(&mut self, resolver: Option<SocketAddr>) -> ServiceEnded {
         let Some(resolver) = resolver else { return std::future::pending().await };
         let mut buffer = vec![0; MAX_RESPONSE_BYTES];
@@ -171,36 +172,36 @@
     }
 }
 
-/// Queries in a row that have failed.
+/// Number of consecutive queries that failed.
 #[derive(Default)]
 struct Failures(u32);
 
 impl Failures {
     fn reset(&mut self) {
         if self.0 >= FAILURES_PER_WARNING {
-            log::info!("name service: answers again");
+            log::info!(count = self.0; "name service: responds again after failed queries");
         }
         self.0 = 0;
     }
 
-    /// Counts and logs a failure; true where the next query needs another socket.
+    /// Counts and logs a failure. Returns true if the next query has to use a new socket.
     fn count(&mut self, error: &QueryError) -> bool {
         self.0 += 1;
         match self.0 % FAILURES_PER_WARNING {
-            1 => log::warn!("name service: {error}"),
-            _ => log::debug!("name service: {error}"),
+            1 => log::warn!(error:%, count = self.0; "name service: query failed"),
+            _ => log::debug!(error:%, count = self.0; "name service: query failed"),
         }
         self.0.is_multiple_of(FAILURES_BEFORE_NEW_SOCKET)
     }
 }
 
-/// The engines of a response.
+/// Returns the engines that a response lists, and the serial of the list.
 fn listed_engines(response: &dns::Response, clock: &Clock) -> Result<ListedEngines, DiscoveryError> {
     let mut engines = Vec::with_capacity(response.services.len());
     for service in &response.services {
         engines.push(listed_engine(service, response, clock)?);
     }
-    let serial = response.serial.ok_or(DiscoveryError::Missing("serial"))?;
+    let serial = response.serial.ok_or(DiscoveryError::Missing("SOA record with the serial of the list"))?;
     Ok(ListedEngines { serial, engines })
 }
 
@@ -210,9 +211,15 @@
     clock: &Clock,
 ) -> Result<Engine, DiscoveryError> {
     let mut labels = service.target.split('.');
-    let name = labels.next().filter(|name| !name.is_empty()).ok_or(DiscoveryError::Missing("name"))?;
-    let zone = labels.next().ok_or(DiscoveryError::Missing("zone"))?;
-    let address = response.addresses.get(&service.target).ok_or(DiscoveryError::Missing("address"))?;
+    let name = labels
+        .next()
+        .filter(|name| !name.is_empty())
+        .ok_or(DiscoveryError::Missing("engine name in an SRV target"))?;
+    let zone = labels.next().ok_or(DiscoveryError::Missing("zone in an SRV target"))?;
+    let address = response
+        .addresses
+        .get(&service.target)
+        .ok_or(DiscoveryError::Missing("A record for an SRV target"))?;
     let texts = response.texts.get(&service.target).map_or(&[][..], Vec::as_slice);
     let text = |key: &str| texts.iter().find_map(|text| text.strip_prefix(key)?.strip_prefix('='));
     let started_unix_ms: i64 = text("started").and_then(|value| value.parse().ok()).unwrap_or(0);
--- a/src/discovery/queries.rs
+++ b/src/discovery/queries.rs
@@ -6,10 +6,10 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-/// Queries whose responses are still accepted.
+/// Number of queries whose responses are still accepted.
 const MAX_OPEN_QUERIES: usize = 8;
 
-/// A socket, and the queries that are open on it: a response that arrives late is as good.
+/// A socket, and the ids of the open queries sent from it, oldest first. Late responses to them are accepted as well.
 #[derive(Debug)]
 pub(super) struct Queries {
     socket: UdpSocket,
@@ -27,7 +27,7 @@
         Ok(Queries { socket, open: VecDeque::new() })
     }
 
-    /// The socket's own address.
+    /// Returns the local address of the socket.
     #[cfg(test)]
     pub(super) fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
@@ -42,8 +42,8 @@
         Ok(())
     }
 
-    /// The response to the last query, within a deadline, or else the latest that came to one before it. Packets that
-    /// respond to no open query are ignored.
+    /// Waits for the response to the last query until the deadline. At the deadline, returns the last received response
+    /// to an earlier query, if there is one. Packets that respond to no open query are ignored.
     pub(super) async fn response(
         &mut self,
         buffer: &mut [u8],
@@ -57,7 +57,7 @@
             let Some(index) = self.open.iter().position(|id| message.starts_with(&id.to_be_bytes())) else {
                 continue;
             };
-            // Those sent before it are of no more use.
+            // Responses to queries sent before this one would be older: they are no longer accepted.
             self.open.drain(..=index);
             let response = dns::parse(message).map_err(|error: DiscoveryError| QueryError::from(error));
             latest = response.or(latest);
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The endpoint list at its edges, and queries to an emulated name service.
+//! Updates of the endpoint list, and queries to an emulated name service.
 
 use super::*;
 use tokio::net::UdpSocket;
@@ -26,13 +26,13 @@
     assert_eq!((removed.len(), removed[0].state), (1, EngineState::Removed));
 }
 
-/// A response with nothing but its serial.
+/// A response that has only an SOA record.
 fn serial(id: u16, serial: u8) -> Vec<u8> {
     let head = [&id.to_be_bytes()[..], &[0x84, 0, 0, 0, 0, 0, 0, 1, 0, 0]].concat();
     [&head[..], &[0, 0, 6, 0, 1, 0, 0, 0, 0, 0, 22, 0, 0, 0, 0, 0, serial], &[0; 16]].concat()
 }
 
-/// Guards against staying one response behind for ever after one has come late.
+/// Guards against reading, after one late response, each response one query too late from then on.
 #[tokio::test]
 async fn a_late_response_counts_and_delays_none_after_it() {
     let service = UdpSocket::bind("127.0.0.1:0").await.unwrap();
--- a/src/upstream/closing.rs
+++ b/src/upstream/closing.rs
@@ -1,5 +1,6 @@
-//! The end of a connection to an engine. What was completely written to an engine is in flight there until the engine has dropped it:
-//! it does so with a connection that it closed itself, or of which it has read the close.
+//! The end of a connection to an engine. An attempt that was completely written is in flight until the engine discards
+//! it. An engine discards the attempts of a connection when it closes the connection itself, and when it reads the
+//! close of the manager.
 
 use super::EndpointContext;
 use crate::core::{AttemptId, ConnectionEnd};
@@ -9,19 +10,19 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// How long a closed connection waits for the engine's close; longer than engines hang.
+/// Time to wait for the engine's close after the manager's. Engines hang for less than this.
 const CLOSE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
-/// Buffer for what an engine still sends on a closed connection, which is dropped.
+/// Size of the buffer for what an engine still sends after the manager's close. Its content is dropped.
 const DROPPED_BYTES: usize = 4096;
 
-/// Whether an engine has dropped the attempts of a connection that ended.
+/// Whether an engine has discarded the attempts of a connection that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Dropped {
-    /// It has.
+    /// The engine has discarded them.
     Yes,
-    /// It does once it has read the close.
+    /// The engine discards them once it has read the manager's close.
     WithTheClose,
-    /// Nothing will tell.
+    /// The connection can no longer show whether the engine has discarded them.
     Unknown,
 }
 
@@ -35,11 +36,11 @@
     }
 }
 
-/// Reports attempts that were completely written to a connection that ended: they are possibly executed, and over once
-/// the engine has dropped them.
+/// Reports the attempts that were completely written to a connection that ended. They are possibly executed. Each has
+/// ended once the engine has discarded it, and is lost until then.
 ///
 /// # Errors
-/// The service has ended.
+/// Fails if the service has ended.
 pub async fn report_written(
     context: &EndpointContext,
     written: Vec<AttemptId>,
@@ -61,7 +62,10 @@
     }
     if dropped != Dropped::Yes {
         let count = written.len();
-        log::warn!(count, reason:? = end; "an engine has not shown that it dropped attempts of a connection");
+        log::warn!(
+            engine = context.engine, count, reason:? = end;
+            "engine did not confirm the close of a connection: its attempts stay in flight"
+        );
         return Ok(());
     }
     for attempt in written {
@@ -70,7 +74,7 @@
     Ok(())
 }
 
-/// Closes a connection and waits until the engine has closed it too: it has read the close by then.
+/// Closes a connection and waits for the engine's close, which shows that the engine has read it.
 async fn close(mut reader: impl AsyncRead + Unpin, mut writer: impl AsyncWrite + Unpin) -> Dropped {
     if let Err(error) = writer.shutdown().await {
         return read_error(&error);
@@ -92,7 +96,7 @@
     }
 }
 
-/// Only a reset comes from the engine's side.
+/// A reset comes from the engine, which has discarded the attempts then. Other errors don't come from the engine.
 fn read_error(error: &io::Error) -> Dropped {
     match error.kind() {
         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Dropped::Yes,
--- a/src/upstream/line_protocol/carried_requests.rs
+++ b/src/upstream/line_protocol/carried_requests.rs
@@ -1,15 +1,15 @@
-//! The requests that a connection has carried of late. A retry has the id of the attempt before it: on the same
-//! connection, what the engine still sends of that one would be taken for the retry's.
+//! The client request ids that a connection has recently carried. A retry has the client request id of the attempt
+//! before it. On the same connection, late responses to that attempt would be taken for responses to the retry.
 
 use crate::clock::Micros;
 use std::collections::{HashSet, VecDeque};
 
-/// An engine's late answer comes within this time of the attempt.
+/// Time after the start of an attempt within which late responses to it arrive.
 const RETENTION: Micros = Micros(30_000_000);
-/// The most requests that are remembered.
+/// Number of client request ids that are stored. The oldest one is evicted for a new one.
 const MAX_REQUESTS: usize = 1024;
 
-/// The requests that a connection has carried of late.
+/// The client request ids that a connection has carried within [`RETENTION`].
 #[derive(Debug, Default)]
 pub(super) struct CarriedRequests {
     names: HashSet<String>,
@@ -17,7 +17,7 @@
 }
 
 impl CarriedRequests {
-    /// The connection carries a request from now on.
+    /// Records that the connection carries a request from now on.
     pub(super) fn insert(&mut self, now: Micros, name: &str) {
         self.forget_old(now);
         if self.names.insert(name.to_owned()) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether it has carried a request of this name.
+    /// Returns whether the connection has recently carried a request with this client request id.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
--- a/src/upstream/line_protocol/carried_requests/tests.rs
+++ b/src/upstream/line_protocol/carried_requests/tests.rs
@@ -1,4 +1,4 @@
-//! What is remembered, and for how long.
+//! Expiry by age, and the limit of stored client request ids.
 
 use super::*;
 
--- a/src/upstream/line_protocol/connection/commands.rs
+++ b/src/upstream/line_protocol/connection/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of the engine's task: begins and cancels attempts, sends health checks.
+//! Applies the commands of the engine's task: starts and cancels attempts, changes priorities, sends health checks.
 
 use super::in_flight::InFlight;
 use super::output::{QueuedRequest, Withdrawn};
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 impl Connection {
-    /// Carries out a command and all that wait behind it.
+    /// Applies a command and all that are queued behind it.
     pub(super) fn commands(
         &mut self,
         first: EndpointCommand,
@@ -36,14 +36,14 @@
             EndpointCommand::Cancel { attempt, confirm } => self.cancel(attempt, confirm)?,
             EndpointCommand::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
             EndpointCommand::HealthCheck => self.send_health_check(now),
-            // The engine's task opens connections to the new address.
+            // The engine's task applies it: new connections are opened to the new address.
             EndpointCommand::Address(_) => {}
         }
         Ok(())
     }
 
-    /// Begins to write the next request once all before it is written; one that was cancelled meanwhile is never
-    /// written.
+    /// Moves the next queued request to the buffer once the buffer is empty. A request whose permit no longer allows it
+    /// to be sent, for example since it was cancelled meanwhile, is never written.
     pub(super) fn begin_requests(&mut self) {
         while self.output.buffer.is_empty()
             && let Some(QueuedRequest { attempt, call }) = self.output.queued.pop_front()
@@ -71,13 +71,13 @@
         self.in_flight.insert(name, InFlight::new(attempt, now, self.context.collect()));
     }
 
-    /// Nothing, or not all, of an attempt was written: it never ran.
+    /// Records that an attempt was never completely written, so it was never executed.
     fn give_back(&mut self, attempt: AttemptId) {
         self.release();
         self.never_written.push(attempt);
     }
 
-    /// Cancels an attempt. One that is partly written ends the connection.
+    /// Cancels an attempt. If it is partly written, the connection has to end.
     fn cancel(&mut self, attempt: AttemptId, confirm: bool) -> Result<(), Stop> {
         match self.output.withdraw(attempt) {
             Withdrawn::Queued => self.give_back(attempt),
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Stops a request that was written. The end of its attempt is reported once the engine shows that it has read the
-    /// stop.
+    /// Sends `STOP` for a written request. The end of its attempt is reported once a response shows that the engine has
+    /// read the `STOP`.
     pub(super) fn stop_request(&mut self, request: &str, end: ConnectionEnd) -> Option<InFlight> {
         let in_flight = self.remove_in_flight(request)?;
         self.output.push(format_args!("STOP {request}\r\n"));
@@ -113,7 +113,7 @@
         Some(in_flight)
     }
 
-    /// Has the engine show soon that it has read all stops, not only with the next health check.
+    /// Has the engine confirm at once that it has read all `STOP`s, not only with the next health check.
     pub(super) fn confirm_stops(&mut self) {
         if let Some(tag) = self.stopping.confirm() {
             self.output.push(format_args!("HELO {tag}\r\n"));
--- a/src/upstream/line_protocol/connection/in_flight.rs
+++ b/src/upstream/line_protocol/connection/in_flight.rs
@@ -1,4 +1,4 @@
-//! An attempt that the engine has, and the pages of its result so far.
+//! An attempt in flight on a connection, and the pages of its result received so far.
 
 use crate::clock::Micros;
 use crate::core::AttemptId;
@@ -8,33 +8,33 @@
 use crate::upstream::line_protocol::parse::{self, ParseError, Response, ResponseKind};
 use bytes::Bytes;
 
-/// An attempt in flight. No row goes to the client before all pages are here, so that an engine that dies between
-/// pages costs an attempt and not the answer.
+/// An attempt in flight. No row is sent to the client before all pages are received, so that an engine that fails
+/// between two pages fails the attempt and not the request.
 pub(super) struct InFlight {
     pub(super) attempt: AttemptId,
-    /// When its first byte was handed to the output.
+    /// Time at which the request was added to the output buffer.
     pub(super) began_at: Micros,
-    /// When the engine last mentioned it; engines that report progress do so until the answer.
+    /// Time of the engine's last response about it. Engines that report progress send notes until the answer.
     pub(super) last_mention: Micros,
     pub(super) usage: Option<Usage>,
     pub(super) report: Option<LoadReport>,
-    /// Its bytes as they count in all that is being collected.
+    /// Counts the buffered bytes of the pages.
     budget: ResultBudget,
     pages: Vec<Option<Bytes>>,
 }
 
-/// What became of a page.
+/// How a received page was handled.
 pub(super) enum PageOutcome {
-    /// It is kept; other pages are missing.
+    /// It is stored. Other pages may be missing.
     Kept {
-        /// Whether it is the first, which says how many there are.
+        /// Whether it is the first page, which says how many pages there are.
         first: bool,
     },
-    /// It was there already.
+    /// A page of this number was received before.
     Duplicate,
-    /// Nobody asked for a page of this number.
+    /// The result has no page of this number.
     Unexpected,
-    /// The result is longer than may be collected.
+    /// The result exceeds the limit of one result or of all buffered results.
     OverBudget,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Keeps one page of the result.
+    /// Stores one page of the result.
     pub(super) fn add_page(&mut self, response: &Response, max_collected_bytes: usize) -> PageOutcome {
         let first = response.kind == ResponseKind::Ok && self.pages.is_empty();
         if first {
@@ -65,7 +65,7 @@
         if slot.is_some() {
             return PageOutcome::Duplicate;
         }
-        // A copy of its own: a slice of the received buffer would keep all of that.
+        // A slice of the receive buffer would keep that whole buffer allocated.
         *slot = Some(Bytes::copy_from_slice(&response.body));
         match self.budget.add(response.body.len(), max_collected_bytes) {
             true => PageOutcome::Kept { first },
@@ -81,7 +81,7 @@
         self.pages.iter().all(Option::is_some)
     }
 
-    /// All rows, in order.
+    /// Returns all rows in order.
     pub(super) fn rows(&self) -> Result<Vec<Row>, ParseError> {
         let mut rows = Vec::new();
         for page in self.pages.iter().flatten() {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The index of a response's page; one that no result has where the number is missing.
+/// Returns the index of a response's page. Without a valid page number, it is an index that no result has.
 fn page_number(response: &Response) -> usize {
     match response.kind {
         ResponseKind::Page => response.fields.page.filter(|number| *number > 0).unwrap_or(u32::MAX) as usize,
--- a/src/upstream/line_protocol/connection/mod.rs
+++ b/src/upstream/line_protocol/connection/mod.rs
@@ -1,13 +1,13 @@
-//! One connection to an engine on the line protocol: it carries many requests and reports the end of each.
+//! One connection to an engine on the line protocol. It carries many requests and reports the end of each attempt.
 //!
 //! ```text
-//!   commands ──> commands.rs ──> output.rs ──> socket      requests and lines, written in order
+//!   commands ──> commands.rs ──> output.rs ──> socket      requests and other lines, written in order
 //!   core     <── responses.rs <─────────────── socket      notes, pages, answers
-//!   core     <── timeouts.rs                               silence of the engine, or about one request
+//!   core     <── timeouts.rs                               missing responses of the engine, or about one request
 //!   core     <── ../../closing.rs <───────────── socket    the end of the connection
 //! ```
 //!
-//! A request counts as possibly executed from its last byte written on; one that is not completely written never ran.
+//! An attempt is possibly executed once its last byte is written. Before that, it is never executed.
 
 mod commands;
 mod in_flight;
@@ -35,20 +35,20 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// Bytes that may wait to be written; an engine that reads none of them counts as silent.
+/// Limit of the output buffer. A connection that exceeds it ends as silent, since the engine reads too little.
 const MAX_OUTPUT_BYTES: usize = 1 << 20;
-/// Room for what is received at first; it grows to the longest response.
+/// Initial capacity of the receive buffer, which grows to the longest response.
 const INPUT_BYTES: usize = 16 * 1024;
 
-/// Why the connection's loop ended.
+/// Why the exchange on a connection ended.
 enum Stop {
-    /// The connection ended, or has to.
+    /// The connection ended, or has to be closed.
     Connection(ConnectionEnd),
-    /// It has carried nothing for the idle time.
+    /// The connection was idle for the idle timeout.
     Idle,
-    /// The engine's task has ended, or has no more use for the connection.
+    /// The engine's task has ended, or no longer uses the connection.
     Retired,
-    /// The service has ended: nobody is left to report to.
+    /// The service has ended, so reports have no receiver.
     Service,
 }
 
@@ -61,25 +61,25 @@
 /// The state of an open connection.
 struct Connection {
     context: EndpointContext,
-    /// Attempts by their request's id, from their first byte written on.
+    /// Attempts by client request id, from the time they are added to the output buffer.
     in_flight: HashMap<String, InFlight>,
-    /// When each open health check was sent, by its tag.
+    /// Send time of each unanswered health check, by tag.
     health_checks: HashMap<String, Micros>,
     stopping: Stopping,
     output: Output,
-    /// Attempts that never ran, of which the core has yet to be notified.
+    /// Attempts that were never completely written, to be reported to the core.
     never_written: Vec<AttemptId>,
-    /// Attempts assigned to this connection, shared with the engine's task.
+    /// Number of attempts assigned to this connection, shared with the engine's task.
     load: Arc<AtomicUsize>,
     last_read: Micros,
     last_command: Micros,
-    /// Since when the engine owes a response and has sent none. Health checks that time out leave it as it is.
+    /// Time since which the engine owes a response and has sent none. A health check that times out does not reset it.
     response_due_since: Option<Micros>,
-    /// Since when a response has been incomplete.
+    /// Time at which the current incomplete response began; `None` without one.
     incomplete_since: Option<Micros>,
 }
 
-/// Opens a connection and carries out commands on it until it ends; then reports the end of all that it carried.
+/// Opens a connection, applies commands to it until it ends, and then reports the end of all that it carried.
 pub async fn run(
     context: EndpointContext,
     address: SocketAddr,
@@ -88,7 +88,7 @@
 ) {
     let connected = connect(&context, address).await;
     let mut connection = Connection::new(context, load);
-    // An error says that the service has ended: nobody is left to report to.
+    // An error says that the service has ended, so reports have no receiver.
     let _ended = match connected {
         Ok(stream) => connection.serve_to_the_end(stream, commands, address).await,
         Err(end) => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Carries out commands until the connection ends, and reports the end of all that it carried.
+    /// Exchanges data until the connection ends, and reports the end of all that it carried.
     async fn serve_to_the_end(
         &mut self,
         stream: TcpStream,
@@ -133,7 +133,7 @@
         address: SocketAddr,
     ) -> Result<(), ServiceEnded> {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("no delay: {error}");
+            log::debug!(engine = self.context.engine, address:%, error:%; "engine connection: TCP_NODELAY not set");
         }
         let (mut reader, mut writer) = stream.into_split();
         let end = match self.exchange(&mut reader, &mut writer, &mut commands).await {
@@ -152,7 +152,7 @@
         report_written(&self.context, written, end, reader, writer).await
     }
 
-    /// Reads, writes and carries out commands until something ends the connection.
+    /// Reads, writes and applies commands until the connection ends or has to end.
     async fn exchange(
         &mut self,
         reader: &mut OwnedReadHalf,
@@ -166,7 +166,7 @@
             self.start_timers();
             let wake = self.next_timeout();
             tokio::select! {
-                // What the engine has sent goes first: nothing is written to one that has closed.
+                // Reading comes first, so that nothing is written after the engine has closed the connection.
                 biased;
                 read = reader.read_buf(&mut received) => self.bytes_read(read, &mut received).await?,
                 command = commands.recv() => match command {
@@ -194,7 +194,7 @@
     ) -> Result<(), Stop> {
         self.last_read = self.context.clock.now();
         self.response_due_since = None;
-        // What came before the end still counts.
+        // Responses received before the end of the connection are still handled.
         self.responses(received).await?;
         match read {
             Ok(0) => Err(Stop::Connection(ConnectionEnd::Closed)),
@@ -210,7 +210,7 @@
         Ok(())
     }
 
-    /// Reports what never ran: attempts that are still queued or partly written, and commands that were not begun.
+    /// Reports what was never executed: attempts that are queued or partly written, and commands in the queue.
     async fn report_unsent(
         &mut self,
         end: ConnectionEnd,
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// The attempt is no longer this connection's.
+    /// Records that the connection carries one attempt less.
     fn release(&self) {
         self.load.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/upstream/line_protocol/connection/output.rs
+++ b/src/upstream/line_protocol/connection/output.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to an engine.
+//! The output of a connection: queued requests, and the buffer that is written to the engine.
 
 use crate::clock::Micros;
 use crate::core::AttemptId;
@@ -7,13 +7,13 @@
 use std::collections::VecDeque;
 use std::io::Write;
 
-/// A request of which nothing is written yet.
+/// A request of which no byte is in the buffer yet.
 pub(super) struct QueuedRequest {
     pub(super) attempt: AttemptId,
     pub(super) call: Call,
 }
 
-/// The request at the head of the buffer, of which bytes are still to be written.
+/// The request at the head of the buffer, which is not completely written yet.
 pub(super) struct PartialRequest {
     pub(super) request: String,
     pub(super) attempt: AttemptId,
@@ -21,46 +21,46 @@
     remaining_bytes: usize,
 }
 
-/// Where a request stood in the output when it was taken out.
+/// Where the output held a request when it was withdrawn.
 pub(super) enum Withdrawn {
-    /// It was queued: nothing of it is written.
+    /// It was queued, and no byte was written.
     Queued,
-    /// It was in the buffer, still complete.
+    /// It was in the buffer, and no byte was written.
     Buffered(PartialRequest),
-    /// Some of it is written: the rest must not follow, and nothing else can be written before it.
+    /// Some bytes were written. The rest must not be written, and nothing else can be written before it.
     PartlyWritten(PartialRequest),
-    /// It is not here.
+    /// The output does not hold it.
     Absent,
 }
 
-/// Bytes to be written, and requests behind them. A request gets into the buffer only once that is empty: an engine
-/// that reads nothing must not find requests there later that are over by then.
+/// The buffer to be written, and the requests queued behind it. A request is added to the buffer only once the buffer
+/// is empty. Otherwise an engine that does not read for some time would later read requests that are closed by then.
 #[derive(Default)]
 pub(super) struct Output {
     pub(super) queued: VecDeque<QueuedRequest>,
     pub(super) partial: Option<PartialRequest>,
     pub(super) buffer: BytesMut,
-    /// Since when the engine has read nothing of the buffer.
+    /// Time since which no byte of the buffer could be written; `None` without bytes to write.
     pub(super) stalled_since: Option<Micros>,
 }
 
 impl Output {
-    /// Appends a line to the buffer.
+    /// Appends text to the buffer.
     pub(super) fn push(&mut self, text: std::fmt::Arguments<'_>) {
         let mut writer = bytes::BufMut::writer(&mut self.buffer);
         // Writing to a growing buffer cannot fail.
         let _ = writer.write_fmt(text);
     }
 
-    /// Puts a request at the head of the empty buffer.
+    /// Appends a request to the buffer, which has to be empty.
     pub(super) fn begin(&mut self, request: String, attempt: AttemptId, text: std::fmt::Arguments<'_>) {
-        debug_assert!(self.buffer.is_empty(), "a request is begun once all before it is written");
+        debug_assert!(self.buffer.is_empty(), "a request is begun only with an empty buffer");
         self.push(text);
         let bytes = self.buffer.len();
         self.partial = Some(PartialRequest { request, attempt, total_bytes: bytes, remaining_bytes: bytes });
     }
 
-    /// Takes an attempt out that is not completely written.
+    /// Withdraws an attempt that is not completely written.
     pub(super) fn withdraw(&mut self, attempt: AttemptId) -> Withdrawn {
         if let Some(index) = self.queued.iter().position(|queued| queued.attempt == attempt) {
             self.queued.remove(index);
@@ -76,7 +76,7 @@
         Withdrawn::Buffered(partial)
     }
 
-    /// The socket has taken some bytes, which are out of the buffer already.
+    /// Records that the socket has accepted this many bytes. They are already removed from the buffer.
     pub(super) fn written(&mut self, bytes: usize) {
         self.stalled_since = None;
         let Some(partial) = &mut self.partial else { return };
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Starts the stall timer where there are bytes to write, and stops it where there are none.
+    /// Starts the stall timer if there are bytes to write and it is not running, and stops it if there are none.
     pub(super) fn update_stall_timer(&mut self, now: Micros) {
         if self.buffer.is_empty() {
             self.stalled_since = None;
--- a/src/upstream/line_protocol/connection/responses.rs
+++ b/src/upstream/line_protocol/connection/responses.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 
 impl Connection {
-    /// Handles all complete responses in what was received.
+    /// Handles all complete responses in the receive buffer.
     pub(super) async fn responses(&mut self, received: &mut BytesMut) -> Result<(), Stop> {
         loop {
             match parse::next(received) {
@@ -24,7 +24,7 @@
                     return Ok(());
                 }
                 Err(error) => {
-                    log::warn!("an engine's line can't be used, its connection ends: {error}");
+                    log::warn!(engine = self.context.engine, error:%; "engine connection closed: invalid response");
                     return Err(Stop::Connection(ConnectionEnd::Malformed));
                 }
             }
@@ -42,7 +42,7 @@
             let elapsed = self.last_read - sent_at;
             return Ok(self.context.probed(end, response.fields.report, elapsed).await?);
         }
-        // A response to a request that was given up has crossed its stop.
+        // The engine sent this response before it read the `STOP` of the request.
         let Some(in_flight) = self.in_flight.get_mut(&response.id) else { return Ok(()) };
         in_flight.last_mention = self.last_read;
         let attempt = in_flight.attempt;
@@ -67,22 +67,32 @@
         }
     }
 
-    /// A page of a result. The first says how many there are, and the others are fetched at once.
+    /// Handles a page of a result. The first one says how many pages there are, and all others are requested at once.
     async fn page(&mut self, response: Response) -> Result<(), Stop> {
         let max_collected_bytes = self.context.limits.collected;
         let Some(in_flight) = self.in_flight.get_mut(&response.id) else { return Ok(()) };
         match in_flight.add_page(&response, max_collected_bytes) {
             PageOutcome::Unexpected => {
-                log::warn!("an engine sent a page that nobody asked for: the connection ends");
+                log::warn!(
+                    engine = self.context.engine, request:% = in_flight.attempt, name = response.id.as_str(),
+                    page:? = response.fields.page, pages = in_flight.page_count();
+                    "engine connection closed: result page was not requested"
+                );
                 return Err(Stop::Connection(ConnectionEnd::Malformed));
             }
             PageOutcome::Duplicate => {
-                // Guards against a second answer: it is dropped, and the other requests go on.
-                log::debug!("an engine sent a page twice");
+                // Guards against a duplicate answer. The page is dropped, and the other requests are not affected.
+                log::debug!(
+                    engine = self.context.engine, request:% = in_flight.attempt, name = response.id.as_str();
+                    "engine sent a result page twice: second one dropped"
+                );
                 return Ok(());
             }
             PageOutcome::OverBudget => {
-                log::warn!("a result is too long: request {} is given up there", response.id);
+                log::warn!(
+                    engine = self.context.engine, request:% = in_flight.attempt, name = response.id.as_str();
+                    "result exceeds the buffer limit: attempt stopped"
+                );
                 self.give_up(&response.id, ConnectionEnd::RequestSilent);
                 return Ok(());
             }
@@ -100,7 +110,7 @@
         Ok(())
     }
 
-    /// Asks for all pages but the first.
+    /// Requests all pages except the first.
     fn fetch_pages(&mut self, request: &str, page_count: usize) {
         for page in 1..page_count {
             self.output.push(format_args!("FETCH {request} {page}\r\n"));
@@ -115,7 +125,10 @@
         let rows = match in_flight.rows() {
             Ok(rows) => rows,
             Err(error) => {
-                log::warn!("an engine's page can't be used, its connection ends: {error}");
+                log::warn!(
+                    engine = self.context.engine, request:% = in_flight.attempt, name = request, error:%;
+                    "engine connection closed: invalid result page"
+                );
                 self.context.ended(in_flight.attempt, ConnectionEnd::Malformed).await?;
                 return Err(Stop::Connection(ConnectionEnd::Malformed));
             }
@@ -125,12 +138,15 @@
         Ok(self.context.news(in_flight.attempt, event).await?)
     }
 
-    /// Stops one request whose answer is of no more use; the others go on. Its end is reported once the engine has
-    /// read the stop.
+    /// Stops one request whose answer can no longer be used. The other requests are not affected. The attempt's end is
+    /// reported once the engine has read the `STOP`.
     pub(super) fn give_up(&mut self, request: &str, end: ConnectionEnd) {
         let Some(in_flight) = self.stop_request(request, end) else { return };
         let age_ms = (self.context.clock.now() - in_flight.began_at).as_ms();
-        log::debug!(request:% = in_flight.attempt, name = request, reason:? = end, age_ms; "request given up");
+        log::debug!(
+            engine = self.context.engine, request:% = in_flight.attempt, name = request, reason:? = end, age_ms;
+            "attempt stopped: its answer can no longer be used"
+        );
         self.confirm_stops();
     }
 }
--- a/src/upstream/line_protocol/connection/stopping.rs
+++ b/src/upstream/line_protocol/connection/stopping.rs
@@ -1,52 +1,52 @@
-//! Attempts that are to stop. Each is in flight until the engine has read its `STOP`, which it shows with the answer to
-//! any line behind that: lines are read in order.
+//! Attempts whose `STOP` is written but not confirmed. Each is in flight until the engine has read its `STOP`. Engines
+//! read lines in order, so the response to any later line confirms the `STOP`.
 
 use crate::core::{AttemptId, ConnectionEnd};
 use std::collections::BTreeSet;
 
-/// Attempts that may wait for the answer to a health check; beyond that one is asked for.
+/// Number of unconfirmed `STOP`s at which a confirmation is requested. Fewer wait for the next health check.
 const MAX_UNCONFIRMED: usize = 64;
-/// Prefix of the tags of health checks.
+/// Prefix of the tags of health checks (`STAT`).
 pub(super) const HEALTH_CHECK_PREFIX: char = 'p';
-/// Prefix of the tags of lines that are written for their answer alone.
+/// Prefix of the tags of confirmation requests (`HELO`), which are sent only for their response.
 const CONFIRMATION_PREFIX: char = 'h';
 
-/// The number of a line that the engine answers, in the order in which they are written.
+/// Number of a tagged line, in the order of writing.
 pub(super) type TagNumber = u64;
 
-/// An attempt whose `STOP` is written.
+/// An attempt whose `STOP` is written but not confirmed.
 #[derive(Debug)]
 struct StoppingAttempt {
     attempt: AttemptId,
-    /// How it ends.
+    /// The end to report once the `STOP` is confirmed.
     end: ConnectionEnd,
-    /// The first line behind its `STOP`.
+    /// Number of the first tagged line after its `STOP`.
     shown_by: TagNumber,
 }
 
-/// The attempts of one connection that are to stop, and the lines whose answers show that they have.
+/// The unconfirmed `STOP`s of one connection, and the numbers of its tagged lines.
 #[derive(Debug, Default)]
 pub(super) struct Stopping {
     last_tag: TagNumber,
     attempts: Vec<StoppingAttempt>,
-    /// Lines that were written for their answers alone, which are still to come.
+    /// Confirmation requests that the engine has not answered.
     confirmations: BTreeSet<TagNumber>,
 }
 
 impl Stopping {
-    /// A tag for a line that the engine answers.
+    /// Returns the tag of the next tagged line.
     pub(super) fn next_tag(&mut self, prefix: char) -> String {
         self.last_tag += 1;
         format!("{prefix}{}", self.last_tag)
     }
 
-    /// The `STOP` of an attempt is written.
+    /// Records that the `STOP` of an attempt is written.
     pub(super) fn push(&mut self, attempt: AttemptId, end: ConnectionEnd) {
         self.attempts.push(StoppingAttempt { attempt, end, shown_by: self.last_tag + 1 });
     }
 
-    /// The tag of a line to write, so that the engine shows soon that it has read all `STOP`s; none where one is on
-    /// its way, or nothing is to be shown.
+    /// Returns the tag of a confirmation request to write. `None` if there is no unconfirmed `STOP`, or if an open
+    /// request confirms all of them.
     pub(super) fn confirm(&mut self) -> Option<String> {
         let last = self.attempts.last()?;
         if self.confirmations.last().is_some_and(|tag| *tag >= last.shown_by) {
@@ -57,7 +57,7 @@
         Some(tag)
     }
 
-    /// Whether too many wait for the answer to a health check.
+    /// Returns whether so many `STOP`s are unconfirmed that a confirmation has to be requested.
     pub(super) fn is_crowded(&self) -> bool {
         self.attempts.len() >= MAX_UNCONFIRMED
     }
@@ -66,7 +66,8 @@
         self.attempts.iter().any(|stopping| stopping.attempt == attempt)
     }
 
-    /// The engine has answered the line with this tag: what it shows to have stopped, with its end.
+    /// Records that the engine has answered the line with this tag. Removes and returns the attempts whose `STOP` this
+    /// confirms, with their ends.
     pub(super) fn answered(&mut self, tag: &str) -> Vec<(AttemptId, ConnectionEnd)> {
         let Some(number) = self.number_of(tag) else { return Vec::new() };
         self.confirmations.remove(&number);
@@ -80,12 +81,12 @@
         number.parse().ok().filter(|number| *number <= self.last_tag)
     }
 
-    /// Whether the engine owes an answer that was asked for to show that it has read a `STOP`.
+    /// Returns whether the engine owes the response to a confirmation request.
     pub(super) fn awaits_confirmation(&self) -> bool {
         !self.confirmations.is_empty()
     }
 
-    /// Takes all attempts out.
+    /// Removes and returns all attempts.
     pub(super) fn take(&mut self) -> impl Iterator<Item = AttemptId> {
         std::mem::take(&mut self.attempts).into_iter().map(|stopping| stopping.attempt)
     }
--- a/src/upstream/line_protocol/connection/timeouts.rs
+++ b/src/upstream/line_protocol/connection/timeouts.rs
@@ -1,5 +1,5 @@
-//! Timeouts of a connection: an engine that is silent, or that is silent about one request; responses that do not end;
-//! health checks without an answer; an idle connection.
+//! Timeouts of a connection: an engine that sends nothing, or nothing about one request; incomplete responses;
+//! unanswered health checks; an idle connection.
 
 use super::{Connection, Stop};
 use crate::clock::Micros;
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 impl Connection {
-    /// Starts the timers of what the engine owes from now on.
+    /// Starts the timers of due responses and of unwritten bytes that are not running yet.
     pub(super) fn start_timers(&mut self) {
         let now = self.context.clock.now();
         if self.is_response_due() {
@@ -16,7 +16,7 @@
         self.output.update_stall_timer(now);
     }
 
-    /// When [`Connection::time_passed`] is next to be called.
+    /// Returns when [`Connection::time_passed`] has to be called next.
     pub(super) fn next_timeout(&self) -> Instant {
         let limits = &self.context.limits;
         let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.probe_timeout);
@@ -35,28 +35,32 @@
             || !self.output.queued.is_empty()
     }
 
-    /// Whether the engine owes a response.
+    /// Returns whether the engine owes a response.
     fn is_response_due(&self) -> bool {
         let reports = self.context.limits.reports_progress && !self.in_flight.is_empty();
         reports || !self.health_checks.is_empty() || self.stopping.awaits_confirmation()
     }
 
-    /// When the engine counts as cut off or hanging: it owes a response and sends none, or reads nothing.
+    /// Returns when the engine counts as disconnected or hanging, since it owes a response and sends none, or reads
+    /// nothing.
     fn silent_at(&self) -> Option<Micros> {
         let since = self.response_due_since.into_iter().chain(self.output.stalled_since).min();
         since.map(|since| since + self.context.limits.silent_after)
     }
 
-    /// Acts on the timeouts that are over.
+    /// Handles the expired timeouts.
     pub(super) async fn time_passed(&mut self) -> Result<(), Stop> {
         let now = self.context.clock.now();
         if self.silent_at().is_some_and(|at| now >= at) {
             return Err(Stop::Connection(ConnectionEnd::Silent));
         }
-        // Guards against a response that stops short, or trickles: nothing behind it can be read any more.
+        // Guards against a response that stays incomplete, or arrives too slowly. It blocks all responses behind it.
         let line_within = self.context.limits.line_within;
         if self.incomplete_since.is_some_and(|since| now >= since + line_within) {
-            log::warn!("an engine's line does not end, its connection ends");
+            log::warn!(
+                engine = self.context.engine;
+                "engine connection closed: response not complete within the time limit"
+            );
             return Err(Stop::Connection(ConnectionEnd::Malformed));
         }
         self.give_up_unmentioned(now);
@@ -66,7 +70,8 @@
         self.time_out_health_checks(now).await
     }
 
-    /// Guards against an answer, or a page, that never comes: the request may be retried before its deadline.
+    /// Stops requests about which the engine sends nothing. Guards against an answer or a page that never arrives: the
+    /// request can be retried before its deadline.
     fn give_up_unmentioned(&mut self, now: Micros) {
         let limits = &self.context.limits;
         if !limits.reports_progress {
@@ -76,7 +81,10 @@
         let unmentioned = self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_mention <= oldest);
         let requests: Vec<String> = unmentioned.map(|(request, _)| request.clone()).collect();
         for request in requests {
-            log::warn!("an engine says no more of request {request}: given up there");
+            log::warn!(
+                engine = self.context.engine, name = request.as_str();
+                "engine sent nothing about a request within the silence timeout: attempt stopped"
+            );
             self.give_up(&request, ConnectionEnd::RequestSilent);
         }
     }
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that speak the platform's line protocol: connections that each carry many requests at once.
+//! Engines that speak the platform's line protocol. Each connection carries many requests at once.
 
 mod carried_requests;
 mod connection;
@@ -15,21 +15,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::mpsc;
 
-/// Attempts from which on a connection is spared, as long as another may be opened: a connection that ends takes all
-/// that it carries with it.
+/// Attempts per connection at which another connection is opened, as long as the limit of connections permits. All
+/// attempts of a connection fail when it ends.
 const PREFERRED_LOAD: usize = 4;
 /// Commands that may wait for one connection.
 const QUEUE: usize = 1024;
 
-/// A connection as the engine's task sees it.
+/// The handle with which the engine's task uses one connection.
 #[derive(Debug)]
 struct Connection {
     commands: mpsc::Sender<EndpointCommand>,
-    /// Attempts that it carries.
+    /// Number of attempts that the connection carries, shared with the connection's task.
     load: Arc<AtomicUsize>,
-    /// A request of these names goes to another connection.
+    /// Requests with these client request ids are sent on other connections.
     carried: CarriedRequests,
-    /// The engine has moved to another address: what is in flight here may still end here, but nothing new is sent.
+    /// Set once the engine has another address. Attempts in flight may still end here, but no new ones are sent.
     retired: bool,
 }
 
@@ -45,13 +45,14 @@
         self.load.load(Ordering::Relaxed)
     }
 
-    /// Whether it may carry one more attempt, of a request with this name, or a health check.
+    /// Returns whether the connection may carry one more attempt with this client request id, or a health check
+    /// (`None`).
     fn accepts(&self, name: Option<&str>, max_streams: usize) -> bool {
         let may_confuse = name.is_some_and(|name| self.carried.contains(name));
         !self.retired && !may_confuse && self.load() < max_streams
     }
 
-    /// Hands a command to the connection; gives it back where the connection does not accept it.
+    /// Passes a command to the connection. Returns the command if the connection does not accept it.
     fn send(&mut self, now: Micros, command: EndpointCommand) -> Option<EndpointCommand> {
         let name = request_name(&command).map(str::to_owned);
         match self.commands.try_send(command) {
@@ -67,7 +68,7 @@
     }
 }
 
-/// The name of the request that a command starts an attempt of.
+/// Returns the client request id of the attempt that a command starts; `None` for other commands.
 fn request_name(command: &EndpointCommand) -> Option<&str> {
     match command {
         EndpointCommand::Start { call, .. } => Some(&call.name),
@@ -119,7 +120,7 @@
         self.connections.iter_mut().for_each(|connection| connection.retired = true);
     }
 
-    /// Sends a command on an attempt to all connections: only the one that carries it knows, the others ignore it.
+    /// Sends a command about an attempt to all connections. Those that don't carry the attempt ignore it.
     fn send_to_all(&self, command: &EndpointCommand) {
         for connection in &self.connections {
             let copy = match *command {
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Sends a command to the connection with the least load, which may be a new one; gives it back where none has
-    /// capacity.
+    /// Sends a command to the connection with the least load, which may be a new one. Returns the command if no
+    /// connection has capacity.
     fn send_to_one(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
         let limits = &self.context.limits;
         let max_streams = limits.streams;
--- a/src/upstream/line_protocol/parse.rs
+++ b/src/upstream/line_protocol/parse.rs
@@ -1,7 +1,7 @@
-//! Parser of an engine's responses on the line protocol: `ID KIND FIELDS [LENGTH]`, then a body of that length.
+//! Parser of responses on the line protocol: `ID KIND FIELDS [LENGTH]`, then a body of that length.
 //!
-//! The statement's response has the request's id, a health check's response its tag. Fields that are not known are
-//! skipped, so that engines can add some.
+//! The id is the client request id in responses to a request, and the tag in responses to a health check or a
+//! confirmation request. Unknown fields are skipped, so that engines can add fields.
 
 use crate::core::Row;
 use crate::decision::{AttemptNote, LoadReport, Usage};
@@ -14,50 +14,50 @@
 use winnow::error::ContextError;
 use winnow::token::{take_till, take_while};
 
-/// The longest line accepted.
+/// Length limit of a line.
 const MAX_LINE_BYTES: usize = 4096;
-/// The longest body accepted: one page of a result.
+/// Length limit of a body, which is one page of a result.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most pages of one result.
+/// Limit of the pages of one result.
 const MAX_PAGES: u32 = 64;
-/// How much of a line that cannot be parsed is shown in the log.
+/// Length to which an invalid line is cut in the error message.
 const SHOWN_BYTES: usize = 120;
 /// The end of each line and body.
 const CRLF: &[u8] = b"\r\n";
 
-/// Why an engine's bytes could not be parsed.
+/// Why a response could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// A line that does not end within the limit.
-    #[error("a line of over {MAX_LINE_BYTES} bytes")]
+    /// A line that exceeds `MAX_LINE_BYTES`.
+    #[error("response line exceeds the limit of {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// A body above the limit, with its announced length.
-    #[error("a body of {0} bytes")]
+    /// A body whose announced length exceeds `MAX_BODY_BYTES`. The value is that length.
+    #[error("response body of {0} bytes exceeds the limit of {MAX_BODY_BYTES} bytes")]
     BodyTooLong(usize),
-    /// A body that is not followed by the end of a line.
-    #[error("a body without its end")]
+    /// A body of the announced length that is not followed by CR LF.
+    #[error("response body is not followed by CR LF")]
     UnterminatedBody,
-    /// A line that is not of the protocol.
-    #[error("cannot read the line {0:?}")]
+    /// A line that does not follow the protocol. The value is its beginning.
+    #[error("response line does not follow the protocol: {0:?}")]
     UnknownLine(String),
-    /// A page that ends within a row.
-    #[error("a page that ends within a row")]
+    /// A page whose last row has no line feed.
+    #[error("result page ends within a row")]
     TruncatedRow,
-    /// A page that is not text.
-    #[error("a page that is not UTF-8")]
+    /// A page that is not valid UTF-8.
+    #[error("result page is not valid UTF-8")]
     NotUtf8,
 }
 
 /// One response of an engine.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The request's id, or the tag of a health check or of a cancellation's confirmation.
+    /// The client request id, or the tag of a health check or a confirmation request.
     pub id: String,
-    /// What it says.
+    /// Type of the response.
     pub kind: ResponseKind,
-    /// Its fields.
+    /// Known fields of the response's line.
     pub fields: ResponseFields,
-    /// Its body; empty where it has none.
+    /// Body of the response; empty without one.
     pub body: Bytes,
 }
 
@@ -66,38 +66,38 @@
 pub enum ResponseKind {
     /// `200`: the first page of a result.
     Ok,
-    /// `503`: the engine is full; the request never ran.
+    /// `503`: the engine is full. The request was never executed.
     Full,
     /// `500`: the request failed.
     Error,
-    /// `504`: the request's time was over when it was read; it never ran.
+    /// `504`: the deadline had passed when the engine read the request. It was never executed.
     Expired,
-    /// `status`: progress of a running request.
+    /// `status`: a progress note of a running request.
     Status,
-    /// `chunk`: a further page of a result.
+    /// `chunk`: a page of a result after the first.
     Page,
-    /// `alive`: the engine is well.
+    /// `alive`: the engine is healthy.
     Alive,
-    /// `dead`: the engine is not well.
+    /// `dead`: the engine is not healthy.
     Dead,
 }
 
-/// The fields that the service uses.
+/// The known fields of a response.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResponseFields {
-    /// `sheets`: how many pages the result has.
+    /// `sheets`: number of pages of the result.
     pub page_count: Option<u32>,
-    /// `sheet`: the number of this page, from 0.
+    /// `sheet`: number of this page, from 0.
     pub page: Option<u32>,
-    /// `n` and `val`: progress of the request.
+    /// `n` and `val`: a progress note and its amount.
     pub note: Option<AttemptNote>,
-    /// `toil` and `room`: what the request used.
+    /// `toil` and `room`: work (ms) and memory (MB) that the request used.
     pub usage: Option<Usage>,
-    /// `l`: the engine's load.
+    /// `l`: the engine's load report.
     pub report: Option<LoadReport>,
 }
 
-/// A response's line without its body.
+/// A parsed response line. `body_bytes` is the announced length of the body.
 struct Head {
     id: String,
     kind: ResponseKind,
@@ -109,7 +109,7 @@
     take_till(1.., ' ').parse_next(input)
 }
 
-/// `name=value` pairs separated by commas, or `-` for none.
+/// Parses `name=value` pairs separated by commas, or `-` for none.
 fn pairs<'a>(input: &mut &'a str) -> Result<Vec<(&'a str, &'a str)>, ContextError> {
     let name = take_while(1.., |c: char| c != '=' && c != ',' && c != ' ');
     let value = take_till(0.., [',', ' ']);
@@ -127,7 +127,7 @@
     terminated(dec_uint::<_, u32, ContextError>, eof).parse(text).ok()
 }
 
-/// Parses a load report, `name:value;name:value`; names that are not known are skipped.
+/// Parses a load report, `name:value;name:value`. Unknown names are skipped.
 pub fn load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
@@ -144,7 +144,7 @@
     report
 }
 
-/// Interprets a response's fields; `None` where a page number is not one.
+/// Interprets a response's fields. Returns `None` if a page number or the number of pages is invalid.
 fn fields(pairs: &[(&str, &str)]) -> Option<ResponseFields> {
     let find = |name: &str| pairs.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
     let page_count = match find("sheets") {
@@ -168,7 +168,7 @@
 }
 
 fn note(name: &str, amount: f64) -> Option<AttemptNote> {
-    /// The amount of a `held` note that stands for a load.
+    /// Amount of a `held` note that means waiting for a load. Other amounts mean waiting for memory.
     const WAITS_FOR_LOAD: f64 = 2.0;
     match name {
         "share" => Some(AttemptNote::Progress(amount)),
@@ -197,10 +197,10 @@
     Some(Head { id: id.to_owned(), kind, fields, body_bytes })
 }
 
-/// Takes the next complete response off the front of what was received; `None` where it is not complete yet.
+/// Removes the next complete response from the front of the receive buffer. Returns `None` if it is incomplete.
 ///
 /// # Errors
-/// The bytes are not of the protocol: nothing behind them can be parsed either.
+/// Fails if the bytes don't follow the protocol. Nothing behind them can be parsed then.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<Response>, ParseError> {
     let Some(line_end) = buffer.windows(CRLF.len()).position(|pair| pair == CRLF) else {
         return if buffer.len() > MAX_LINE_BYTES { Err(ParseError::LineTooLong) } else { Ok(None) };
@@ -237,10 +237,10 @@
     Ok(Some(Response { id, kind, fields, body }))
 }
 
-/// The rows of a page: columns are separated by tabs, and each row ends in a line feed.
+/// Parses the rows of a page. Columns are separated by tabs, and each row ends with a line feed.
 ///
 /// # Errors
-/// The page is not UTF-8, or was cut off within a row.
+/// Fails if the page is not UTF-8, or ends within a row.
 pub fn rows(page: &[u8]) -> Result<Vec<Row>, ParseError> {
     let text = std::str::from_utf8(page).map_err(|_| ParseError::NotUtf8)?;
     if !text.is_empty() && !text.ends_with('\n') {
@@ -250,7 +250,7 @@
     Ok(text.split_terminator('\n').map(row).collect())
 }
 
-/// An attempt's remaining time as engines read it: whole milliseconds, at least one.
+/// Returns an attempt's remaining time in the unit of the protocol: whole milliseconds, at least one.
 pub fn remaining_ms(wait: Duration) -> u64 {
     u64::try_from(wait.as_millis()).unwrap_or(u64::MAX).max(1)
 }
--- a/src/upstream/line_protocol/parse/tests.rs
+++ b/src/upstream/line_protocol/parse/tests.rs
@@ -1,4 +1,4 @@
-//! The parser on responses cut at each byte, and on bytes that are not of the protocol.
+//! Parsing of responses cut into two parts at each byte, and of bytes that don't follow the protocol.
 
 use super::*;
 
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! Connections to the engines: one task for each engine, which keeps its connections.
+//! Connections to the engines. Each engine has one task, which owns the connections to it.
 //!
-//! [`UpstreamPool`] carries out the core's commands on the engine that they name. The engine's task ([`line_protocol`]
-//! or [`tds`]) opens connections, and reports notes, results and ends of attempts to the core by its
-//! [`EndpointContext`].
+//! [`UpstreamPool`] passes the core's commands to the task of the engine that they name. The engine's task
+//! ([`line_protocol`] or [`tds`]) opens connections. It reports progress notes, results and ends of attempts to the
+//! core with its [`EndpointContext`].
 
 mod closing;
 pub mod line_protocol;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The longest result that is collected, in bytes.
+/// Size limit of one result, in bytes.
 const MAX_RESULT_BYTES: usize = 1 << 20;
 
 /// A command for an engine's task.
@@ -29,64 +29,67 @@
 pub enum EndpointCommand {
     /// Start an attempt.
     Start {
-        /// The attempt.
+        /// Request number and attempt number, which later commands and events use.
         attempt: AttemptId,
-        /// What to send.
+        /// The statement and the fields sent with it.
         call: Call,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
-        /// Whether to report its end only once the engine has read the cancellation.
+        /// Whether to have the engine confirm at once that it has read the cancellation, not only with the next
+        /// health check.
         confirm: bool,
     },
     /// Change the priority of an attempt.
     SetPriority {
-        /// The attempt.
+        /// The attempt whose priority changes.
         attempt: AttemptId,
-        /// The priority, 0 to 3.
+        /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Check the engine's health, and get its load report.
+    /// Check the engine's health and request its load report.
     HealthCheck,
-    /// The engine listens at this address from now on.
+    /// Use this address for new connections.
     Address(SocketAddr),
 }
 
-/// The protocol that engines speak.
+/// Protocol of the connections to engines.
 #[derive(Debug, Clone)]
 pub enum UpstreamProtocol {
-    /// The platform's line protocol.
+    /// The platform's line protocol, with many requests per connection.
     LineProtocol,
-    /// TDS, with the login for each connection.
+    /// TDS with one request at a time per connection. The value is the login of each connection.
     Tds(tds::Login),
 }
 
 /// Limits and timeouts of the connections to engines.
 #[derive(Debug, Clone)]
 pub struct UpstreamLimits {
-    /// A connection that is not established within this time counts as failed.
+    /// Time within which a connection has to be established.
     pub connect_timeout: Duration,
-    /// A health check without an answer within this time counts as timed out.
+    /// Time within which a health check has to be answered.
     pub probe_timeout: Micros,
-    /// An engine that owes a response and sends nothing for this long counts as gone.
+    /// A connection ends when the engine owes a response and sends nothing for this long. If engines report progress,
+    /// the same time limits how long an engine may send nothing about one request.
     pub silent_after: Micros,
-    /// Whether engines report each request while it runs. Where they do not, silence about one means nothing.
+    /// Whether engines send progress notes of each request that they execute. If they do not, the absence of notes says
+    /// nothing about a request.
     pub reports_progress: bool,
-    /// A line of an engine's has to be complete within this time from its first byte.
+    /// Time from the first byte of a response within which it has to be complete.
     pub line_within: Micros,
-    /// Idle connections are closed after this long.
+    /// Time after which an idle connection is closed.
     pub idle_after: Micros,
-    /// Bytes of incomplete results that may be collected at once, over all engines.
+    /// Limit of the bytes of incomplete results that are buffered at once, over all engines.
     pub collected: usize,
-    /// Attempts that one connection carries at once.
+    /// Limit of the attempts that one connection carries at once.
     pub streams: usize,
-    /// Connections to one engine.
+    /// Limit of the connections to one engine.
     pub connections: usize,
 }
 
-/// Bytes of a result that is not complete yet. They count in the sum over all engines until this is dropped.
+/// Counts the buffered bytes of one incomplete result. They are part of the sum over all engines until this is dropped.
 #[derive(Debug)]
 pub struct ResultBudget {
     bytes: usize,
@@ -94,7 +97,8 @@
 }
 
 impl ResultBudget {
-    /// Counts further bytes; false where they exceed the limit of one result, or the limit of all together.
+    /// Counts further bytes. Returns false if this result exceeds `MAX_RESULT_BYTES`, or all results exceed
+    /// `max_total`.
     pub fn add(&mut self, bytes: usize, max_total: usize) -> bool {
         self.bytes += bytes;
         let total = self.total.fetch_add(bytes, Ordering::Relaxed) + bytes;
@@ -108,23 +112,23 @@
     }
 }
 
-/// What each connection to an engine needs to report to the core.
+/// What each connection to an engine needs in order to report to the core.
 #[derive(Debug, Clone)]
 pub struct EndpointContext {
-    /// The engine's number.
+    /// The engine's number, which the core assigned.
     pub engine: u64,
-    /// Reaches the core.
+    /// Queue to the core.
     pub handle: ServiceHandle,
-    /// The program's clock.
+    /// Clock of all times that are reported to the core.
     pub clock: Clock,
-    /// Limits and timeouts.
+    /// Limits and timeouts, the same for all engines.
     pub limits: UpstreamLimits,
-    /// Bytes of results that the connections of all engines are collecting now.
+    /// Bytes of incomplete results that the connections to all engines buffer now.
     pub collected: Arc<AtomicUsize>,
 }
 
 impl EndpointContext {
-    /// Begins to collect a result.
+    /// Returns an empty budget for one result.
     pub fn collect(&self) -> ResultBudget {
         ResultBudget { bytes: 0, total: self.collected.clone() }
     }
@@ -132,31 +136,31 @@
     /// Reports an event of an attempt.
     ///
     /// # Errors
-    /// The service has ended.
+    /// Fails if the service has ended.
     pub async fn news(&self, attempt: AttemptId, event: AttemptEvent) -> Result<(), ServiceEnded> {
         self.handle.notify(Input::Attempt { attempt, event }).await
     }
 
-    /// Reports that an attempt will have no result, and that the engine may still execute it.
+    /// Reports that an attempt is lost: it will have no result, but is still in flight.
     ///
     /// # Errors
-    /// The service has ended.
+    /// Fails if the service has ended.
     pub async fn lost(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         self.news(attempt, AttemptEvent::Lost { end }).await
     }
 
-    /// Reports the end of an attempt without a result.
+    /// Reports that an attempt ended without a result.
     ///
     /// # Errors
-    /// The service has ended.
+    /// Fails if the service has ended.
     pub async fn ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         self.news(attempt, AttemptEvent::Ended { end, report: None }).await
     }
 
-    /// Reports the end of a health check.
+    /// Reports how a health check ended and how long it took.
     ///
     /// # Errors
-    /// The service has ended.
+    /// Fails if the service has ended.
     pub async fn probed(
         &self,
         end: ConnectionEnd,
@@ -167,10 +171,10 @@
         self.handle.notify(Input::HealthChecked(result)).await
     }
 
-    /// Reports a command that was never written to the engine.
+    /// Reports that a command was never written to the engine. Only an attempt or a health check leads to a report.
     ///
     /// # Errors
-    /// The service has ended.
+    /// Fails if the service has ended.
     pub async fn unwritten(&self, command: EndpointCommand, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         match command {
             EndpointCommand::Start { attempt, .. } => self.ended(attempt, end).await,
@@ -182,18 +186,19 @@
     }
 }
 
-/// Sends a command on a running attempt, at once or as soon as the queue has capacity: a cancellation that is dropped
-/// leaves its attempt running. At most one waits for each attempt in flight; a change of priority does not wait.
+/// Sends a command about an attempt in flight to a task. If the queue is full, a cancellation waits for capacity, since
+/// its attempt would go on without it. At most one cancellation waits for each attempt in flight. A change of
+/// priority is dropped.
 pub fn send_when_possible(queue: &mpsc::Sender<EndpointCommand>, command: EndpointCommand) {
     let Err(mpsc::error::TrySendError::Full(command)) = queue.try_send(command) else { return };
     if matches!(command, EndpointCommand::Cancel { .. }) {
         let queue = queue.clone();
-        // An error says that the connection has ended, and the attempt with it.
+        // An error says that the connection has ended. Its task reports the attempt's end.
         tokio::spawn(async move { drop(queue.send(command).await) });
     }
 }
 
-/// How an attempt to connect failed.
+/// Returns how a connection attempt failed.
 pub fn failed_connect(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionRefused => ConnectionEnd::ConnectRefused,
@@ -201,7 +206,7 @@
     }
 }
 
-/// How an established connection ended.
+/// Returns how an established connection ended.
 pub fn failed_io(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionReset | std::io::ErrorKind::BrokenPipe => ConnectionEnd::Reset,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The engines that are listed, or still have attempts in flight, each with its task.
+//! The tasks of all engines that are listed or still have attempts in flight.
 
 use super::{
     EndpointCommand, EndpointContext, UpstreamLimits, UpstreamProtocol, line_protocol, send_when_possible,
@@ -14,7 +14,7 @@
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::mpsc;
 
-/// Commands that may wait for one engine; attempts beyond that never ran.
+/// Commands that may wait for one engine. Attempts beyond that are never executed.
 const QUEUE: usize = 2048;
 
 /// The tasks of all engines.
@@ -25,19 +25,19 @@
     clock: Clock,
     limits: UpstreamLimits,
     collected: Arc<AtomicUsize>,
-    /// The way to each engine's task, by the engine's number. A task ends, with its connections, once its sender is
+    /// Command queue of each engine's task by engine number. A task ends, with its connections, once its sender is
     /// dropped.
     engines: HashMap<u64, mpsc::Sender<EndpointCommand>>,
 }
 
-/// A command and the number of the engine that it is for.
+/// A command for the task of one engine.
 struct Addressed {
     engine: u64,
     command: EndpointCommand,
 }
 
 impl UpstreamPool {
-    /// A pool without engines.
+    /// Creates a pool without engines.
     pub fn new(
         protocol: UpstreamProtocol,
         handle: ServiceHandle,
@@ -47,7 +47,8 @@
         UpstreamPool { protocol, handle, clock, limits, collected: Arc::default(), engines: HashMap::new() }
     }
 
-    /// Carries out a command of the core; one that cannot be handed to its engine's task comes back as its end.
+    /// Applies a command of the core. If the engine's task does not accept it, returns its end as an input for the
+    /// core.
     pub fn carry_out(&mut self, command: Command) -> Option<Input> {
         let Addressed { engine, command } = self.addressed(command)?;
         let rejected = match self.engines.get(&engine) {
@@ -61,7 +62,8 @@
         never_written(engine, rejected?)
     }
 
-    /// The command for an engine's task; commands for the pool itself are carried out here.
+    /// Returns the command for an engine's task. Commands for the pool itself are applied here, and `None` is returned
+    /// for them.
     fn addressed(&mut self, command: Command) -> Option<Addressed> {
         let (engine, command) = match command {
             Command::StartAttempt { attempt, engine, call } => {
@@ -90,11 +92,11 @@
         Some(Addressed { engine, command })
     }
 
-    /// Starts the task of a new engine, or notifies the task of a known one of its address.
+    /// Starts the task of a new engine, or sends the address to the task of a known one.
     fn update(&mut self, engine: u64, address: SocketAddr) {
         if let Some(task) = self.engines.get(&engine) {
             if task.try_send(EndpointCommand::Address(address)).is_err() {
-                log::warn!("an engine's queue is full: its new address is not known");
+                log::warn!(engine, address:%; "engine's command queue is full: its new address is not applied");
             }
             return;
         }
@@ -114,12 +116,12 @@
     }
 }
 
-/// What the core is notified of where an engine's task does not accept a command.
+/// Returns the end of a command that an engine's task did not accept, as an input for the core.
 fn never_written(engine: u64, command: EndpointCommand) -> Option<Input> {
     let end = ConnectionEnd::NeverWritten;
     match command {
         EndpointCommand::Start { attempt, .. } => {
-            log::warn!("an engine's queue is full: attempt not sent");
+            log::warn!(engine, request:% = attempt; "engine's command queue is full or closed: attempt not sent");
             Some(Input::Attempt { attempt, event: AttemptEvent::Ended { end, report: None } })
         }
         EndpointCommand::HealthCheck => {
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a TDS engine: a session that is opened for the first task, then one request at a time.
+//! One connection to a TDS engine. Its session is opened for the first task and executes one request at a time.
 
 use super::session::Session;
 use super::{ConnectionNumber, Idle, Login, Task};
@@ -15,42 +15,42 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// Error numbers that say that the engine is full: the request never ran.
+/// Error numbers that say that the engine is full. The request was never executed.
 const ERRORS_FULL: [u32; 2] = [10928, 40501];
-/// Error number that says that the request's time was over when it was read: it never ran.
+/// Error number that says that the deadline had passed when the engine read the request. It was never executed.
 const ERROR_EXPIRED: u32 = 50504;
-/// Number of the INFO tokens that report on a running request.
+/// Number of INFO tokens with progress or usage of a running request.
 const INFO_PROGRESS: u32 = 50100;
-/// The statement that asks an engine for its load report.
+/// Statement that requests the load report.
 const HEALTH_CHECK: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
 
-/// What a connection needs.
+/// Arguments of a connection's task.
 pub(super) struct Setup {
     pub context: EndpointContext,
     pub address: SocketAddr,
     pub login: Login,
     pub number: ConnectionNumber,
-    /// Where the connection reports that it is idle.
+    /// Queue of idle reports to the pool.
     pub idle: mpsc::Sender<Idle>,
 }
 
-/// How a request ended.
+/// How the execution of a batch ended.
 enum Finish {
-    /// The engine answered it, or acknowledged that it is cancelled.
+    /// The engine answered the request, or acknowledged its cancellation.
     Answered {
         result: Result<Served, ConnectionEnd>,
         /// Whether the session can carry another request.
         reusable: bool,
     },
-    /// The session can't be used any more, and the engine may still execute it.
+    /// The session is broken, and the attempt is lost but in flight.
     Broken(ConnectionEnd),
 }
 
-/// What is left to do after an attempt.
+/// State of an attempt after its execution, and what it means for the session.
 enum AttemptFinish {
-    /// Its end is reported. Says whether the session can carry another request.
+    /// The attempt ended and its end is reported. The value says whether the session can carry another request.
     SessionUsable(bool),
-    /// The session is to be closed, and the attempt is over with that.
+    /// The attempt is lost. The session has to be closed, which ends the attempt.
     Lost(ConnectionEnd),
 }
 
@@ -60,7 +60,7 @@
     usage: Option<Usage>,
 }
 
-/// Carries out tasks until the session breaks or is idle for too long.
+/// Executes tasks until the session breaks or has been idle for the idle timeout.
 pub(super) async fn run(setup: Setup, mut tasks: mpsc::Receiver<Task>) {
     let idle_after = setup.context.limits.idle_after.to_duration();
     let mut session: Option<Session> = None;
@@ -157,14 +157,14 @@
     }
 }
 
-/// A running attempt, and what has come of its result.
+/// An attempt in flight, and the part of its result received so far.
 struct Attempt<'a> {
     context: &'a EndpointContext,
     id: AttemptId,
     call: &'a Call,
     table: Table,
     usage: Option<Usage>,
-    /// The first error that the engine sent.
+    /// Number of the first error that the engine sent.
     error: Option<u32>,
     budget: ResultBudget,
 }
@@ -204,10 +204,13 @@
                     Some(_) => continue,
                     None => return Finish::Broken(ConnectionEnd::Cancelled),
                 },
-                // An engine that runs a request reports on it all the time. Whether the engine itself hangs is for the
-                // health checks to find, which have connections of their own.
+                // An engine sends progress notes as long as it executes a request. Health checks, which use other
+                // connections, detect an engine that hangs.
                 () = tokio::time::sleep_until(silent_at.into()), if limits.reports_progress => {
-                    log::warn!("a TDS engine says no more of request {}: given up there", self.call.name);
+                    log::warn!(
+                        engine = self.context.engine, request:% = self.id, name = self.call.name.as_str();
+                        "TDS engine sent nothing about a request within the silence timeout: attempt lost"
+                    );
                     return Finish::Broken(ConnectionEnd::RequestSilent);
                 }
             };
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Takes one token of the answer in.
+    /// Adds one token of the response to the result.
     async fn token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
         match token {
             Token::Columns(columns) => {
@@ -240,7 +243,10 @@
                 None => {}
             },
             Token::Error { number, text } => {
-                log::debug!("an engine's error: {number} {text}");
+                log::debug!(
+                    engine = self.context.engine, request:% = self.id;
+                    "TDS engine sent error {number}: {text}"
+                );
                 self.error.get_or_insert(number);
             }
             _ => {}
@@ -251,14 +257,17 @@
     fn row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
         let bytes = row.iter().flatten().map(String::len).sum();
         if !self.budget.add(bytes, self.context.limits.collected) {
-            log::warn!("a TDS engine's result is too long: given up there");
+            log::warn!(
+                engine = self.context.engine, request:% = self.id;
+                "result of a TDS engine exceeds the buffer limit: attempt lost"
+            );
             return Err(ConnectionEnd::RequestSilent);
         }
         self.table.rows.push(row);
         Ok(())
     }
 
-    /// The result at the end of the answer, whose last token says whether there was an error.
+    /// Returns the result at the end of the response. The last DONE token says whether there was an error.
     fn result(self, done_with_error: bool) -> Result<Served, ConnectionEnd> {
         match self.error {
             Some(number) if ERRORS_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
@@ -270,7 +279,7 @@
     }
 }
 
-/// The statement with the request's fields in its first comment.
+/// Returns the statement with the request's fields in its first comment.
 fn statement(call: &Call, remaining: Micros) -> String {
     let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
@@ -283,15 +292,15 @@
     )
 }
 
-/// What an engine reports of a running request.
+/// Content of an INFO token about a running request.
 enum Progress {
     Note(AttemptNote),
     Usage(Usage),
 }
 
-/// Parses a report on a running request: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
+/// Parses the text of an INFO token: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
 fn progress(text: &str) -> Option<Progress> {
-    /// The amount of `held` that stands for a load.
+    /// Amount of `held` that means waiting for a load. Other amounts mean waiting for memory.
     const WAITS_FOR_LOAD: f64 = 2.0;
     let find = |name: &str| {
         let value = text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -313,7 +322,7 @@
     Some(Progress::Note(note))
 }
 
-/// Asks an engine for its load report.
+/// Requests the load report of an engine.
 async fn query_load(session: &mut Session) -> Result<LoadReport, ConnectionEnd> {
     session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK)).await?;
     let mut columns = Vec::new();
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -1,5 +1,6 @@
-//! Engines that speak TDS: a pool of connections, each with one request at a time. What the line protocol has as fields
-//! travels in the statement's first comment, and engines report progress and usage in INFO tokens (`docs/tds.md`).
+//! Engines that speak TDS. Each engine has a pool of connections, and each connection executes one request at a time.
+//! What the line protocol sends as fields is in the first comment of the statement. Engines report progress and usage
+//! in INFO tokens (`docs/tds.md`).
 
 mod connection;
 mod session;
@@ -13,24 +14,24 @@
 
 pub use crate::tds::login::Login;
 
-/// Tasks that may wait for one connection: the request that it runs, and its cancellation.
+/// Tasks that may wait for one connection: a request and its cancellation.
 const TASK_QUEUE: usize = 16;
 /// Reports of idle connections that may wait for the pool.
 const IDLE_QUEUE: usize = 1024;
 
-/// What a connection is to do.
+/// A task of one connection.
 #[derive(Debug)]
 enum Task {
     /// Start an attempt or a health check.
     Run(EndpointCommand),
-    /// Cancel this attempt, where it is the one that runs.
+    /// Cancel this attempt if the connection is executing it.
     Cancel(AttemptId),
 }
 
-/// The number of a connection in its pool.
+/// Number of a connection, unique in its pool.
 type ConnectionNumber = usize;
 
-/// A connection has finished its task, or has ended.
+/// Reports that the connection with this number has finished its task, or has ended.
 #[derive(Debug)]
 struct Idle(ConnectionNumber);
 
@@ -47,7 +48,7 @@
     address: SocketAddr,
     login: Login,
     connections: HashMap<ConnectionNumber, Connection>,
-    /// Which connection carries an attempt.
+    /// The connection that carries each attempt.
     in_flight: HashMap<AttemptId, ConnectionNumber>,
     last_number: ConnectionNumber,
     idle: mpsc::Sender<Idle>,
@@ -89,7 +90,7 @@
     }
 }
 
-/// A command that no connection accepts, and the end to report for it.
+/// A command that no connection accepted, and the end to report for it.
 struct Rejected {
     command: EndpointCommand,
     end: ConnectionEnd,
@@ -99,9 +100,9 @@
     fn carry_out(&mut self, command: EndpointCommand) -> Option<Rejected> {
         match command {
             EndpointCommand::Address(address) => self.address = address,
-            // TDS cannot change the priority of a batch that runs: it keeps the one that it was sent with.
+            // TDS cannot change the priority of a running batch, so the batch retains the priority it was sent with.
             EndpointCommand::SetPriority { .. } => {}
-            // An attention is acknowledged by its own token, so each cancellation is confirmed.
+            // Engines acknowledge each Attention, so each cancellation is confirmed.
             EndpointCommand::Cancel { attempt, .. } => self.cancel(attempt),
             EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => return self.start(command),
         }
@@ -112,11 +113,14 @@
         let number = self.in_flight.get(&attempt);
         let Some(connection) = number.and_then(|number| self.connections.get(number)) else { return };
         if connection.tasks.try_send(Task::Cancel(attempt)).is_err() {
-            log::debug!("an attempt was over before its stop");
+            log::debug!(
+                engine = self.context.engine, request:% = attempt;
+                "cancellation dropped: attempt has already ended"
+            );
         }
     }
 
-    /// Hands a command to an idle connection, which may be a new one.
+    /// Passes a command to an idle connection, and opens one if there is none.
     fn start(&mut self, command: EndpointCommand) -> Option<Rejected> {
         self.connections.retain(|_, connection| !connection.tasks.is_closed());
         let number = match self.idle_connection() {
--- a/src/upstream/tds/session.rs
+++ b/src/upstream/tds/session.rs
@@ -1,4 +1,4 @@
-//! A TDS session with an engine: login, packets and tokens.
+//! A TDS session with an engine: login, packets, tokens and cancellation.
 
 use super::Login;
 use crate::clock::Micros;
@@ -13,25 +13,25 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// An engine that has not acknowledged an attention after this long counts as gone.
+/// Time within which an engine has to acknowledge an Attention. The session is closed after it.
 const ATTENTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Room for what is received at first.
+/// Initial capacity of the receive buffer.
 const INPUT_BYTES: usize = 8192;
 
-/// An open session.
+/// An open session. It executes one batch at a time.
 pub(super) struct Session {
     stream: TcpStream,
     received: BytesMut,
     tokens: BytesMut,
     columns: Vec<Column>,
-    /// Whether the last packet of the engine's message is here.
+    /// Whether the last packet of the engine's message was received.
     message_complete: bool,
-    /// When the last token came.
+    /// Time at which the last token was received.
     pub(super) last_token: Micros,
 }
 
 impl Session {
-    /// Connects and logs in. Nothing ran before the login: whatever fails here, the request was never sent.
+    /// Connects and logs in. On any error, no request was sent.
     pub(super) async fn open(
         address: SocketAddr,
         credentials: &Login,
@@ -39,7 +39,7 @@
     ) -> Result<Session, ConnectionEnd> {
         let stream = TcpStream::connect(address).await.map_err(|error| failed_connect(&error))?;
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("no delay: {error}");
+            log::debug!(address:%, error:%; "TDS engine: TCP_NODELAY not set");
         }
         let mut session = Session {
             stream,
@@ -64,7 +64,9 @@
         loop {
             match self.next_token().await? {
                 Token::LoginAck => acknowledged = true,
-                Token::Error { number, text } => log::error!("an engine denies the login: {number} {text}"),
+                Token::Error { number, text } => {
+                    log::error!("TDS engine rejected the login: error {number}: {text}")
+                }
                 Token::Done { more: false, .. } if acknowledged => return Ok(()),
                 Token::Done { more: false, .. } => return Err(ConnectionEnd::ConnectTimeout),
                 _ => {}
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The two directions of the session's stream, to close it.
+    /// Splits the session's stream into its two directions, for closing it.
     pub(super) fn into_split(self) -> (OwnedReadHalf, OwnedWriteHalf) {
         self.stream.into_split()
     }
@@ -85,12 +87,12 @@
         sent.map_err(|error| failed_io(&error))
     }
 
-    /// Whether the engine's message has been read to its end.
+    /// Returns whether the engine's message has been read to its end.
     pub(super) fn is_message_complete(&self) -> bool {
         self.message_complete
     }
 
-    /// Reads one more packet. Cancel safe: the future can be dropped at any point and no byte is lost.
+    /// Reads one more packet. Cancel safe: no byte is lost if the future is dropped.
     async fn read_packet(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             match packet::next_packet(&mut self.received) {
@@ -104,7 +106,7 @@
                 }
                 Ok(None) => {}
                 Err(error) => {
-                    log::warn!("a TDS engine's packet can't be used: {error}");
+                    log::warn!(error:%; "TDS engine sent an invalid packet: session closed");
                     return Err(ConnectionEnd::Malformed);
                 }
             }
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The next complete token. Cancel safe: the future can be dropped at any point and no byte is lost.
+    /// Reads the next complete token. Cancel safe: no byte is lost if the future is dropped.
     pub(super) async fn next_token(&mut self) -> Result<Token, ConnectionEnd> {
         loop {
             let mut input = &self.tokens[..];
@@ -129,14 +131,17 @@
                 return Ok(token);
             }
             if self.message_complete {
-                log::warn!("a TDS engine's answer can't be used");
+                log::warn!(
+                    remaining_bytes = available;
+                    "TDS engine sent a message that ends within a token: session closed"
+                );
                 return Err(ConnectionEnd::Malformed);
             }
             self.read_packet().await?;
         }
     }
 
-    /// Sends an attention and reads to its acknowledgement; true where the session can carry another request then.
+    /// Sends an Attention and reads until its acknowledgement. Returns true if the session can carry another request.
     pub(super) async fn cancel(&mut self) -> bool {
         let sent = self.stream.write_all(&packet::message(packet::ATTENTION, &[])).await;
         if sent.is_err() {
@@ -151,7 +156,7 @@
             match self.next_token().await {
                 Ok(Token::Done { attention: true, .. }) => return true,
                 Ok(_) => {}
-                // The rest of the answer may come first, as a message of its own.
+                // The engine may first send the rest of the response, as a separate message.
                 Err(ConnectionEnd::Malformed) if self.tokens.is_empty() && self.message_complete => {
                     self.message_complete = false;
                 }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Commands to connections whose queues are full.
+//! Commands to a connection whose queue is full.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     EndpointCommand::Cancel { attempt: AttemptId { request: 1, number }, confirm: true }
 }
 
-/// Guards against an attempt that runs on because its cancellation was dropped.
+/// Guards against an attempt that stays in flight because its cancellation was dropped from a full queue.
 #[tokio::test]
 async fn a_cancellation_waits_for_a_full_queue_and_is_not_dropped() {
     let (queue, mut commands) = mpsc::channel(1);
