--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -70,7 +70,7 @@
     /// DNS name whose SRV records are queried.
     pub service: String,
     /// The list in the configuration.
-    pub listed: EngineList,
+    pub configured_engines: EngineList,
 }
 
 /// The complete list of one response.
@@ -87,7 +87,7 @@
     clock: Clock,
     seed: u64,
 ) {
-    let mut list = target.borrow_and_update().listed.clone();
+    let mut list = target.borrow_and_update().configured_engines.clone();
     let mut rng = oorandom::Rand32::new(seed);
     loop {
         let (resolver, service) = {
@@ -103,7 +103,7 @@
         if !target_changed {
             return;
         }
-        let changed = list.update_from(&target.borrow_and_update().listed);
+        let changed = list.update_from(&target.borrow_and_update().configured_engines);
         if notify(&handle, changed).await.is_err() {
             return;
         }
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -76,8 +76,8 @@
 /// The limits of connections to engines.
 pub fn upstream_limits(config: &Config, descriptors: DescriptorBudget) -> UpstreamLimits {
     let progress_interval_ms = config.front.settings.engines.progress_interval_ms;
-    let reports_progress = progress_interval_ms > 0.0;
-    let silence_timeout = if reports_progress {
+    let engines_report_progress = progress_interval_ms > 0.0;
+    let silence_timeout = if engines_report_progress {
         Micros::from_ms(progress_interval_ms * MISSING_PROGRESS_REPORTS).max(LINE_TIMEOUT)
     } else {
         DEFAULT_SILENCE_TIMEOUT
@@ -85,14 +85,14 @@
     let connect_timeout = Micros::from_ms(config.connect_ms);
     UpstreamLimits {
         connect_timeout: connect_timeout.to_duration(),
-        probe_timeout: connect_timeout,
-        silent_after: silence_timeout,
-        reports_progress,
-        line_within: LINE_TIMEOUT,
-        idle_after: Micros::from_ms(config.keepalive_ms * IDLE_TIMEOUT_FRACTION),
-        collected: descriptors.max_result_bytes(),
-        streams: config.streams,
-        connections: match config.wire {
+        health_check_timeout: connect_timeout,
+        silence_timeout,
+        engines_report_progress,
+        incomplete_response_timeout: LINE_TIMEOUT,
+        idle_timeout: Micros::from_ms(config.keepalive_ms * IDLE_TIMEOUT_FRACTION),
+        max_buffered_result_bytes: descriptors.max_result_bytes(),
+        max_attempts_per_connection: config.streams,
+        max_connections: match config.wire {
             UpstreamProtocol::LineProtocol => MAX_LINE_PROTOCOL_CONNECTIONS,
             UpstreamProtocol::Tds(_) => MAX_TDS_CONNECTIONS,
         },
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -49,7 +49,7 @@
         self.discovery_target.send_replace(DiscoveryTarget {
             resolver: config.resolver,
             service: config.service,
-            listed: config.listed,
+            configured_engines: config.listed,
         });
         self.renew_admin_certificate(config.admin);
         log::info!("SIGHUP: the configuration is reloaded");
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -183,7 +183,7 @@
     let target = DiscoveryTarget {
         resolver: config.resolver,
         service: config.service.clone(),
-        listed: config.listed.clone(),
+        configured_engines: config.listed.clone(),
     };
     let (sender, receiver) = watch::channel(target);
     tokio::spawn(discovery::run(receiver, handles.service.clone(), handles.clock, config.seed));
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -112,7 +112,7 @@
                         }
                     }
                     Command::Log(text) => log::info!("module: {text}"),
-                    other => failures.extend(self.upstream.carry_out(other)),
+                    other => failures.extend(self.upstream.apply_command(other)),
                 }
             }
             for input in failures {
--- a/src/upstream/line_protocol/connection/in_flight.rs
+++ b/src/upstream/line_protocol/connection/in_flight.rs
@@ -52,7 +52,7 @@
     }
 
     /// Stores one page of the result.
-    pub(super) fn add_page(&mut self, response: &Response, max_collected_bytes: usize) -> PageOutcome {
+    pub(super) fn add_page(&mut self, response: &Response, max_buffered_result_bytes: usize) -> PageOutcome {
         let first = response.kind == ResponseKind::Ok && self.pages.is_empty();
         if first {
             self.pages = vec![None; response.fields.page_count.unwrap_or(1).max(1) as usize];
@@ -67,7 +67,7 @@
         }
         // A slice of the receive buffer would keep that whole buffer allocated.
         *slot = Some(Bytes::copy_from_slice(&response.body));
-        match self.budget.add(response.body.len(), max_collected_bytes) {
+        match self.budget.add(response.body.len(), max_buffered_result_bytes) {
             true => PageOutcome::Kept { first },
             false => PageOutcome::OverBudget,
         }
--- a/src/upstream/line_protocol/connection/responses.rs
+++ b/src/upstream/line_protocol/connection/responses.rs
@@ -69,9 +69,9 @@
 
     /// Handles a page of a result. The first one says how many pages there are, and all others are requested at once.
     async fn page(&mut self, response: Response) -> Result<(), Stop> {
-        let max_collected_bytes = self.context.limits.collected;
+        let max_buffered_result_bytes = self.context.limits.max_buffered_result_bytes;
         let Some(in_flight) = self.in_flight.get_mut(&response.id) else { return Ok(()) };
-        match in_flight.add_page(&response, max_collected_bytes) {
+        match in_flight.add_page(&response, max_buffered_result_bytes) {
             PageOutcome::Unexpected => {
                 log::warn!(
                     engine = self.context.engine, request:% = in_flight.attempt, name = response.id.as_str(),
--- a/src/upstream/line_protocol/connection/timeouts.rs
+++ b/src/upstream/line_protocol/connection/timeouts.rs
@@ -19,12 +19,12 @@
     /// Returns when [`Connection::time_passed`] has to be called next.
     pub(super) fn next_timeout(&self) -> Instant {
         let limits = &self.context.limits;
-        let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.probe_timeout);
-        let reported = self.in_flight.values().filter(|_| limits.reports_progress);
-        let unmentioned = reported.map(|in_flight| in_flight.last_mention + limits.silent_after);
-        let incomplete = self.incomplete_since.map(|since| since + limits.line_within);
+        let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.health_check_timeout);
+        let reported = self.in_flight.values().filter(|_| limits.engines_report_progress);
+        let unmentioned = reported.map(|in_flight| in_flight.last_mention + limits.silence_timeout);
+        let incomplete = self.incomplete_since.map(|since| since + limits.incomplete_response_timeout);
         let first = health_checks.chain(unmentioned).chain(self.silent_at()).chain(incomplete).min();
-        let at = first.unwrap_or(self.last_command + limits.idle_after);
+        let at = first.unwrap_or(self.last_command + limits.idle_timeout);
         self.context.clock.instant(at)
     }
 
@@ -37,7 +37,7 @@
 
     /// Returns whether the engine owes a response.
     fn is_response_due(&self) -> bool {
-        let reports = self.context.limits.reports_progress && !self.in_flight.is_empty();
+        let reports = self.context.limits.engines_report_progress && !self.in_flight.is_empty();
         reports || !self.health_checks.is_empty() || self.stopping.awaits_confirmation()
     }
 
@@ -45,7 +45,7 @@
     /// nothing.
     fn silent_at(&self) -> Option<Micros> {
         let since = self.response_due_since.into_iter().chain(self.output.stalled_since).min();
-        since.map(|since| since + self.context.limits.silent_after)
+        since.map(|since| since + self.context.limits.silence_timeout)
     }
 
     /// Handles the expired timeouts.
@@ -55,8 +55,8 @@
             return Err(Stop::Connection(ConnectionEnd::Silent));
         }
         // Guards against a response that stays incomplete, or arrives too slowly. It blocks all responses behind it.
-        let line_within = self.context.limits.line_within;
-        if self.incomplete_since.is_some_and(|since| now >= since + line_within) {
+        let incomplete_response_timeout = self.context.limits.incomplete_response_timeout;
+        if self.incomplete_since.is_some_and(|since| now >= since + incomplete_response_timeout) {
             log::warn!(
                 engine = self.context.engine;
                 "engine connection closed: response not complete within the time limit"
@@ -64,7 +64,7 @@
             return Err(Stop::Connection(ConnectionEnd::Malformed));
         }
         self.give_up_unmentioned(now);
-        if !self.is_busy() && now >= self.last_command + self.context.limits.idle_after {
+        if !self.is_busy() && now >= self.last_command + self.context.limits.idle_timeout {
             return Err(Stop::Idle);
         }
         self.time_out_health_checks(now).await
@@ -74,10 +74,10 @@
     /// request can be retried before its deadline.
     fn give_up_unmentioned(&mut self, now: Micros) {
         let limits = &self.context.limits;
-        if !limits.reports_progress {
+        if !limits.engines_report_progress {
             return;
         }
-        let oldest = now - limits.silent_after;
+        let oldest = now - limits.silence_timeout;
         let unmentioned = self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_mention <= oldest);
         let requests: Vec<String> = unmentioned.map(|(request, _)| request.clone()).collect();
         for request in requests {
@@ -90,7 +90,7 @@
     }
 
     async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), Stop> {
-        let oldest = now - self.context.limits.probe_timeout;
+        let oldest = now - self.context.limits.health_check_timeout;
         let late = self.health_checks.iter().filter(|(_, sent_at)| **sent_at <= oldest);
         let tags: Vec<String> = late.map(|(tag, _)| tag.clone()).collect();
         for tag in tags {
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -47,9 +47,9 @@
 
     /// Returns whether the connection may carry one more attempt with this client request id, or a health check
     /// (`None`).
-    fn accepts(&self, name: Option<&str>, max_streams: usize) -> bool {
+    fn accepts(&self, name: Option<&str>, max_attempts: usize) -> bool {
         let may_confuse = name.is_some_and(|name| self.carried.contains(name));
-        !self.retired && !may_confuse && self.load() < max_streams
+        !self.retired && !may_confuse && self.load() < max_attempts
     }
 
     /// Passes a command to the connection. Returns the command if the connection does not accept it.
@@ -138,14 +138,14 @@
     /// connection has capacity.
     fn send_to_one(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
         let limits = &self.context.limits;
-        let max_streams = limits.streams;
+        let max_attempts = limits.max_attempts_per_connection;
         let name = request_name(&command);
-        let is_light = |one: &Connection| one.accepts(name, max_streams) && one.load() < PREFERRED_LOAD;
-        if !self.connections.iter().any(is_light) && self.connections.len() < limits.connections {
+        let is_light = |one: &Connection| one.accepts(name, max_attempts) && one.load() < PREFERRED_LOAD;
+        if !self.connections.iter().any(is_light) && self.connections.len() < limits.max_connections {
             self.connections.push(Connection::open(&self.context, self.address));
         }
         let now = self.context.clock.now();
-        let usable = self.connections.iter_mut().filter(|one| one.accepts(name, max_streams));
+        let usable = self.connections.iter_mut().filter(|one| one.accepts(name, max_attempts));
         match usable.min_by_key(|one| one.load()) {
             Some(connection) => connection.send(now, command),
             None => Some(command),
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -70,23 +70,23 @@
     /// Time within which a connection has to be established.
     pub connect_timeout: Duration,
     /// Time within which a health check has to be answered.
-    pub probe_timeout: Micros,
+    pub health_check_timeout: Micros,
     /// A connection ends when the engine owes a response and sends nothing for this long. If engines report progress,
     /// the same time limits how long an engine may send nothing about one request.
-    pub silent_after: Micros,
+    pub silence_timeout: Micros,
     /// Whether engines send progress notes of each request that they execute. If they do not, the absence of notes says
     /// nothing about a request.
-    pub reports_progress: bool,
+    pub engines_report_progress: bool,
     /// Time from the first byte of a response within which it has to be complete.
-    pub line_within: Micros,
+    pub incomplete_response_timeout: Micros,
     /// Time after which an idle connection is closed.
-    pub idle_after: Micros,
+    pub idle_timeout: Micros,
     /// Limit of the bytes of incomplete results that are buffered at once, over all engines.
-    pub collected: usize,
+    pub max_buffered_result_bytes: usize,
     /// Limit of the attempts that one connection carries at once.
-    pub streams: usize,
+    pub max_attempts_per_connection: usize,
     /// Limit of the connections to one engine.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Counts the buffered bytes of one incomplete result. They are part of the sum over all engines until this is dropped.
@@ -124,13 +124,13 @@
     /// Limits and timeouts, the same for all engines.
     pub limits: UpstreamLimits,
     /// Bytes of incomplete results that the connections to all engines buffer now.
-    pub collected: Arc<AtomicUsize>,
+    pub buffered_result_bytes: Arc<AtomicUsize>,
 }
 
 impl EndpointContext {
     /// Returns an empty budget for one result.
     pub fn collect(&self) -> ResultBudget {
-        ResultBudget { bytes: 0, total: self.collected.clone() }
+        ResultBudget { bytes: 0, total: self.buffered_result_bytes.clone() }
     }
 
     /// Reports an event of an attempt.
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -24,7 +24,7 @@
     handle: ServiceHandle,
     clock: Clock,
     limits: UpstreamLimits,
-    collected: Arc<AtomicUsize>,
+    buffered_result_bytes: Arc<AtomicUsize>,
     /// Command queue of each engine's task by engine number. A task ends, with its connections, once its sender is
     /// dropped.
     engines: HashMap<u64, mpsc::Sender<EndpointCommand>>,
@@ -44,12 +44,19 @@
         clock: Clock,
         limits: UpstreamLimits,
     ) -> UpstreamPool {
-        UpstreamPool { protocol, handle, clock, limits, collected: Arc::default(), engines: HashMap::new() }
+        UpstreamPool {
+            protocol,
+            handle,
+            clock,
+            limits,
+            buffered_result_bytes: Arc::default(),
+            engines: HashMap::new(),
+        }
     }
 
     /// Applies a command of the core. If the engine's task does not accept it, returns its end as an input for the
     /// core.
-    pub fn carry_out(&mut self, command: Command) -> Option<Input> {
+    pub fn apply_command(&mut self, command: Command) -> Option<Input> {
         let Addressed { engine, command } = self.addressed(command)?;
         let rejected = match self.engines.get(&engine) {
             Some(task) if matches!(command, EndpointCommand::Cancel { .. }) => {
@@ -106,7 +113,7 @@
             handle: self.handle.clone(),
             clock: self.clock,
             limits: self.limits.clone(),
-            collected: self.collected.clone(),
+            buffered_result_bytes: self.buffered_result_bytes.clone(),
         };
         match &self.protocol {
             UpstreamProtocol::LineProtocol => tokio::spawn(line_protocol::run(context, address, commands)),
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -62,10 +62,10 @@
 
 /// Executes tasks until the session breaks or has been idle for the idle timeout.
 pub(super) async fn run(setup: Setup, mut tasks: mpsc::Receiver<Task>) {
-    let idle_after = setup.context.limits.idle_after.to_duration();
+    let idle_timeout = setup.context.limits.idle_timeout.to_duration();
     let mut session: Option<Session> = None;
     loop {
-        let Ok(Some(task)) = tokio::time::timeout(idle_after, tasks.recv()).await else { break };
+        let Ok(Some(task)) = tokio::time::timeout(idle_timeout, tasks.recv()).await else { break };
         let Task::Run(command) = task else { continue };
         let (open, started_at) = (session.take(), setup.context.clock.now());
         let mut current = match open {
@@ -144,7 +144,7 @@
 
     /// Asks for the load report and reports it; true where the session can carry another request.
     async fn check_health(&self, session: &mut Session, started_at: Micros) -> Result<bool, ServiceEnded> {
-        let timeout = self.context.limits.probe_timeout.to_duration();
+        let timeout = self.context.limits.health_check_timeout.to_duration();
         let (end, report) = match tokio::time::timeout(timeout, query_load(session)).await {
             Ok(Ok(report)) => (ConnectionEnd::Answered, Some(report)),
             Ok(Err(end)) => (end, None),
@@ -188,7 +188,7 @@
         session.last_token = self.context.clock.now();
         loop {
             let limits = &self.context.limits;
-            let silent_at = self.context.clock.instant(session.last_token + limits.silent_after);
+            let silent_at = self.context.clock.instant(session.last_token + limits.silence_timeout);
             let token = tokio::select! {
                 token = session.next_token() => match token {
                     Ok(token) => token,
@@ -206,7 +206,7 @@
                 },
                 // An engine sends progress notes as long as it executes a request. Health checks, which use other
                 // connections, detect an engine that hangs.
-                () = tokio::time::sleep_until(silent_at.into()), if limits.reports_progress => {
+                () = tokio::time::sleep_until(silent_at.into()), if limits.engines_report_progress => {
                     log::warn!(
                         engine = self.context.engine, request:% = self.id, name = self.call.name.as_str();
                         "TDS engine sent nothing about a request within the silence timeout: attempt lost"
@@ -256,7 +256,7 @@
 
     fn row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
         let bytes = row.iter().flatten().map(String::len).sum();
-        if !self.budget.add(bytes, self.context.limits.collected) {
+        if !self.budget.add(bytes, self.context.limits.max_buffered_result_bytes) {
             log::warn!(
                 engine = self.context.engine, request:% = self.id;
                 "result of a TDS engine exceeds the buffer limit: attempt lost"
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -75,7 +75,7 @@
         tokio::select! {
             command = commands.recv() => {
                 let Some(command) = command else { return };
-                if let Some(Rejected { command, end }) = pool.carry_out(command)
+                if let Some(Rejected { command, end }) = pool.apply_command(command)
                     && pool.context.unwritten(command, end).await.is_err()
                 {
                     return;
@@ -97,7 +97,7 @@
 }
 
 impl Pool {
-    fn carry_out(&mut self, command: EndpointCommand) -> Option<Rejected> {
+    fn apply_command(&mut self, command: EndpointCommand) -> Option<Rejected> {
         match command {
             EndpointCommand::Address(address) => self.address = address,
             // TDS cannot change the priority of a running batch, so the batch retains the priority it was sent with.
@@ -125,7 +125,7 @@
         self.connections.retain(|_, connection| !connection.tasks.is_closed());
         let number = match self.idle_connection() {
             Some(number) => number,
-            None if self.connections.len() >= self.context.limits.connections => {
+            None if self.connections.len() >= self.context.limits.max_connections => {
                 return Some(Rejected { command, end: ConnectionEnd::ConnectTimeout });
             }
             None => self.open_connection(),
