--- a/src/discovery/dns.rs
+++ b/src/discovery/dns.rs
@@ -32,7 +32,7 @@
 
 /// An SRV record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Service {
+pub struct SrvRecord {
     /// 0 for a ready engine; any other value says that the engine is draining.
     pub priority: u16,
     /// Ten times the engine's relative size.
@@ -49,7 +49,7 @@
     /// Serial of the SOA record; `None` without that record.
     pub serial: Option<u32>,
     /// All SRV records, in the order of the message.
-    pub services: Vec<Service>,
+    pub srv_records: Vec<SrvRecord>,
     /// Addresses of the A records by owner name.
     pub addresses: HashMap<String, [u8; 4]>,
     /// Strings of the TXT records by owner name.
@@ -92,10 +92,10 @@
 /// Parses a name, which may continue at another offset of the message. Returns it in lower case, without the final dot.
 fn name(message: &[u8], input: &mut &[u8]) -> Parsed<String> {
     let mut text = String::new();
-    let mut elsewhere: Option<&[u8]> = None;
+    let mut pointer_target: Option<&[u8]> = None;
     let mut pointers = 0;
     loop {
-        let read = match &mut elsewhere {
+        let read = match &mut pointer_target {
             Some(rest) => label(rest)?,
             None => label(input)?,
         };
@@ -108,7 +108,7 @@
                 text.push_str(&String::from_utf8_lossy(text_part).to_ascii_lowercase());
             }
             Label::Pointer(offset) => {
-                elsewhere = Some(message.get(offset..).ok_or_else(ContextError::new)?);
+                pointer_target = Some(message.get(offset..).ok_or_else(ContextError::new)?);
                 pointers += 1;
             }
         }
@@ -144,7 +144,7 @@
     match kind {
         SRV => {
             let (priority, weight, port) = (be_u16, be_u16, be_u16).parse_next(data)?;
-            response.services.push(Service { priority, weight, port, target: name(message, data)? });
+            response.srv_records.push(SrvRecord { priority, weight, port, target: name(message, data)? });
         }
         A => {
             let bytes: [u8; 4] =
@@ -171,17 +171,17 @@
 /// Fails if the message is not a complete DNS response, is truncated, or has an error code.
 pub fn parse(message: &[u8]) -> Result<Response, DiscoveryError> {
     let mut input = message;
-    let header = header(&mut input).map_err(|_| DiscoveryError::Unreadable)?;
+    let header = header(&mut input).map_err(|_| DiscoveryError::Malformed)?;
     if header.flags & FLAG_RESPONSE == 0 {
-        return Err(DiscoveryError::Unreadable);
+        return Err(DiscoveryError::Malformed);
     }
     if header.flags & FLAG_TRUNCATED != 0 {
         return Err(DiscoveryError::Truncated);
     }
     if header.flags & CODE_MASK != 0 {
-        return Err(DiscoveryError::Code((header.flags & CODE_MASK) as u8));
+        return Err(DiscoveryError::ErrorCode((header.flags & CODE_MASK) as u8));
     }
-    sections(message, &mut input, &header).map_err(|_| DiscoveryError::Unreadable)
+    sections(message, &mut input, &header).map_err(|_| DiscoveryError::Malformed)
 }
 
 fn sections(message: &[u8], input: &mut &[u8], header: &Header) -> Parsed<Response> {
--- a/src/discovery/dns/tests.rs
+++ b/src/discovery/dns/tests.rs
@@ -22,20 +22,20 @@
 }
 
 #[test]
-fn a_response_is_parsed() {
+fn complete_response_is_parsed() {
     let response = parse(&sample()).unwrap();
     assert_eq!(response.serial, Some(42));
     let target = "s-0a.east.hosts".to_owned();
     assert_eq!(
-        response.services,
-        vec![Service { priority: 0, weight: 40, port: 8080, target: target.clone() }]
+        response.srv_records,
+        vec![SrvRecord { priority: 0, weight: 40, port: 8080, target: target.clone() }]
     );
     assert_eq!(response.addresses[&target], [127, 0, 0, 9]);
     assert_eq!(response.texts[&target], vec!["kind=std", "started=0"]);
 }
 
 #[test]
-fn a_response_that_is_cut_or_points_in_circles_is_an_error() {
+fn incomplete_response_or_pointer_cycle_is_an_error() {
     let complete = sample();
     for cut in 0..complete.len() {
         assert!(parse(&complete[..cut]).is_err(), "cut at {cut}");
@@ -43,7 +43,7 @@
     let mut truncated = complete.clone();
     truncated[2] |= 0x02;
     assert!(matches!(parse(&truncated), Err(DiscoveryError::Truncated)));
-    let mut circle = complete;
-    circle[12..14].copy_from_slice(&[0xc0, 0x0c]);
-    assert!(parse(&circle).is_err());
+    let mut cycle = complete;
+    cycle[12..14].copy_from_slice(&[0xc0, 0x0c]);
+    assert!(parse(&cycle).is_err());
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -14,7 +14,7 @@
 use crate::core::{Engine, EngineListUpdate, Input};
 use crate::decision::EngineState;
 use crate::service::{ServiceEnded, ServiceHandle};
-use queries::Queries;
+use queries::QuerySocket;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use thiserror::Error;
@@ -39,13 +39,13 @@
 pub enum DiscoveryError {
     /// The message is not DNS, or is not a response.
     #[error("response is not a valid DNS response")]
-    Unreadable,
+    Malformed,
     /// The truncation flag is set, so the response does not list all engines.
     #[error("response is truncated")]
     Truncated,
     /// The response has an error code (RFC 1035, section 4.1.1).
     #[error("response has error code {0}")]
-    Code(u8),
+    ErrorCode(u8),
     /// A record or label that the list or an engine needs is missing; the value says which.
     #[error("response has no {0}")]
     Missing(&'static str),
@@ -65,7 +65,7 @@
 /// What the configuration says about discovery. A reload replaces it.
 #[derive(Debug)]
 pub struct DiscoveryTarget {
-    /// Address of the name service. Without one, the configured list is used and never polled.
+    /// Address of the name service. Without one, the configured list is used unchanged.
     pub resolver: Option<SocketAddr>,
     /// DNS name whose SRV records are queried.
     pub service: String,
@@ -132,7 +132,7 @@
     async fn poll(&mut self, resolver: Option<SocketAddr>) -> ServiceEnded {
         let Some(resolver) = resolver else { return std::future::pending().await };
         let mut buffer = vec![0; MAX_RESPONSE_BYTES];
-        let mut failures = Failures::default();
+        let mut failures = ConsecutiveFailures::default();
         let mut queries = None;
         loop {
             let deadline = Instant::now() + POLL_INTERVAL;
@@ -145,7 +145,7 @@
                     }
                 }
                 Err(error) => {
-                    if failures.count(&error) {
+                    if failures.record(&error) {
                         queries = None;
                     }
                 }
@@ -157,14 +157,14 @@
     async fn query(
         &mut self,
         resolver: SocketAddr,
-        queries: &mut Option<Queries>,
+        queries: &mut Option<QuerySocket>,
         buffer: &mut [u8],
         deadline: Instant,
     ) -> Result<ListedEngines, QueryError> {
         let id = (self.rng.rand_u32() & 0xffff) as u16;
         let queries = match queries {
             Some(queries) => queries,
-            None => queries.insert(Queries::connect(resolver).await?),
+            None => queries.insert(QuerySocket::connect(resolver).await?),
         };
         queries.send(self.service, id).await?;
         let response = queries.response(buffer, deadline).await?;
@@ -174,9 +174,9 @@
 
 /// Number of consecutive queries that failed.
 #[derive(Default)]
-struct Failures(u32);
+struct ConsecutiveFailures(u32);
 
-impl Failures {
+impl ConsecutiveFailures {
     fn reset(&mut self) {
         if self.0 >= FAILURES_PER_WARNING {
             log::info!(count = self.0; "name service: responds again after failed queries");
@@ -185,7 +185,7 @@
     }
 
     /// Counts and logs a failure. Returns true if the next query has to use a new socket.
-    fn count(&mut self, error: &QueryError) -> bool {
+    fn record(&mut self, error: &QueryError) -> bool {
         self.0 += 1;
         match self.0 % FAILURES_PER_WARNING {
             1 => log::warn!(error:%, count = self.0; "name service: query failed"),
@@ -197,8 +197,8 @@
 
 /// Returns the engines that a response lists, and the serial of the list.
 fn listed_engines(response: &dns::Response, clock: &Clock) -> Result<ListedEngines, DiscoveryError> {
-    let mut engines = Vec::with_capacity(response.services.len());
-    for service in &response.services {
+    let mut engines = Vec::with_capacity(response.srv_records.len());
+    for service in &response.srv_records {
         engines.push(listed_engine(service, response, clock)?);
     }
     let serial = response.serial.ok_or(DiscoveryError::Missing("SOA record with the serial of the list"))?;
@@ -206,7 +206,7 @@
 }
 
 fn listed_engine(
-    service: &dns::Service,
+    service: &dns::SrvRecord,
     response: &dns::Response,
     clock: &Clock,
 ) -> Result<Engine, DiscoveryError> {
--- a/src/discovery/queries.rs
+++ b/src/discovery/queries.rs
@@ -11,20 +11,20 @@
 
 /// A socket, and the ids of the open queries sent from it, oldest first. Late responses to them are accepted as well.
 #[derive(Debug)]
-pub(super) struct Queries {
+pub(super) struct QuerySocket {
     socket: UdpSocket,
     open: VecDeque<u16>,
 }
 
-impl Queries {
-    pub(super) async fn connect(resolver: SocketAddr) -> Result<Queries, QueryError> {
+impl QuerySocket {
+    pub(super) async fn connect(resolver: SocketAddr) -> Result<QuerySocket, QueryError> {
         let any_port = match resolver {
             SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
             SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
         };
         let socket = UdpSocket::bind(any_port).await?;
         socket.connect(resolver).await?;
-        Ok(Queries { socket, open: VecDeque::new() })
+        Ok(QuerySocket { socket, open: VecDeque::new() })
     }
 
     /// Returns the local address of the socket.
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_list_that_arrives_late_changes_nothing() {
+fn list_with_a_lower_serial_is_ignored() {
     let mut list = EngineList::default();
     list.apply_initial(4, true, vec![engine("x", EngineState::Ready)]);
     assert_eq!(list.update(6, vec![engine("x", EngineState::Draining)]).len(), 1);
@@ -34,17 +34,17 @@
 
 /// Guards against reading, after one late response, each response one query too late from then on.
 #[tokio::test]
-async fn a_late_response_counts_and_delays_none_after_it() {
+async fn late_response_is_accepted_and_does_not_delay_later_ones() {
     let service = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let mut queries = Queries::connect(service.local_addr().unwrap()).await.unwrap();
+    let mut queries = QuerySocket::connect(service.local_addr().unwrap()).await.unwrap();
     let here = queries.local_addr().unwrap();
     let mut buffer = [0; 512];
-    let soon = || Instant::now() + Duration::from_millis(100);
+    let in_100_ms = || Instant::now() + Duration::from_millis(100);
     queries.send("svc", 1).await.unwrap();
-    assert!(queries.response(&mut buffer, soon()).await.is_err());
+    assert!(queries.response(&mut buffer, in_100_ms()).await.is_err());
     queries.send("svc", 2).await.unwrap();
     service.send_to(&serial(1, 5), here).await.unwrap();
-    let late = queries.response(&mut buffer, soon()).await.unwrap();
+    let late = queries.response(&mut buffer, in_100_ms()).await.unwrap();
     assert_eq!(late.serial, Some(5));
     queries.send("svc", 3).await.unwrap();
     for (id, number) in [(9, 9), (2, 6), (3, 7)] {
--- a/src/upstream/closing.rs
+++ b/src/upstream/closing.rs
@@ -13,25 +13,25 @@
 /// Time to wait for the engine's close after the manager's. Engines hang for less than this.
 const CLOSE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
 /// Size of the buffer for what an engine still sends after the manager's close. Its content is dropped.
-const DROPPED_BYTES: usize = 4096;
+const DRAIN_BUFFER_BYTES: usize = 4096;
 
 /// Whether an engine has discarded the attempts of a connection that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Dropped {
+enum DiscardStatus {
     /// The engine has discarded them.
-    Yes,
+    Discarded,
     /// The engine discards them once it has read the manager's close.
-    WithTheClose,
+    AfterClose,
     /// The connection can no longer show whether the engine has discarded them.
     Unknown,
 }
 
-impl From<ConnectionEnd> for Dropped {
-    fn from(end: ConnectionEnd) -> Dropped {
+impl From<ConnectionEnd> for DiscardStatus {
+    fn from(end: ConnectionEnd) -> DiscardStatus {
         match end {
-            ConnectionEnd::Closed | ConnectionEnd::Reset => Dropped::Yes,
-            ConnectionEnd::Broken => Dropped::Unknown,
-            _ => Dropped::WithTheClose,
+            ConnectionEnd::Closed | ConnectionEnd::Reset => DiscardStatus::Discarded,
+            ConnectionEnd::Broken => DiscardStatus::Unknown,
+            _ => DiscardStatus::AfterClose,
         }
     }
 }
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Fails if the service has ended.
-pub async fn report_written(
+pub async fn report_written_attempts(
     context: &EndpointContext,
     written: Vec<AttemptId>,
     end: ConnectionEnd,
@@ -51,16 +51,16 @@
     if written.is_empty() {
         return Ok(());
     }
-    let mut dropped = Dropped::from(end);
-    if dropped != Dropped::Yes {
+    let mut discard_status = DiscardStatus::from(end);
+    if discard_status != DiscardStatus::Discarded {
         for attempt in &written {
-            context.lost(*attempt, end).await?;
+            context.report_lost(*attempt, end).await?;
         }
     }
-    if dropped == Dropped::WithTheClose {
-        dropped = close(reader, writer).await;
+    if discard_status == DiscardStatus::AfterClose {
+        discard_status = close_and_drain(reader, writer).await;
     }
-    if dropped != Dropped::Yes {
+    if discard_status != DiscardStatus::Discarded {
         let count = written.len();
         log::warn!(
             engine = context.engine, count, reason:? = end;
@@ -69,37 +69,40 @@
         return Ok(());
     }
     for attempt in written {
-        context.ended(attempt, end).await?;
+        context.report_ended(attempt, end).await?;
     }
     Ok(())
 }
 
-/// Closes a connection and waits for the engine's close, which shows that the engine has read it.
-async fn close(mut reader: impl AsyncRead + Unpin, mut writer: impl AsyncWrite + Unpin) -> Dropped {
+/// Closes a connection and waits for the engine's close, which shows that the engine has read the manager's.
+async fn close_and_drain(
+    mut reader: impl AsyncRead + Unpin,
+    mut writer: impl AsyncWrite + Unpin,
+) -> DiscardStatus {
     if let Err(error) = writer.shutdown().await {
-        return read_error(&error);
+        return status_after_error(&error);
     }
-    let closed = tokio::time::timeout(CLOSE_CONFIRM_TIMEOUT, read_to_end(&mut reader)).await;
-    closed.unwrap_or(Dropped::Unknown)
+    let closed = tokio::time::timeout(CLOSE_CONFIRM_TIMEOUT, drain_to_end(&mut reader)).await;
+    closed.unwrap_or(DiscardStatus::Unknown)
 }
 
-async fn read_to_end(reader: &mut (impl AsyncRead + Unpin)) -> Dropped {
-    let mut buffer = BytesMut::with_capacity(DROPPED_BYTES);
+async fn drain_to_end(reader: &mut (impl AsyncRead + Unpin)) -> DiscardStatus {
+    let mut buffer = BytesMut::with_capacity(DRAIN_BUFFER_BYTES);
     loop {
         buffer.clear();
         match reader.read_buf(&mut buffer).await {
-            Ok(0) => return Dropped::Yes,
+            Ok(0) => return DiscardStatus::Discarded,
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) => return read_error(&error),
+            Err(error) => return status_after_error(&error),
         }
     }
 }
 
 /// A reset comes from the engine, which has discarded the attempts then. Other errors don't come from the engine.
-fn read_error(error: &io::Error) -> Dropped {
+fn status_after_error(error: &io::Error) -> DiscardStatus {
     match error.kind() {
-        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Dropped::Yes,
-        _ => Dropped::Unknown,
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => DiscardStatus::Discarded,
+        _ => DiscardStatus::Unknown,
     }
 }
--- a/src/upstream/line_protocol/carried_requests.rs
+++ b/src/upstream/line_protocol/carried_requests.rs
@@ -12,29 +12,30 @@
 /// The client request ids that a connection has carried within [`RETENTION`].
 #[derive(Debug, Default)]
 pub(super) struct CarriedRequests {
-    names: HashSet<String>,
+    client_request_ids: HashSet<String>,
     by_age: VecDeque<(Micros, String)>,
 }
 
 impl CarriedRequests {
     /// Records that the connection carries a request from now on.
-    pub(super) fn insert(&mut self, now: Micros, name: &str) {
-        self.forget_old(now);
-        if self.names.insert(name.to_owned()) {
-            self.by_age.push_back((now, name.to_owned()));
+    pub(super) fn insert(&mut self, now: Micros, client_request_id: &str) {
+        self.remove_expired(now);
+        if self.client_request_ids.insert(client_request_id.to_owned()) {
+            self.by_age.push_back((now, client_request_id.to_owned()));
         }
     }
 
     /// Returns whether the connection has recently carried a request with this client request id.
-    pub(super) fn contains(&self, name: &str) -> bool {
-        self.names.contains(name)
+    pub(super) fn contains(&self, client_request_id: &str) -> bool {
+        self.client_request_ids.contains(client_request_id)
     }
 
-    fn forget_old(&mut self, now: Micros) {
-        let is_old = |at: Micros| now - at > RETENTION;
-        while self.by_age.front().is_some_and(|(at, _)| is_old(*at)) || self.by_age.len() >= MAX_REQUESTS {
-            let Some((_, name)) = self.by_age.pop_front() else { return };
-            self.names.remove(&name);
+    fn remove_expired(&mut self, now: Micros) {
+        let is_expired = |at: Micros| now - at > RETENTION;
+        while self.by_age.front().is_some_and(|(at, _)| is_expired(*at)) || self.by_age.len() >= MAX_REQUESTS
+        {
+            let Some((_, client_request_id)) = self.by_age.pop_front() else { return };
+            self.client_request_ids.remove(&client_request_id);
         }
     }
 }
--- a/src/upstream/line_protocol/carried_requests/tests.rs
+++ b/src/upstream/line_protocol/carried_requests/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_request_is_remembered_for_the_time_and_forgotten_after_it() {
+fn request_expires_after_the_retention_time() {
     let mut carried = CarriedRequests::default();
     carried.insert(Micros(0), "a");
     carried.insert(RETENTION, "b");
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn no_more_are_remembered_than_the_limit() {
+fn number_of_stored_requests_is_limited() {
     let mut carried = CarriedRequests::default();
     for number in 0..2 * MAX_REQUESTS {
         carried.insert(Micros(0), &number.to_string());
     }
-    assert!(carried.names.len() <= MAX_REQUESTS && carried.by_age.len() <= MAX_REQUESTS);
+    assert!(carried.client_request_ids.len() <= MAX_REQUESTS && carried.by_age.len() <= MAX_REQUESTS);
 }
--- a/src/upstream/line_protocol/connection/commands.rs
+++ b/src/upstream/line_protocol/connection/commands.rs
@@ -1,9 +1,9 @@
 //! Applies the commands of the engine's task: starts and cancels attempts, changes priorities, sends health checks.
 
 use super::in_flight::InFlight;
-use super::output::{QueuedRequest, Withdrawn};
+use super::output::{QueuedRequest, Withdrawal};
 use super::stopping::HEALTH_CHECK_PREFIX;
-use super::{Connection, Stop};
+use super::{Connection, ExchangeEnd};
 use crate::clock::Micros;
 use crate::core::AttemptId;
 use crate::core::{Call, ConnectionEnd};
@@ -13,22 +13,22 @@
 
 impl Connection {
     /// Applies a command and all that are queued behind it.
-    pub(super) fn commands(
+    pub(super) fn apply_commands(
         &mut self,
         first: EndpointCommand,
         waiting: &mut mpsc::Receiver<EndpointCommand>,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), ExchangeEnd> {
         let now = self.context.clock.now();
         let mut next = Some(first);
         while let Some(command) = next {
-            self.command(command, now)?;
+            self.apply_command(command, now)?;
             next = waiting.try_recv().ok();
         }
         Ok(())
     }
 
-    fn command(&mut self, command: EndpointCommand, now: Micros) -> Result<(), Stop> {
-        self.last_command = now;
+    fn apply_command(&mut self, command: EndpointCommand, now: Micros) -> Result<(), ExchangeEnd> {
+        self.last_command_at = now;
         match command {
             EndpointCommand::Start { attempt, call } => {
                 self.output.queued.push_back(QueuedRequest { attempt, call });
@@ -37,7 +37,7 @@
             EndpointCommand::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
             EndpointCommand::HealthCheck => self.send_health_check(now),
             // The engine's task applies it: new connections are opened to the new address.
-            EndpointCommand::Address(_) => {}
+            EndpointCommand::SetAddress(_) => {}
         }
         Ok(())
     }
@@ -50,14 +50,14 @@
         {
             let now = self.context.clock.now();
             match call.permit.remaining(now) {
-                None => self.give_back(attempt),
+                None => self.record_never_written(attempt),
                 Some(remaining) => self.begin(attempt, call, now, remaining),
             }
         }
     }
 
     fn begin(&mut self, attempt: AttemptId, call: Call, now: Micros, remaining: Micros) {
-        let patience = parse::remaining_ms(remaining.to_duration());
+        let remaining_ms = parse::remaining_ms(remaining.to_duration());
         let key = call.idempotency_key.map(|key| format!(",op={key}")).unwrap_or_default();
         let Call { name, class, priority, statement, .. } = call;
         let length = statement.len();
@@ -65,57 +65,57 @@
             name.clone(),
             attempt,
             format_args!(
-                "REQ {name} sort={class},patience={patience}{key},urgency={priority} {length}\r\n{statement}\r\n"
+                "REQ {name} sort={class},patience={remaining_ms}{key},urgency={priority} {length}\r\n{statement}\r\n"
             ),
         );
-        self.in_flight.insert(name, InFlight::new(attempt, now, self.context.collect()));
+        self.in_flight.insert(name, InFlight::new(attempt, now, self.context.result_budget()));
     }
 
     /// Records that an attempt was never completely written, so it was never executed.
-    fn give_back(&mut self, attempt: AttemptId) {
-        self.release();
+    fn record_never_written(&mut self, attempt: AttemptId) {
+        self.decrement_load();
         self.never_written.push(attempt);
     }
 
     /// Cancels an attempt. If it is partly written, the connection has to end.
-    fn cancel(&mut self, attempt: AttemptId, confirm: bool) -> Result<(), Stop> {
+    fn cancel(&mut self, attempt: AttemptId, confirm: bool) -> Result<(), ExchangeEnd> {
         match self.output.withdraw(attempt) {
-            Withdrawn::Queued => self.give_back(attempt),
-            Withdrawn::Buffered(partial) => {
-                self.remove_in_flight(&partial.request);
+            Withdrawal::Queued => self.record_never_written(attempt),
+            Withdrawal::Buffered(partial) => {
+                self.remove_in_flight(&partial.client_request_id);
                 self.never_written.push(attempt);
             }
-            Withdrawn::PartlyWritten(partial) => {
-                self.remove_in_flight(&partial.request);
+            Withdrawal::PartlyWritten(partial) => {
+                self.remove_in_flight(&partial.client_request_id);
                 self.never_written.push(attempt);
-                return Err(Stop::Connection(ConnectionEnd::ClosedHere));
+                return Err(ExchangeEnd::Connection(ConnectionEnd::ClosedHere));
             }
-            Withdrawn::Absent => self.cancel_written(attempt, confirm),
+            Withdrawal::Absent => self.cancel_written(attempt, confirm),
         }
         Ok(())
     }
 
     fn cancel_written(&mut self, attempt: AttemptId, confirm: bool) {
-        if let Some(request) = self.request_of(attempt) {
-            self.stop_request(&request, ConnectionEnd::Cancelled);
+        if let Some(client_request_id) = self.request_of(attempt) {
+            self.stop_request(&client_request_id, ConnectionEnd::Cancelled);
         }
-        if (confirm && self.stopping.contains(attempt)) || self.stopping.is_crowded() {
-            self.confirm_stops();
+        if (confirm && self.unconfirmed_stops.contains(attempt)) || self.unconfirmed_stops.is_at_limit() {
+            self.request_confirmation();
         }
     }
 
     /// Sends `STOP` for a written request. The end of its attempt is reported once a response shows that the engine has
     /// read the `STOP`.
-    pub(super) fn stop_request(&mut self, request: &str, end: ConnectionEnd) -> Option<InFlight> {
-        let in_flight = self.remove_in_flight(request)?;
-        self.output.push(format_args!("STOP {request}\r\n"));
-        self.stopping.push(in_flight.attempt, end);
+    pub(super) fn stop_request(&mut self, client_request_id: &str, end: ConnectionEnd) -> Option<InFlight> {
+        let in_flight = self.remove_in_flight(client_request_id)?;
+        self.output.push(format_args!("STOP {client_request_id}\r\n"));
+        self.unconfirmed_stops.push(in_flight.attempt, end);
         Some(in_flight)
     }
 
     /// Has the engine confirm at once that it has read all `STOP`s, not only with the next health check.
-    pub(super) fn confirm_stops(&mut self) {
-        if let Some(tag) = self.stopping.confirm() {
+    pub(super) fn request_confirmation(&mut self) {
+        if let Some(tag) = self.unconfirmed_stops.confirmation_tag() {
             self.output.push(format_args!("HELO {tag}\r\n"));
         }
     }
@@ -123,26 +123,28 @@
     fn set_priority(&mut self, attempt: AttemptId, priority: u8) {
         let queued = self.output.queued.iter_mut().filter(|queued| queued.attempt == attempt);
         queued.for_each(|queued| queued.call.priority = priority);
-        if let Some(request) = self.request_of(attempt) {
-            self.output.push(format_args!("NICE {request} {priority}\r\n"));
+        if let Some(client_request_id) = self.request_of(attempt) {
+            self.output.push(format_args!("NICE {client_request_id} {priority}\r\n"));
         }
     }
 
     fn send_health_check(&mut self, now: Micros) {
-        let tag = self.stopping.next_tag(HEALTH_CHECK_PREFIX);
+        let tag = self.unconfirmed_stops.next_tag(HEALTH_CHECK_PREFIX);
         self.output.push(format_args!("STAT {tag}\r\n"));
         self.health_checks.insert(tag, now);
     }
 
     fn request_of(&self, attempt: AttemptId) -> Option<String> {
         let mut in_flight = self.in_flight.iter();
-        in_flight.find(|(_, in_flight)| in_flight.attempt == attempt).map(|(request, _)| request.clone())
+        in_flight
+            .find(|(_, in_flight)| in_flight.attempt == attempt)
+            .map(|(client_request_id, _)| client_request_id.clone())
     }
 
-    pub(super) fn remove_in_flight(&mut self, request: &str) -> Option<InFlight> {
-        let removed = self.in_flight.remove(request);
+    pub(super) fn remove_in_flight(&mut self, client_request_id: &str) -> Option<InFlight> {
+        let removed = self.in_flight.remove(client_request_id);
         if removed.is_some() {
-            self.release();
+            self.decrement_load();
         }
         removed
     }
--- a/src/upstream/line_protocol/connection/in_flight.rs
+++ b/src/upstream/line_protocol/connection/in_flight.rs
@@ -15,7 +15,7 @@
     /// Time at which the request was added to the output buffer.
     pub(super) began_at: Micros,
     /// Time of the engine's last response about it. Engines that report progress send notes until the answer.
-    pub(super) last_mention: Micros,
+    pub(super) last_response_at: Micros,
     pub(super) usage: Option<Usage>,
     pub(super) report: Option<LoadReport>,
     /// Counts the buffered bytes of the pages.
@@ -26,7 +26,7 @@
 /// How a received page was handled.
 pub(super) enum PageOutcome {
     /// It is stored. Other pages may be missing.
-    Kept {
+    Stored {
         /// Whether it is the first page, which says how many pages there are.
         first: bool,
     },
@@ -43,7 +43,7 @@
         InFlight {
             attempt,
             began_at: now,
-            last_mention: now,
+            last_response_at: now,
             usage: None,
             report: None,
             budget,
@@ -68,7 +68,7 @@
         // A slice of the receive buffer would keep that whole buffer allocated.
         *slot = Some(Bytes::copy_from_slice(&response.body));
         match self.budget.add(response.body.len(), max_buffered_result_bytes) {
-            true => PageOutcome::Kept { first },
+            true => PageOutcome::Stored { first },
             false => PageOutcome::OverBudget,
         }
     }
--- a/src/upstream/line_protocol/connection/mod.rs
+++ b/src/upstream/line_protocol/connection/mod.rs
@@ -3,7 +3,7 @@
 //! ```text
 //!   commands ──> commands.rs ──> output.rs ──> socket      requests and other lines, written in order
 //!   core     <── responses.rs <─────────────── socket      notes, pages, answers
-//!   core     <── timeouts.rs                               missing responses of the engine, or about one request
+//!   core     <── timeouts.rs                               missing responses, at all or about one request
 //!   core     <── ../../closing.rs <───────────── socket    the end of the connection
 //! ```
 //!
@@ -20,8 +20,8 @@
 use crate::core::AttemptId;
 use crate::core::ConnectionEnd;
 use crate::service::ServiceEnded;
-use crate::upstream::closing::report_written;
-use crate::upstream::{EndpointCommand, EndpointContext, failed_connect, failed_io};
+use crate::upstream::closing::report_written_attempts;
+use crate::upstream::{EndpointCommand, EndpointContext, connect_failure, io_failure};
 use bytes::BytesMut;
 use in_flight::InFlight;
 use output::Output;
@@ -29,7 +29,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use stopping::Stopping;
+use stopping::UnconfirmedStops;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -38,10 +38,10 @@
 /// Limit of the output buffer. A connection that exceeds it ends as silent, since the engine reads too little.
 const MAX_OUTPUT_BYTES: usize = 1 << 20;
 /// Initial capacity of the receive buffer, which grows to the longest response.
-const INPUT_BYTES: usize = 16 * 1024;
+const INITIAL_INPUT_BYTES: usize = 16 * 1024;
 
 /// Why the exchange on a connection ended.
-enum Stop {
+enum ExchangeEnd {
     /// The connection ended, or has to be closed.
     Connection(ConnectionEnd),
     /// The connection was idle for the idle timeout.
@@ -52,9 +52,9 @@
     Service,
 }
 
-impl From<ServiceEnded> for Stop {
-    fn from(_: ServiceEnded) -> Stop {
-        Stop::Service
+impl From<ServiceEnded> for ExchangeEnd {
+    fn from(_: ServiceEnded) -> ExchangeEnd {
+        ExchangeEnd::Service
     }
 }
 
@@ -65,14 +65,14 @@
     in_flight: HashMap<String, InFlight>,
     /// Send time of each unanswered health check, by tag.
     health_checks: HashMap<String, Micros>,
-    stopping: Stopping,
+    unconfirmed_stops: UnconfirmedStops,
     output: Output,
     /// Attempts that were never completely written, to be reported to the core.
     never_written: Vec<AttemptId>,
     /// Number of attempts assigned to this connection, shared with the engine's task.
     load: Arc<AtomicUsize>,
-    last_read: Micros,
-    last_command: Micros,
+    last_read_at: Micros,
+    last_command_at: Micros,
     /// Time since which the engine owes a response and has sent none. A health check that times out does not reset it.
     response_due_since: Option<Micros>,
     /// Time at which the current incomplete response began; `None` without one.
@@ -90,7 +90,7 @@
     let mut connection = Connection::new(context, load);
     // An error says that the service has ended, so reports have no receiver.
     let _ended = match connected {
-        Ok(stream) => connection.serve_to_the_end(stream, commands, address).await,
+        Ok(stream) => connection.serve(stream, commands, address).await,
         Err(end) => {
             commands.close();
             connection.report_unsent(end, &mut commands).await
@@ -102,7 +102,7 @@
     let connecting = tokio::time::timeout(context.limits.connect_timeout, TcpStream::connect(address));
     match connecting.await {
         Ok(Ok(stream)) => Ok(stream),
-        Ok(Err(error)) => Err(failed_connect(&error)),
+        Ok(Err(error)) => Err(connect_failure(&error)),
         Err(_) => Err(ConnectionEnd::ConnectTimeout),
     }
 }
@@ -114,19 +114,19 @@
             context,
             in_flight: HashMap::new(),
             health_checks: HashMap::new(),
-            stopping: Stopping::default(),
+            unconfirmed_stops: UnconfirmedStops::default(),
             output: Output::default(),
             never_written: Vec::new(),
             load,
-            last_read: now,
-            last_command: now,
+            last_read_at: now,
+            last_command_at: now,
             response_due_since: None,
             incomplete_since: None,
         }
     }
 
     /// Exchanges data until the connection ends, and reports the end of all that it carried.
-    async fn serve_to_the_end(
+    async fn serve(
         &mut self,
         stream: TcpStream,
         mut commands: mpsc::Receiver<EndpointCommand>,
@@ -138,9 +138,9 @@
         let (mut reader, mut writer) = stream.into_split();
         let end = match self.exchange(&mut reader, &mut writer, &mut commands).await {
             Ok(never) => match never {},
-            Err(Stop::Service) => return Err(ServiceEnded),
-            Err(Stop::Idle | Stop::Retired) => ConnectionEnd::ClosedHere,
-            Err(Stop::Connection(end)) => end,
+            Err(ExchangeEnd::Service) => return Err(ServiceEnded),
+            Err(ExchangeEnd::Idle | ExchangeEnd::Retired) => ConnectionEnd::ClosedHere,
+            Err(ExchangeEnd::Connection(end)) => end,
         };
         if !self.in_flight.is_empty() {
             log::warn!("engine at {address}: connection ended ({end:?}) with {} out", self.in_flight.len());
@@ -148,8 +148,8 @@
         commands.close();
         self.report_health_checks(end).await?;
         self.report_unsent(ConnectionEnd::NeverWritten, &mut commands).await?;
-        let written = self.take_written();
-        report_written(&self.context, written, end, reader, writer).await
+        let written = self.take_written_attempts();
+        report_written_attempts(&self.context, written, end, reader, writer).await
     }
 
     /// Reads, writes and applies commands until the connection ends or has to end.
@@ -158,8 +158,8 @@
         reader: &mut OwnedReadHalf,
         writer: &mut OwnedWriteHalf,
         commands: &mut mpsc::Receiver<EndpointCommand>,
-    ) -> Result<std::convert::Infallible, Stop> {
-        let mut received = BytesMut::with_capacity(INPUT_BYTES);
+    ) -> Result<std::convert::Infallible, ExchangeEnd> {
+        let mut received = BytesMut::with_capacity(INITIAL_INPUT_BYTES);
         loop {
             self.begin_requests();
             self.report_never_written().await?;
@@ -168,44 +168,44 @@
             tokio::select! {
                 // Reading comes first, so that nothing is written after the engine has closed the connection.
                 biased;
-                read = reader.read_buf(&mut received) => self.bytes_read(read, &mut received).await?,
+                read = reader.read_buf(&mut received) => self.handle_read(read, &mut received).await?,
                 command = commands.recv() => match command {
-                    Some(command) => self.commands(command, commands)?,
-                    None => return Err(Stop::Retired),
+                    Some(command) => self.apply_commands(command, commands)?,
+                    None => return Err(ExchangeEnd::Retired),
                 },
                 written = writer.write_buf(&mut self.output.buffer), if !self.output.buffer.is_empty() => {
                     match written {
                         Ok(bytes) => self.output.written(bytes),
-                        Err(error) => return Err(Stop::Connection(failed_io(&error))),
+                        Err(error) => return Err(ExchangeEnd::Connection(io_failure(&error))),
                     }
                 },
-                () = tokio::time::sleep_until(wake.into()) => self.time_passed().await?,
+                () = tokio::time::sleep_until(wake.into()) => self.handle_timeouts().await?,
             }
             if self.output.buffer.len() > MAX_OUTPUT_BYTES {
-                return Err(Stop::Connection(ConnectionEnd::Silent));
+                return Err(ExchangeEnd::Connection(ConnectionEnd::Silent));
             }
         }
     }
 
-    async fn bytes_read(
+    async fn handle_read(
         &mut self,
         read: std::io::Result<usize>,
         received: &mut BytesMut,
-    ) -> Result<(), Stop> {
-        self.last_read = self.context.clock.now();
+    ) -> Result<(), ExchangeEnd> {
+        self.last_read_at = self.context.clock.now();
         self.response_due_since = None;
         // Responses received before the end of the connection are still handled.
-        self.responses(received).await?;
+        self.handle_responses(received).await?;
         match read {
-            Ok(0) => Err(Stop::Connection(ConnectionEnd::Closed)),
+            Ok(0) => Err(ExchangeEnd::Connection(ConnectionEnd::Closed)),
             Ok(_) => Ok(()),
-            Err(error) => Err(Stop::Connection(failed_io(&error))),
+            Err(error) => Err(ExchangeEnd::Connection(io_failure(&error))),
         }
     }
 
     async fn report_never_written(&mut self) -> Result<(), ServiceEnded> {
         for attempt in std::mem::take(&mut self.never_written) {
-            self.context.ended(attempt, ConnectionEnd::NeverWritten).await?;
+            self.context.report_ended(attempt, ConnectionEnd::NeverWritten).await?;
         }
         Ok(())
     }
@@ -217,32 +217,32 @@
         commands: &mut mpsc::Receiver<EndpointCommand>,
     ) -> Result<(), ServiceEnded> {
         if let Some(partial) = self.output.partial.take() {
-            self.in_flight.remove(&partial.request);
+            self.in_flight.remove(&partial.client_request_id);
             self.never_written.push(partial.attempt);
         }
         self.never_written.extend(self.output.queued.drain(..).map(|queued| queued.attempt));
         self.report_never_written().await?;
         while let Some(command) = commands.recv().await {
-            self.context.unwritten(command, end).await?;
+            self.context.report_unwritten(command, end).await?;
         }
         Ok(())
     }
 
-    fn take_written(&mut self) -> Vec<AttemptId> {
+    fn take_written_attempts(&mut self) -> Vec<AttemptId> {
         let in_flight = std::mem::take(&mut self.in_flight).into_values().map(|in_flight| in_flight.attempt);
-        in_flight.chain(self.stopping.take()).collect()
+        in_flight.chain(self.unconfirmed_stops.take_all()).collect()
     }
 
     async fn report_health_checks(&mut self, end: ConnectionEnd) -> Result<(), ServiceEnded> {
         let now = self.context.clock.now();
         for sent_at in std::mem::take(&mut self.health_checks).into_values() {
-            self.context.probed(end, None, now - sent_at).await?;
+            self.context.report_health_check(end, None, now - sent_at).await?;
         }
         Ok(())
     }
 
     /// Records that the connection carries one attempt less.
-    fn release(&self) {
+    fn decrement_load(&self) {
         self.load.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/src/upstream/line_protocol/connection/output.rs
+++ b/src/upstream/line_protocol/connection/output.rs
@@ -15,14 +15,14 @@
 
 /// The request at the head of the buffer, which is not completely written yet.
 pub(super) struct PartialRequest {
-    pub(super) request: String,
+    pub(super) client_request_id: String,
     pub(super) attempt: AttemptId,
     total_bytes: usize,
     remaining_bytes: usize,
 }
 
 /// Where the output held a request when it was withdrawn.
-pub(super) enum Withdrawn {
+pub(super) enum Withdrawal {
     /// It was queued, and no byte was written.
     Queued,
     /// It was in the buffer, and no byte was written.
@@ -53,27 +53,33 @@
     }
 
     /// Appends a request to the buffer, which has to be empty.
-    pub(super) fn begin(&mut self, request: String, attempt: AttemptId, text: std::fmt::Arguments<'_>) {
+    pub(super) fn begin(
+        &mut self,
+        client_request_id: String,
+        attempt: AttemptId,
+        text: std::fmt::Arguments<'_>,
+    ) {
         debug_assert!(self.buffer.is_empty(), "a request is begun only with an empty buffer");
         self.push(text);
         let bytes = self.buffer.len();
-        self.partial = Some(PartialRequest { request, attempt, total_bytes: bytes, remaining_bytes: bytes });
+        self.partial =
+            Some(PartialRequest { client_request_id, attempt, total_bytes: bytes, remaining_bytes: bytes });
     }
 
     /// Withdraws an attempt that is not completely written.
-    pub(super) fn withdraw(&mut self, attempt: AttemptId) -> Withdrawn {
+    pub(super) fn withdraw(&mut self, attempt: AttemptId) -> Withdrawal {
         if let Some(index) = self.queued.iter().position(|queued| queued.attempt == attempt) {
             self.queued.remove(index);
-            return Withdrawn::Queued;
+            return Withdrawal::Queued;
         }
         let Some(partial) = self.partial.take_if(|partial| partial.attempt == attempt) else {
-            return Withdrawn::Absent;
+            return Withdrawal::Absent;
         };
         if partial.remaining_bytes < partial.total_bytes {
-            return Withdrawn::PartlyWritten(partial);
+            return Withdrawal::PartlyWritten(partial);
         }
         self.buffer.advance(partial.total_bytes);
-        Withdrawn::Buffered(partial)
+        Withdrawal::Buffered(partial)
     }
 
     /// Records that the socket has accepted this many bytes. They are already removed from the buffer.
--- a/src/upstream/line_protocol/connection/responses.rs
+++ b/src/upstream/line_protocol/connection/responses.rs
@@ -1,74 +1,74 @@
 //! Interprets the engine's responses and reports them to the core.
 
 use super::in_flight::{InFlight, PageOutcome};
-use super::{Connection, Stop};
+use super::{Connection, ExchangeEnd};
 use crate::core::{AttemptEvent, ConnectionEnd, Table};
 use crate::upstream::line_protocol::parse::{self, Response, ResponseKind};
 use bytes::BytesMut;
 
 impl Connection {
     /// Handles all complete responses in the receive buffer.
-    pub(super) async fn responses(&mut self, received: &mut BytesMut) -> Result<(), Stop> {
+    pub(super) async fn handle_responses(&mut self, received: &mut BytesMut) -> Result<(), ExchangeEnd> {
         loop {
             match parse::next(received) {
                 Ok(Some(response)) => {
                     self.incomplete_since = None;
-                    self.response(response).await?;
+                    self.handle_response(response).await?;
                 }
                 Ok(None) if received.is_empty() => {
                     self.incomplete_since = None;
                     return Ok(());
                 }
                 Ok(None) => {
-                    self.incomplete_since.get_or_insert(self.last_read);
+                    self.incomplete_since.get_or_insert(self.last_read_at);
                     return Ok(());
                 }
                 Err(error) => {
                     log::warn!(engine = self.context.engine, error:%; "engine connection closed: invalid response");
-                    return Err(Stop::Connection(ConnectionEnd::Malformed));
+                    return Err(ExchangeEnd::Connection(ConnectionEnd::Malformed));
                 }
             }
         }
     }
 
-    async fn response(&mut self, response: Response) -> Result<(), Stop> {
+    async fn handle_response(&mut self, response: Response) -> Result<(), ExchangeEnd> {
         if !self.in_flight.contains_key(&response.id) {
-            for (attempt, end) in self.stopping.answered(&response.id) {
-                self.context.ended(attempt, end).await?;
+            for (attempt, end) in self.unconfirmed_stops.take_confirmed(&response.id) {
+                self.context.report_ended(attempt, end).await?;
             }
         }
         if let Some(sent_at) = self.health_checks.remove(&response.id) {
             let end = health_check_end(response.kind);
-            let elapsed = self.last_read - sent_at;
-            return Ok(self.context.probed(end, response.fields.report, elapsed).await?);
+            let elapsed = self.last_read_at - sent_at;
+            return Ok(self.context.report_health_check(end, response.fields.report, elapsed).await?);
         }
         // The engine sent this response before it read the `STOP` of the request.
         let Some(in_flight) = self.in_flight.get_mut(&response.id) else { return Ok(()) };
-        in_flight.last_mention = self.last_read;
+        in_flight.last_response_at = self.last_read_at;
         let attempt = in_flight.attempt;
         match response.kind {
-            ResponseKind::Ok | ResponseKind::Page => self.page(response).await,
+            ResponseKind::Ok | ResponseKind::Page => self.handle_page(response).await,
             ResponseKind::Status => {
                 if let Some(note) = response.fields.note {
-                    self.context.news(attempt, AttemptEvent::Note(note)).await?;
+                    self.context.report_event(attempt, AttemptEvent::Note(note)).await?;
                 }
                 Ok(())
             }
-            ResponseKind::Full
+            ResponseKind::EngineFull
             | ResponseKind::Error
-            | ResponseKind::Expired
+            | ResponseKind::DeadlinePassed
             | ResponseKind::Alive
             | ResponseKind::Dead => {
                 self.remove_in_flight(&response.id);
                 let end = attempt_end(response.kind);
                 let event = AttemptEvent::Ended { end, report: response.fields.report };
-                Ok(self.context.news(attempt, event).await?)
+                Ok(self.context.report_event(attempt, event).await?)
             }
         }
     }
 
     /// Handles a page of a result. The first one says how many pages there are, and all others are requested at once.
-    async fn page(&mut self, response: Response) -> Result<(), Stop> {
+    async fn handle_page(&mut self, response: Response) -> Result<(), ExchangeEnd> {
         let max_buffered_result_bytes = self.context.limits.max_buffered_result_bytes;
         let Some(in_flight) = self.in_flight.get_mut(&response.id) else { return Ok(()) };
         match in_flight.add_page(&response, max_buffered_result_bytes) {
@@ -78,7 +78,7 @@
                     page:? = response.fields.page, pages = in_flight.page_count();
                     "engine connection closed: result page was not requested"
                 );
-                return Err(Stop::Connection(ConnectionEnd::Malformed));
+                return Err(ExchangeEnd::Connection(ConnectionEnd::Malformed));
             }
             PageOutcome::Duplicate => {
                 // Guards against a duplicate answer. The page is dropped, and the other requests are not affected.
@@ -93,76 +93,82 @@
                     engine = self.context.engine, request:% = in_flight.attempt, name = response.id.as_str();
                     "result exceeds the buffer limit: attempt stopped"
                 );
-                self.give_up(&response.id, ConnectionEnd::RequestSilent);
+                self.abandon_request(&response.id, ConnectionEnd::RequestSilent);
                 return Ok(());
             }
-            PageOutcome::Kept { first: true } => {
+            PageOutcome::Stored { first: true } => {
                 let page_count = in_flight.page_count();
                 self.fetch_pages(&response.id, page_count);
             }
-            PageOutcome::Kept { first: false } => {}
+            PageOutcome::Stored { first: false } => {}
         }
         if self.in_flight.get(&response.id).is_some_and(InFlight::is_complete)
             && let Some(in_flight) = self.remove_in_flight(&response.id)
         {
-            self.complete(&response.id, in_flight).await?;
+            self.report_result(&response.id, in_flight).await?;
         }
         Ok(())
     }
 
     /// Requests all pages except the first.
-    fn fetch_pages(&mut self, request: &str, page_count: usize) {
+    fn fetch_pages(&mut self, client_request_id: &str, page_count: usize) {
         for page in 1..page_count {
-            self.output.push(format_args!("FETCH {request} {page}\r\n"));
+            self.output.push(format_args!("FETCH {client_request_id} {page}\r\n"));
         }
     }
 
     /// Reports a complete result.
-    async fn complete(&mut self, request: &str, in_flight: InFlight) -> Result<(), Stop> {
+    async fn report_result(
+        &mut self,
+        client_request_id: &str,
+        in_flight: InFlight,
+    ) -> Result<(), ExchangeEnd> {
         if in_flight.page_count() > 1 {
-            self.output.push(format_args!("END {request}\r\n"));
+            self.output.push(format_args!("END {client_request_id}\r\n"));
         }
         let rows = match in_flight.rows() {
             Ok(rows) => rows,
             Err(error) => {
                 log::warn!(
-                    engine = self.context.engine, request:% = in_flight.attempt, name = request, error:%;
+                    engine = self.context.engine, request:% = in_flight.attempt, name = client_request_id,
+                    error:%;
                     "engine connection closed: invalid result page"
                 );
-                self.context.ended(in_flight.attempt, ConnectionEnd::Malformed).await?;
-                return Err(Stop::Connection(ConnectionEnd::Malformed));
+                self.context.report_ended(in_flight.attempt, ConnectionEnd::Malformed).await?;
+                return Err(ExchangeEnd::Connection(ConnectionEnd::Malformed));
             }
         };
         let table = Table { columns: Vec::new(), rows };
         let event = AttemptEvent::Served { table, usage: in_flight.usage, report: in_flight.report };
-        Ok(self.context.news(in_flight.attempt, event).await?)
+        Ok(self.context.report_event(in_flight.attempt, event).await?)
     }
 
     /// Stops one request whose answer can no longer be used. The other requests are not affected. The attempt's end is
     /// reported once the engine has read the `STOP`.
-    pub(super) fn give_up(&mut self, request: &str, end: ConnectionEnd) {
-        let Some(in_flight) = self.stop_request(request, end) else { return };
+    pub(super) fn abandon_request(&mut self, client_request_id: &str, end: ConnectionEnd) {
+        let Some(in_flight) = self.stop_request(client_request_id, end) else { return };
         let age_ms = (self.context.clock.now() - in_flight.began_at).as_ms();
         log::debug!(
-            engine = self.context.engine, request:% = in_flight.attempt, name = request, reason:? = end, age_ms;
+            engine = self.context.engine, request:% = in_flight.attempt, name = client_request_id,
+            reason:? = end, age_ms;
             "attempt stopped: its answer can no longer be used"
         );
-        self.confirm_stops();
+        self.request_confirmation();
     }
 }
 
 fn health_check_end(kind: ResponseKind) -> ConnectionEnd {
     match kind {
         ResponseKind::Alive => ConnectionEnd::Answered,
-        ResponseKind::Full => ConnectionEnd::AnsweredFull,
+        ResponseKind::EngineFull => ConnectionEnd::AnsweredFull,
         _ => ConnectionEnd::AnsweredError,
     }
 }
 
 fn attempt_end(kind: ResponseKind) -> ConnectionEnd {
     match kind {
-        ResponseKind::Full => ConnectionEnd::AnsweredFull,
-        ResponseKind::Expired => ConnectionEnd::AnsweredOver,
+        ResponseKind::EngineFull => ConnectionEnd::AnsweredFull,
+        ResponseKind::DeadlinePassed => ConnectionEnd::AnsweredOver,
         _ => ConnectionEnd::AnsweredError,
     }
 }
--- a/src/upstream/line_protocol/connection/stopping.rs
+++ b/src/upstream/line_protocol/connection/stopping.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 /// Number of unconfirmed `STOP`s at which a confirmation is requested. Fewer wait for the next health check.
-const MAX_UNCONFIRMED: usize = 64;
+const MAX_UNCONFIRMED_STOPS: usize = 64;
 /// Prefix of the tags of health checks (`STAT`).
 pub(super) const HEALTH_CHECK_PREFIX: char = 'p';
 /// Prefix of the tags of confirmation requests (`HELO`), which are sent only for their response.
@@ -16,24 +16,24 @@
 
 /// An attempt whose `STOP` is written but not confirmed.
 #[derive(Debug)]
-struct StoppingAttempt {
+struct UnconfirmedStop {
     attempt: AttemptId,
     /// The end to report once the `STOP` is confirmed.
     end: ConnectionEnd,
     /// Number of the first tagged line after its `STOP`.
-    shown_by: TagNumber,
+    confirmed_by: TagNumber,
 }
 
 /// The unconfirmed `STOP`s of one connection, and the numbers of its tagged lines.
 #[derive(Debug, Default)]
-pub(super) struct Stopping {
+pub(super) struct UnconfirmedStops {
     last_tag: TagNumber,
-    attempts: Vec<StoppingAttempt>,
+    attempts: Vec<UnconfirmedStop>,
     /// Confirmation requests that the engine has not answered.
     confirmations: BTreeSet<TagNumber>,
 }
 
-impl Stopping {
+impl UnconfirmedStops {
     /// Returns the tag of the next tagged line.
     pub(super) fn next_tag(&mut self, prefix: char) -> String {
         self.last_tag += 1;
@@ -42,14 +42,14 @@
 
     /// Records that the `STOP` of an attempt is written.
     pub(super) fn push(&mut self, attempt: AttemptId, end: ConnectionEnd) {
-        self.attempts.push(StoppingAttempt { attempt, end, shown_by: self.last_tag + 1 });
+        self.attempts.push(UnconfirmedStop { attempt, end, confirmed_by: self.last_tag + 1 });
     }
 
     /// Returns the tag of a confirmation request to write. `None` if there is no unconfirmed `STOP`, or if an open
     /// request confirms all of them.
-    pub(super) fn confirm(&mut self) -> Option<String> {
+    pub(super) fn confirmation_tag(&mut self) -> Option<String> {
         let last = self.attempts.last()?;
-        if self.confirmations.last().is_some_and(|tag| *tag >= last.shown_by) {
+        if self.confirmations.last().is_some_and(|tag| *tag >= last.confirmed_by) {
             return None;
         }
         let tag = self.next_tag(CONFIRMATION_PREFIX);
@@ -58,22 +58,22 @@
     }
 
     /// Returns whether so many `STOP`s are unconfirmed that a confirmation has to be requested.
-    pub(super) fn is_crowded(&self) -> bool {
-        self.attempts.len() >= MAX_UNCONFIRMED
+    pub(super) fn is_at_limit(&self) -> bool {
+        self.attempts.len() >= MAX_UNCONFIRMED_STOPS
     }
 
     pub(super) fn contains(&self, attempt: AttemptId) -> bool {
-        self.attempts.iter().any(|stopping| stopping.attempt == attempt)
+        self.attempts.iter().any(|stop| stop.attempt == attempt)
     }
 
     /// Records that the engine has answered the line with this tag. Removes and returns the attempts whose `STOP` this
     /// confirms, with their ends.
-    pub(super) fn answered(&mut self, tag: &str) -> Vec<(AttemptId, ConnectionEnd)> {
+    pub(super) fn take_confirmed(&mut self, tag: &str) -> Vec<(AttemptId, ConnectionEnd)> {
         let Some(number) = self.number_of(tag) else { return Vec::new() };
         self.confirmations.remove(&number);
-        let is_shown = |stopping: &mut StoppingAttempt| stopping.shown_by <= number;
-        let shown = self.attempts.extract_if(.., is_shown);
-        shown.map(|stopping| (stopping.attempt, stopping.end)).collect()
+        let is_confirmed = |stop: &mut UnconfirmedStop| stop.confirmed_by <= number;
+        let confirmed = self.attempts.extract_if(.., is_confirmed);
+        confirmed.map(|stop| (stop.attempt, stop.end)).collect()
     }
 
     fn number_of(&self, tag: &str) -> Option<TagNumber> {
@@ -87,7 +87,7 @@
     }
 
     /// Removes and returns all attempts.
-    pub(super) fn take(&mut self) -> impl Iterator<Item = AttemptId> {
-        std::mem::take(&mut self.attempts).into_iter().map(|stopping| stopping.attempt)
+    pub(super) fn take_all(&mut self) -> impl Iterator<Item = AttemptId> {
+        std::mem::take(&mut self.attempts).into_iter().map(|stop| stop.attempt)
     }
 }
--- a/src/upstream/line_protocol/connection/timeouts.rs
+++ b/src/upstream/line_protocol/connection/timeouts.rs
@@ -1,7 +1,7 @@
 //! Timeouts of a connection: an engine that sends nothing, or nothing about one request; incomplete responses;
 //! unanswered health checks; an idle connection.
 
-use super::{Connection, Stop};
+use super::{Connection, ExchangeEnd};
 use crate::clock::Micros;
 use crate::core::ConnectionEnd;
 use std::time::Instant;
@@ -16,29 +16,29 @@
         self.output.update_stall_timer(now);
     }
 
-    /// Returns when [`Connection::time_passed`] has to be called next.
+    /// Returns when [`Connection::handle_timeouts`] has to be called next.
     pub(super) fn next_timeout(&self) -> Instant {
         let limits = &self.context.limits;
         let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.health_check_timeout);
         let reported = self.in_flight.values().filter(|_| limits.engines_report_progress);
-        let unmentioned = reported.map(|in_flight| in_flight.last_mention + limits.silence_timeout);
+        let silent_requests = reported.map(|in_flight| in_flight.last_response_at + limits.silence_timeout);
         let incomplete = self.incomplete_since.map(|since| since + limits.incomplete_response_timeout);
-        let first = health_checks.chain(unmentioned).chain(self.silent_at()).chain(incomplete).min();
-        let at = first.unwrap_or(self.last_command + limits.idle_timeout);
+        let first = health_checks.chain(silent_requests).chain(self.silent_at()).chain(incomplete).min();
+        let at = first.unwrap_or(self.last_command_at + limits.idle_timeout);
         self.context.clock.instant(at)
     }
 
     fn is_busy(&self) -> bool {
         !self.in_flight.is_empty()
             || !self.health_checks.is_empty()
-            || self.stopping.awaits_confirmation()
+            || self.unconfirmed_stops.awaits_confirmation()
             || !self.output.queued.is_empty()
     }
 
     /// Returns whether the engine owes a response.
     fn is_response_due(&self) -> bool {
         let reports = self.context.limits.engines_report_progress && !self.in_flight.is_empty();
-        reports || !self.health_checks.is_empty() || self.stopping.awaits_confirmation()
+        reports || !self.health_checks.is_empty() || self.unconfirmed_stops.awaits_confirmation()
     }
 
     /// Returns when the engine counts as disconnected or hanging, since it owes a response and sends none, or reads
@@ -49,10 +49,10 @@
     }
 
     /// Handles the expired timeouts.
-    pub(super) async fn time_passed(&mut self) -> Result<(), Stop> {
+    pub(super) async fn handle_timeouts(&mut self) -> Result<(), ExchangeEnd> {
         let now = self.context.clock.now();
         if self.silent_at().is_some_and(|at| now >= at) {
-            return Err(Stop::Connection(ConnectionEnd::Silent));
+            return Err(ExchangeEnd::Connection(ConnectionEnd::Silent));
         }
         // Guards against a response that stays incomplete, or arrives too slowly. It blocks all responses behind it.
         let incomplete_response_timeout = self.context.limits.incomplete_response_timeout;
@@ -61,41 +61,43 @@
                 engine = self.context.engine;
                 "engine connection closed: response not complete within the time limit"
             );
-            return Err(Stop::Connection(ConnectionEnd::Malformed));
+            return Err(ExchangeEnd::Connection(ConnectionEnd::Malformed));
         }
-        self.give_up_unmentioned(now);
-        if !self.is_busy() && now >= self.last_command + self.context.limits.idle_timeout {
-            return Err(Stop::Idle);
+        self.abandon_silent_requests(now);
+        if !self.is_busy() && now >= self.last_command_at + self.context.limits.idle_timeout {
+            return Err(ExchangeEnd::Idle);
         }
         self.time_out_health_checks(now).await
     }
 
     /// Stops requests about which the engine sends nothing. Guards against an answer or a page that never arrives: the
     /// request can be retried before its deadline.
-    fn give_up_unmentioned(&mut self, now: Micros) {
+    fn abandon_silent_requests(&mut self, now: Micros) {
         let limits = &self.context.limits;
         if !limits.engines_report_progress {
             return;
         }
         let oldest = now - limits.silence_timeout;
-        let unmentioned = self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_mention <= oldest);
-        let requests: Vec<String> = unmentioned.map(|(request, _)| request.clone()).collect();
-        for request in requests {
+        let silent_requests =
+            self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_response_at <= oldest);
+        let requests: Vec<String> =
+            silent_requests.map(|(client_request_id, _)| client_request_id.clone()).collect();
+        for client_request_id in requests {
             log::warn!(
-                engine = self.context.engine, name = request.as_str();
+                engine = self.context.engine, name = client_request_id.as_str();
                 "engine sent nothing about a request within the silence timeout: attempt stopped"
             );
-            self.give_up(&request, ConnectionEnd::RequestSilent);
+            self.abandon_request(&client_request_id, ConnectionEnd::RequestSilent);
         }
     }
 
-    async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), Stop> {
+    async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), ExchangeEnd> {
         let oldest = now - self.context.limits.health_check_timeout;
         let late = self.health_checks.iter().filter(|(_, sent_at)| **sent_at <= oldest);
         let tags: Vec<String> = late.map(|(tag, _)| tag.clone()).collect();
         for tag in tags {
             if let Some(sent_at) = self.health_checks.remove(&tag) {
-                self.context.probed(ConnectionEnd::TimedOut, None, now - sent_at).await?;
+                self.context.report_health_check(ConnectionEnd::TimedOut, None, now - sent_at).await?;
             }
         }
         Ok(())
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -17,9 +17,9 @@
 
 /// Attempts per connection at which another connection is opened, as long as the limit of connections permits. All
 /// attempts of a connection fail when it ends.
-const PREFERRED_LOAD: usize = 4;
+const PREFERRED_MAX_ATTEMPTS: usize = 4;
 /// Commands that may wait for one connection.
-const QUEUE: usize = 1024;
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
 
 /// The handle with which the engine's task uses one connection.
 #[derive(Debug)]
@@ -28,17 +28,17 @@
     /// Number of attempts that the connection carries, shared with the connection's task.
     load: Arc<AtomicUsize>,
     /// Requests with these client request ids are sent on other connections.
-    carried: CarriedRequests,
+    carried_requests: CarriedRequests,
     /// Set once the engine has another address. Attempts in flight may still end here, but no new ones are sent.
     retired: bool,
 }
 
 impl Connection {
     fn open(context: &EndpointContext, address: SocketAddr) -> Connection {
-        let (commands, queue) = mpsc::channel(QUEUE);
+        let (commands, queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let load = Arc::new(AtomicUsize::new(0));
         tokio::spawn(connection::run(context.clone(), address, queue, load.clone()));
-        Connection { commands, load, carried: CarriedRequests::default(), retired: false }
+        Connection { commands, load, carried_requests: CarriedRequests::default(), retired: false }
     }
 
     fn load(&self) -> usize {
@@ -47,19 +47,20 @@
 
     /// Returns whether the connection may carry one more attempt with this client request id, or a health check
     /// (`None`).
-    fn accepts(&self, name: Option<&str>, max_attempts: usize) -> bool {
-        let may_confuse = name.is_some_and(|name| self.carried.contains(name));
-        !self.retired && !may_confuse && self.load() < max_attempts
+    fn accepts(&self, client_request_id: Option<&str>, max_attempts: usize) -> bool {
+        let was_carried = client_request_id
+            .is_some_and(|client_request_id| self.carried_requests.contains(client_request_id));
+        !self.retired && !was_carried && self.load() < max_attempts
     }
 
     /// Passes a command to the connection. Returns the command if the connection does not accept it.
     fn send(&mut self, now: Micros, command: EndpointCommand) -> Option<EndpointCommand> {
-        let name = request_name(&command).map(str::to_owned);
+        let client_request_id = client_request_id_of(&command).map(str::to_owned);
         match self.commands.try_send(command) {
             Ok(()) => {
-                if let Some(name) = name {
+                if let Some(client_request_id) = client_request_id {
                     self.load.fetch_add(1, Ordering::Relaxed);
-                    self.carried.insert(now, &name);
+                    self.carried_requests.insert(now, &client_request_id);
                 }
                 None
             }
@@ -69,7 +70,7 @@
 }
 
 /// Returns the client request id of the attempt that a command starts; `None` for other commands.
-fn request_name(command: &EndpointCommand) -> Option<&str> {
+fn client_request_id_of(command: &EndpointCommand) -> Option<&str> {
     match command {
         EndpointCommand::Start { call, .. } => Some(&call.name),
         _ => None,
@@ -93,18 +94,20 @@
     while let Some(command) = commands.recv().await {
         pool.connections.retain(|connection| !connection.commands.is_closed());
         let unsent = match command {
-            EndpointCommand::Address(address) => {
-                pool.move_to(address);
+            EndpointCommand::SetAddress(address) => {
+                pool.set_address(address);
                 continue;
             }
             EndpointCommand::Cancel { .. } | EndpointCommand::SetPriority { .. } => {
                 pool.send_to_all(&command);
                 continue;
             }
-            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => pool.send_to_one(command),
+            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => {
+                pool.send_to_least_loaded(command)
+            }
         };
         if let Some(command) = unsent
-            && pool.context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
+            && pool.context.report_unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
         {
             return;
         }
@@ -112,7 +115,7 @@
 }
 
 impl Pool {
-    fn move_to(&mut self, address: SocketAddr) {
+    fn set_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -136,16 +139,18 @@
 
     /// Sends a command to the connection with the least load, which may be a new one. Returns the command if no
     /// connection has capacity.
-    fn send_to_one(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
+    fn send_to_least_loaded(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
         let limits = &self.context.limits;
         let max_attempts = limits.max_attempts_per_connection;
-        let name = request_name(&command);
-        let is_light = |one: &Connection| one.accepts(name, max_attempts) && one.load() < PREFERRED_LOAD;
-        if !self.connections.iter().any(is_light) && self.connections.len() < limits.max_connections {
+        let client_request_id = client_request_id_of(&command);
+        let has_low_load = |one: &Connection| {
+            one.accepts(client_request_id, max_attempts) && one.load() < PREFERRED_MAX_ATTEMPTS
+        };
+        if !self.connections.iter().any(has_low_load) && self.connections.len() < limits.max_connections {
             self.connections.push(Connection::open(&self.context, self.address));
         }
         let now = self.context.clock.now();
-        let usable = self.connections.iter_mut().filter(|one| one.accepts(name, max_attempts));
+        let usable = self.connections.iter_mut().filter(|one| one.accepts(client_request_id, max_attempts));
         match usable.min_by_key(|one| one.load()) {
             Some(connection) => connection.send(now, command),
             None => Some(command),
--- a/src/upstream/line_protocol/parse.rs
+++ b/src/upstream/line_protocol/parse.rs
@@ -67,11 +67,11 @@
     /// `200`: the first page of a result.
     Ok,
     /// `503`: the engine is full. The request was never executed.
-    Full,
+    EngineFull,
     /// `500`: the request failed.
     Error,
     /// `504`: the deadline had passed when the engine read the request. It was never executed.
-    Expired,
+    DeadlinePassed,
     /// `status`: a progress note of a running request.
     Status,
     /// `chunk`: a page of a result after the first.
@@ -182,9 +182,9 @@
 fn head(text: &str) -> Option<Head> {
     let kind = alt((
         "200".value(ResponseKind::Ok),
-        "503".value(ResponseKind::Full),
+        "503".value(ResponseKind::EngineFull),
         "500".value(ResponseKind::Error),
-        "504".value(ResponseKind::Expired),
+        "504".value(ResponseKind::DeadlinePassed),
         "status".value(ResponseKind::Status),
         "chunk".value(ResponseKind::Page),
         "alive".value(ResponseKind::Alive),
--- a/src/upstream/line_protocol/parse/tests.rs
+++ b/src/upstream/line_protocol/parse/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_response_is_parsed_wherever_its_bytes_are_cut() {
+fn response_cut_at_any_byte_is_parsed() {
     let sent = b"9b1f 200 sheets=2,toil=120.5,room=64 4\r\na\tb\n\r\nt1 alive l=util:0.61;queue:2;zz:1\r\n";
     for cut in 0..sent.len() {
         let mut buffer = BytesMut::from(&sent[..cut]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn bytes_outside_the_protocol_are_an_error() {
+fn invalid_bytes_are_an_error() {
     for bad in [
         "x 201 - 0\r\n",
         "x\r\n",
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -52,7 +52,7 @@
     /// Check the engine's health and request its load report.
     HealthCheck,
     /// Use this address for new connections.
-    Address(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
 /// Protocol of the connections to engines.
@@ -129,7 +129,7 @@
 
 impl EndpointContext {
     /// Returns an empty budget for one result.
-    pub fn collect(&self) -> ResultBudget {
+    pub fn result_budget(&self) -> ResultBudget {
         ResultBudget { bytes: 0, total: self.buffered_result_bytes.clone() }
     }
 
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// Fails if the service has ended.
-    pub async fn news(&self, attempt: AttemptId, event: AttemptEvent) -> Result<(), ServiceEnded> {
+    pub async fn report_event(&self, attempt: AttemptId, event: AttemptEvent) -> Result<(), ServiceEnded> {
         self.handle.notify(Input::Attempt { attempt, event }).await
     }
 
@@ -145,23 +145,23 @@
     ///
     /// # Errors
     /// Fails if the service has ended.
-    pub async fn lost(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
-        self.news(attempt, AttemptEvent::Lost { end }).await
+    pub async fn report_lost(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
+        self.report_event(attempt, AttemptEvent::Lost { end }).await
     }
 
     /// Reports that an attempt ended without a result.
     ///
     /// # Errors
     /// Fails if the service has ended.
-    pub async fn ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
-        self.news(attempt, AttemptEvent::Ended { end, report: None }).await
+    pub async fn report_ended(&self, attempt: AttemptId, end: ConnectionEnd) -> Result<(), ServiceEnded> {
+        self.report_event(attempt, AttemptEvent::Ended { end, report: None }).await
     }
 
     /// Reports how a health check ended and how long it took.
     ///
     /// # Errors
     /// Fails if the service has ended.
-    pub async fn probed(
+    pub async fn report_health_check(
         &self,
         end: ConnectionEnd,
         report: Option<LoadReport>,
@@ -175,13 +175,17 @@
     ///
     /// # Errors
     /// Fails if the service has ended.
-    pub async fn unwritten(&self, command: EndpointCommand, end: ConnectionEnd) -> Result<(), ServiceEnded> {
+    pub async fn report_unwritten(
+        &self,
+        command: EndpointCommand,
+        end: ConnectionEnd,
+    ) -> Result<(), ServiceEnded> {
         match command {
-            EndpointCommand::Start { attempt, .. } => self.ended(attempt, end).await,
-            EndpointCommand::HealthCheck => self.probed(end, None, Micros(0)).await,
+            EndpointCommand::Start { attempt, .. } => self.report_ended(attempt, end).await,
+            EndpointCommand::HealthCheck => self.report_health_check(end, None, Micros(0)).await,
             EndpointCommand::Cancel { .. }
             | EndpointCommand::SetPriority { .. }
-            | EndpointCommand::Address(_) => Ok(()),
+            | EndpointCommand::SetAddress(_) => Ok(()),
         }
     }
 }
@@ -199,7 +203,7 @@
 }
 
 /// Returns how a connection attempt failed.
-pub fn failed_connect(error: &std::io::Error) -> ConnectionEnd {
+pub fn connect_failure(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionRefused => ConnectionEnd::ConnectRefused,
         _ => ConnectionEnd::ConnectTimeout,
@@ -207,7 +211,7 @@
 }
 
 /// Returns how an established connection ended.
-pub fn failed_io(error: &std::io::Error) -> ConnectionEnd {
+pub fn io_failure(error: &std::io::Error) -> ConnectionEnd {
     match error.kind() {
         std::io::ErrorKind::ConnectionReset | std::io::ErrorKind::BrokenPipe => ConnectionEnd::Reset,
         _ => ConnectionEnd::Broken,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 /// Commands that may wait for one engine. Attempts beyond that are never executed.
-const QUEUE: usize = 2048;
+const COMMAND_QUEUE_CAPACITY: usize = 2048;
 
 /// The tasks of all engines.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 }
 
 /// A command for the task of one engine.
-struct Addressed {
+struct RoutedCommand {
     engine: u64,
     command: EndpointCommand,
 }
@@ -57,7 +57,7 @@
     /// Applies a command of the core. If the engine's task does not accept it, returns its end as an input for the
     /// core.
     pub fn apply_command(&mut self, command: Command) -> Option<Input> {
-        let Addressed { engine, command } = self.addressed(command)?;
+        let RoutedCommand { engine, command } = self.route(command)?;
         let rejected = match self.engines.get(&engine) {
             Some(task) if matches!(command, EndpointCommand::Cancel { .. }) => {
                 send_when_possible(task, command);
@@ -66,12 +66,12 @@
             Some(task) => task.try_send(command).err().map(mpsc::error::TrySendError::into_inner),
             None => Some(command),
         };
-        never_written(engine, rejected?)
+        unsent_command_end(engine, rejected?)
     }
 
     /// Returns the command for an engine's task. Commands for the pool itself are applied here, and `None` is returned
     /// for them.
-    fn addressed(&mut self, command: Command) -> Option<Addressed> {
+    fn route(&mut self, command: Command) -> Option<RoutedCommand> {
         let (engine, command) = match command {
             Command::StartAttempt { attempt, engine, call } => {
                 (engine, EndpointCommand::Start { attempt, call })
@@ -96,18 +96,18 @@
             }
             Command::Answer { .. } | Command::Log(_) => return None,
         };
-        Some(Addressed { engine, command })
+        Some(RoutedCommand { engine, command })
     }
 
     /// Starts the task of a new engine, or sends the address to the task of a known one.
     fn update(&mut self, engine: u64, address: SocketAddr) {
         if let Some(task) = self.engines.get(&engine) {
-            if task.try_send(EndpointCommand::Address(address)).is_err() {
+            if task.try_send(EndpointCommand::SetAddress(address)).is_err() {
                 log::warn!(engine, address:%; "engine's command queue is full: its new address is not applied");
             }
             return;
         }
-        let (task, commands) = mpsc::channel(QUEUE);
+        let (task, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let context = EndpointContext {
             engine,
             handle: self.handle.clone(),
@@ -124,7 +124,7 @@
 }
 
 /// Returns the end of a command that an engine's task did not accept, as an input for the core.
-fn never_written(engine: u64, command: EndpointCommand) -> Option<Input> {
+fn unsent_command_end(engine: u64, command: EndpointCommand) -> Option<Input> {
     let end = ConnectionEnd::NeverWritten;
     match command {
         EndpointCommand::Start { attempt, .. } => {
@@ -137,6 +137,6 @@
         }
         EndpointCommand::Cancel { .. }
         | EndpointCommand::SetPriority { .. }
-        | EndpointCommand::Address(_) => None,
+        | EndpointCommand::SetAddress(_) => None,
     }
 }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a TDS engine. Its session is opened for the first task and executes one request at a time.
 
 use super::session::Session;
-use super::{ConnectionNumber, Idle, Login, Task};
+use super::{ConnectionNumber, IdleReport, Login, Task};
 use crate::clock::Micros;
 use crate::core::AttemptId;
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
@@ -9,20 +9,20 @@
 use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
-use crate::upstream::closing::report_written;
+use crate::upstream::closing::report_written_attempts;
 use crate::upstream::line_protocol::load_report;
 use crate::upstream::{EndpointCommand, EndpointContext, ResultBudget};
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
 /// Error numbers that say that the engine is full. The request was never executed.
-const ERRORS_FULL: [u32; 2] = [10928, 40501];
+const ERRORS_ENGINE_FULL: [u32; 2] = [10928, 40501];
 /// Error number that says that the deadline had passed when the engine read the request. It was never executed.
-const ERROR_EXPIRED: u32 = 50504;
+const ERROR_DEADLINE_PASSED: u32 = 50504;
 /// Number of INFO tokens with progress or usage of a running request.
-const INFO_PROGRESS: u32 = 50100;
+const INFO_REQUEST_PROGRESS: u32 = 50100;
 /// Statement that requests the load report.
-const HEALTH_CHECK: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
+const HEALTH_CHECK_STATEMENT: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
 
 /// Arguments of a connection's task.
 pub(super) struct Setup {
@@ -31,11 +31,11 @@
     pub login: Login,
     pub number: ConnectionNumber,
     /// Queue of idle reports to the pool.
-    pub idle: mpsc::Sender<Idle>,
+    pub idle: mpsc::Sender<IdleReport>,
 }
 
 /// How the execution of a batch ended.
-enum Finish {
+enum BatchEnd {
     /// The engine answered the request, or acknowledged its cancellation.
     Answered {
         result: Result<Served, ConnectionEnd>,
@@ -47,9 +47,9 @@
 }
 
 /// State of an attempt after its execution, and what it means for the session.
-enum AttemptFinish {
+enum AttemptState {
     /// The attempt ended and its end is reported. The value says whether the session can carry another request.
-    SessionUsable(bool),
+    Ended(bool),
     /// The attempt is lost. The session has to be closed, which ends the attempt.
     Lost(ConnectionEnd),
 }
@@ -74,7 +74,7 @@
                 Ok(opened) => opened,
                 Err(end) => {
                     tasks.close();
-                    let _ended = setup.context.unwritten(command, end).await;
+                    let _ended = setup.context.report_unwritten(command, end).await;
                     break;
                 }
             },
@@ -82,11 +82,12 @@
         let reusable = match command {
             EndpointCommand::Start { attempt, call } => {
                 match setup.run_attempt(&mut current, attempt, &call, &mut tasks).await {
-                    Ok(AttemptFinish::SessionUsable(reusable)) => reusable,
-                    Ok(AttemptFinish::Lost(end)) => {
+                    Ok(AttemptState::Ended(reusable)) => reusable,
+                    Ok(AttemptState::Lost(end)) => {
                         tasks.close();
                         let (reader, writer) = current.into_split();
-                        let _ended = report_written(&setup.context, vec![attempt], end, reader, writer).await;
+                        let _ended =
+                            report_written_attempts(&setup.context, vec![attempt], end, reader, writer).await;
                         break;
                     }
                     Err(ServiceEnded) => return,
@@ -102,12 +103,12 @@
             break;
         }
         session = Some(current);
-        if setup.idle.send(Idle(setup.number)).await.is_err() {
+        if setup.idle.send(IdleReport(setup.number)).await.is_err() {
             return;
         }
     }
     drop(tasks);
-    let _ended = setup.idle.send(Idle(setup.number)).await;
+    let _ended = setup.idle.send(IdleReport(setup.number)).await;
 }
 
 impl Setup {
@@ -117,32 +118,32 @@
         opened.unwrap_or(Err(ConnectionEnd::ConnectTimeout))
     }
 
-    /// Runs an attempt and reports its end, unless it is lost.
+    /// Executes an attempt and reports its end, unless it is lost.
     async fn run_attempt(
         &self,
         session: &mut Session,
         attempt: AttemptId,
         call: &Call,
         tasks: &mut mpsc::Receiver<Task>,
-    ) -> Result<AttemptFinish, ServiceEnded> {
+    ) -> Result<AttemptState, ServiceEnded> {
         let Some(remaining) = call.permit.remaining(self.context.clock.now()) else {
-            self.context.ended(attempt, ConnectionEnd::NeverWritten).await?;
-            return Ok(AttemptFinish::SessionUsable(true));
+            self.context.report_ended(attempt, ConnectionEnd::NeverWritten).await?;
+            return Ok(AttemptState::Ended(true));
         };
-        let finish = Attempt::new(&self.context, attempt, call).run(session, remaining, tasks).await;
-        let (result, reusable) = match finish {
-            Finish::Answered { result, reusable } => (result, reusable),
-            Finish::Broken(end) => return Ok(AttemptFinish::Lost(end)),
+        let batch_end = Attempt::new(&self.context, attempt, call).execute(session, remaining, tasks).await;
+        let (result, reusable) = match batch_end {
+            BatchEnd::Answered { result, reusable } => (result, reusable),
+            BatchEnd::Broken(end) => return Ok(AttemptState::Lost(end)),
         };
         let event = match result {
             Ok(Served { table, usage }) => AttemptEvent::Served { table, usage, report: None },
             Err(end) => AttemptEvent::Ended { end, report: None },
         };
-        self.context.news(attempt, event).await?;
-        Ok(AttemptFinish::SessionUsable(reusable))
+        self.context.report_event(attempt, event).await?;
+        Ok(AttemptState::Ended(reusable))
     }
 
-    /// Asks for the load report and reports it; true where the session can carry another request.
+    /// Requests the load report and reports it to the core. Returns true if the session can carry another request.
     async fn check_health(&self, session: &mut Session, started_at: Micros) -> Result<bool, ServiceEnded> {
         let timeout = self.context.limits.health_check_timeout.to_duration();
         let (end, report) = match tokio::time::timeout(timeout, query_load(session)).await {
@@ -152,7 +153,7 @@
         };
         let elapsed = self.context.clock.now() - started_at;
         let answered = report.is_some();
-        self.context.probed(end, report, elapsed).await?;
+        self.context.report_health_check(end, report, elapsed).await?;
         Ok(answered)
     }
 }
@@ -171,38 +172,38 @@
 
 impl<'a> Attempt<'a> {
     fn new(context: &'a EndpointContext, id: AttemptId, call: &'a Call) -> Attempt<'a> {
-        let budget = context.collect();
+        let budget = context.result_budget();
         Attempt { context, id, call, table: Table::default(), usage: None, error: None, budget }
     }
 
-    async fn run(
+    async fn execute(
         mut self,
         session: &mut Session,
         remaining: Micros,
         tasks: &mut mpsc::Receiver<Task>,
-    ) -> Finish {
+    ) -> BatchEnd {
         let batch = token::batch(&statement(self.call, remaining));
         if let Err(end) = session.send(packet::SQL_BATCH, &batch).await {
-            return Finish::Broken(end);
+            return BatchEnd::Broken(end);
         }
-        session.last_token = self.context.clock.now();
+        session.last_token_at = self.context.clock.now();
         loop {
             let limits = &self.context.limits;
-            let silent_at = self.context.clock.instant(session.last_token + limits.silence_timeout);
+            let silent_at = self.context.clock.instant(session.last_token_at + limits.silence_timeout);
             let token = tokio::select! {
                 token = session.next_token() => match token {
                     Ok(token) => token,
-                    Err(end) => return Finish::Broken(end),
+                    Err(end) => return BatchEnd::Broken(end),
                 },
                 task = tasks.recv() => match task {
                     Some(Task::Cancel(cancelled)) if cancelled == self.id => {
                         return match session.cancel().await {
-                            true => Finish::Answered { result: Err(ConnectionEnd::Cancelled), reusable: true },
-                            false => Finish::Broken(ConnectionEnd::Cancelled),
+                            true => BatchEnd::Answered { result: Err(ConnectionEnd::Cancelled), reusable: true },
+                            false => BatchEnd::Broken(ConnectionEnd::Cancelled),
                         };
                     }
                     Some(_) => continue,
-                    None => return Finish::Broken(ConnectionEnd::Cancelled),
+                    None => return BatchEnd::Broken(ConnectionEnd::Cancelled),
                 },
                 // An engine sends progress notes as long as it executes a request. Health checks, which use other
                 // connections, detect an engine that hangs.
@@ -211,35 +212,35 @@
                         engine = self.context.engine, request:% = self.id, name = self.call.name.as_str();
                         "TDS engine sent nothing about a request within the silence timeout: attempt lost"
                     );
-                    return Finish::Broken(ConnectionEnd::RequestSilent);
+                    return BatchEnd::Broken(ConnectionEnd::RequestSilent);
                 }
             };
-            session.last_token = self.context.clock.now();
+            session.last_token_at = self.context.clock.now();
             if let Token::Done { more: false, error, .. } = token {
-                return Finish::Answered {
+                return BatchEnd::Answered {
                     result: self.result(error),
                     reusable: session.is_message_complete(),
                 };
             }
-            if let Err(end) = self.token(token).await {
-                return Finish::Broken(end);
+            if let Err(end) = self.handle_token(token).await {
+                return BatchEnd::Broken(end);
             }
         }
     }
 
     /// Adds one token of the response to the result.
-    async fn token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
+    async fn handle_token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
         match token {
             Token::Columns(columns) => {
                 self.table.columns = columns.into_iter().map(|column| column.name).collect();
             }
-            Token::Row(row) => self.row(row)?,
-            Token::Info { number: INFO_PROGRESS, text } => match progress(&text) {
-                Some(Progress::Note(note)) => {
-                    let notified = self.context.news(self.id, AttemptEvent::Note(note)).await;
+            Token::Row(row) => self.add_row(row)?,
+            Token::Info { number: INFO_REQUEST_PROGRESS, text } => match parse_info(&text) {
+                Some(InfoContent::Note(note)) => {
+                    let notified = self.context.report_event(self.id, AttemptEvent::Note(note)).await;
                     notified.map_err(|ServiceEnded| ConnectionEnd::Cancelled)?;
                 }
-                Some(Progress::Usage(usage)) => self.usage = Some(usage),
+                Some(InfoContent::Usage(usage)) => self.usage = Some(usage),
                 None => {}
             },
             Token::Error { number, text } => {
@@ -254,7 +255,7 @@
         Ok(())
     }
 
-    fn row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
+    fn add_row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
         let bytes = row.iter().flatten().map(String::len).sum();
         if !self.budget.add(bytes, self.context.limits.max_buffered_result_bytes) {
             log::warn!(
@@ -270,8 +271,8 @@
     /// Returns the result at the end of the response. The last DONE token says whether there was an error.
     fn result(self, done_with_error: bool) -> Result<Served, ConnectionEnd> {
         match self.error {
-            Some(number) if ERRORS_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
-            Some(ERROR_EXPIRED) => Err(ConnectionEnd::AnsweredOver),
+            Some(number) if ERRORS_ENGINE_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
+            Some(ERROR_DEADLINE_PASSED) => Err(ConnectionEnd::AnsweredOver),
             Some(_) => Err(ConnectionEnd::AnsweredError),
             None if done_with_error => Err(ConnectionEnd::AnsweredError),
             None => Ok(Served { table: self.table, usage: self.usage }),
@@ -293,13 +294,13 @@
 }
 
 /// Content of an INFO token about a running request.
-enum Progress {
+enum InfoContent {
     Note(AttemptNote),
     Usage(Usage),
 }
 
 /// Parses the text of an INFO token: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
-fn progress(text: &str) -> Option<Progress> {
+fn parse_info(text: &str) -> Option<InfoContent> {
     /// Amount of `held` that means waiting for a load. Other amounts mean waiting for memory.
     const WAITS_FOR_LOAD: f64 = 2.0;
     let find = |name: &str| {
@@ -317,14 +318,14 @@
         }
     } else {
         let work_ms = find("toil")?;
-        return Some(Progress::Usage(Usage { work_ms, memory_mb: find("room").unwrap_or(0.0) }));
+        return Some(InfoContent::Usage(Usage { work_ms, memory_mb: find("room").unwrap_or(0.0) }));
     };
-    Some(Progress::Note(note))
+    Some(InfoContent::Note(note))
 }
 
 /// Requests the load report of an engine.
 async fn query_load(session: &mut Session) -> Result<LoadReport, ConnectionEnd> {
-    session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK)).await?;
+    session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK_STATEMENT)).await?;
     let mut columns = Vec::new();
     let mut row = Row::new();
     loop {
--- a/src/upstream/tds/mod.rs
+++ b/src/upstream/tds/mod.rs
@@ -33,7 +33,7 @@
 
 /// Reports that the connection with this number has finished its task, or has ended.
 #[derive(Debug)]
-struct Idle(ConnectionNumber);
+struct IdleReport(ConnectionNumber);
 
 #[derive(Debug)]
 struct Connection {
@@ -51,7 +51,7 @@
     /// The connection that carries each attempt.
     in_flight: HashMap<AttemptId, ConnectionNumber>,
     last_number: ConnectionNumber,
-    idle: mpsc::Sender<Idle>,
+    idle: mpsc::Sender<IdleReport>,
 }
 
 /// Runs an engine's connections until the service ends.
@@ -61,7 +61,7 @@
     mut commands: mpsc::Receiver<EndpointCommand>,
     login: Login,
 ) {
-    let (idle, mut idle_reports) = mpsc::channel::<Idle>(IDLE_QUEUE);
+    let (idle, mut idle_reports) = mpsc::channel::<IdleReport>(IDLE_QUEUE);
     let mut pool = Pool {
         context,
         address,
@@ -76,13 +76,13 @@
             command = commands.recv() => {
                 let Some(command) = command else { return };
                 if let Some(Rejected { command, end }) = pool.apply_command(command)
-                    && pool.context.unwritten(command, end).await.is_err()
+                    && pool.context.report_unwritten(command, end).await.is_err()
                 {
                     return;
                 }
             }
             report = idle_reports.recv() => {
-                if let Some(Idle(number)) = report {
+                if let Some(IdleReport(number)) = report {
                     pool.mark_idle(number);
                 }
             }
@@ -99,7 +99,7 @@
 impl Pool {
     fn apply_command(&mut self, command: EndpointCommand) -> Option<Rejected> {
         match command {
-            EndpointCommand::Address(address) => self.address = address,
+            EndpointCommand::SetAddress(address) => self.address = address,
             // TDS cannot change the priority of a running batch, so the batch retains the priority it was sent with.
             EndpointCommand::SetPriority { .. } => {}
             // Engines acknowledge each Attention, so each cancellation is confirmed.
--- a/src/upstream/tds/session.rs
+++ b/src/upstream/tds/session.rs
@@ -5,7 +5,7 @@
 use crate::core::ConnectionEnd;
 use crate::tds::token::{self, Column, Token};
 use crate::tds::{login, packet};
-use crate::upstream::{failed_connect, failed_io};
+use crate::upstream::{connect_failure, io_failure};
 use bytes::{Buf, BytesMut};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// Time within which an engine has to acknowledge an Attention. The session is closed after it.
 const ATTENTION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Initial capacity of the receive buffer.
-const INPUT_BYTES: usize = 8192;
+const INITIAL_INPUT_BYTES: usize = 8192;
 
 /// An open session. It executes one batch at a time.
 pub(super) struct Session {
@@ -27,7 +27,7 @@
     /// Whether the last packet of the engine's message was received.
     message_complete: bool,
     /// Time at which the last token was received.
-    pub(super) last_token: Micros,
+    pub(super) last_token_at: Micros,
 }
 
 impl Session {
@@ -37,17 +37,17 @@
         credentials: &Login,
         now: Micros,
     ) -> Result<Session, ConnectionEnd> {
-        let stream = TcpStream::connect(address).await.map_err(|error| failed_connect(&error))?;
+        let stream = TcpStream::connect(address).await.map_err(|error| connect_failure(&error))?;
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!(address:%, error:%; "TDS engine: TCP_NODELAY not set");
         }
         let mut session = Session {
             stream,
-            received: BytesMut::with_capacity(INPUT_BYTES),
+            received: BytesMut::with_capacity(INITIAL_INPUT_BYTES),
             tokens: BytesMut::new(),
             columns: Vec::new(),
             message_complete: false,
-            last_token: now,
+            last_token_at: now,
         };
         session.log_in(credentials).await.map_err(|_| ConnectionEnd::ConnectTimeout)?;
         Ok(session)
@@ -84,7 +84,7 @@
         self.message_complete = false;
         self.tokens.clear();
         let sent = self.stream.write_all(&packet::message(kind, data)).await;
-        sent.map_err(|error| failed_io(&error))
+        sent.map_err(|error| io_failure(&error))
     }
 
     /// Returns whether the engine's message has been read to its end.
@@ -111,7 +111,7 @@
                 }
             }
             let read = self.stream.read_buf(&mut self.received).await;
-            if read.map_err(|error| failed_io(&error))? == 0 {
+            if read.map_err(|error| io_failure(&error))? == 0 {
                 return Err(ConnectionEnd::Closed);
             }
         }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -8,7 +8,7 @@
 
 /// Guards against an attempt that stays in flight because its cancellation was dropped from a full queue.
 #[tokio::test]
-async fn a_cancellation_waits_for_a_full_queue_and_is_not_dropped() {
+async fn cancellation_waits_for_capacity_of_a_full_queue() {
     let (queue, mut commands) = mpsc::channel(1);
     send_when_possible(&queue, EndpointCommand::HealthCheck);
     send_when_possible(&queue, cancel(7));
