--- a/src/upstream/closing.rs
+++ b/src/upstream/closing.rs
@@ -1,5 +1,6 @@
-//! The end of a connection to an engine. What was completely written to an engine is in flight there until the engine has dropped it:
-//! it does so with a connection that it closed itself, or of which it has read the close.
+//! The end of a connection to an engine. An attempt that was completely written is in flight until the engine discards
+//! it. An engine discards the attempts of a connection when it closes the connection itself, and when it reads the
+//! close of the manager.
 
 use super::EndpointContext;
 use crate::core::{AttemptId, ConnectionEnd};
@@ -9,38 +10,38 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// How long a closed connection waits for the engine's close; longer than engines hang.
+/// Time to wait for the engine's close after the manager's. Engines hang for less than this.
 const CLOSE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
-/// Buffer for what an engine still sends on a closed connection, which is dropped.
-const DROPPED_BYTES: usize = 4096;
+/// Size of the buffer for what an engine still sends after the manager's close. Its content is dropped.
+const DRAIN_BUFFER_BYTES: usize = 4096;
 
-/// Whether an engine has dropped the attempts of a connection that ended.
+/// Whether an engine has discarded the attempts of a connection that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Dropped {
-    /// It has.
-    Yes,
-    /// It does once it has read the close.
-    WithTheClose,
-    /// Nothing will tell.
+enum DiscardStatus {
+    /// The engine has discarded them.
+    Discarded,
+    /// The engine discards them once it has read the manager's close.
+    AfterClose,
+    /// The connection can no longer show whether the engine has discarded them.
     Unknown,
 }
 
-impl From<ConnectionEnd> for Dropped {
-    fn from(end: ConnectionEnd) -> Dropped {
+impl From<ConnectionEnd> for DiscardStatus {
+    fn from(end: ConnectionEnd) -> DiscardStatus {
         match end {
-            ConnectionEnd::Closed | ConnectionEnd::Reset => Dropped::Yes,
-            ConnectionEnd::Broken => Dropped::Unknown,
-            _ => Dropped::WithTheClose,
+            ConnectionEnd::Closed | ConnectionEnd::Reset => DiscardStatus::Discarded,
+            ConnectionEnd::Broken => DiscardStatus::Unknown,
+            _ => DiscardStatus::AfterClose,
         }
     }
 }
 
-/// Reports attempts that were completely written to a connection that ended: they are possibly executed, and over once
-/// the engine has dropped them.
+/// Reports the attempts that were completely written to a connection that ended. They are possibly executed. Each has
+/// ended once the engine has discarded it, and is lost until then.
 ///
 /// # Errors
-/// The service has ended.
-pub async fn report_written(
+/// Fails if the service has ended.
+pub async fn report_written_attempts(
     context: &EndpointContext,
     written: Vec<AttemptId>,
     end: ConnectionEnd,
@@ -50,52 +51,58 @@
     if written.is_empty() {
         return Ok(());
     }
-    let mut dropped = Dropped::from(end);
-    if dropped != Dropped::Yes {
+    let mut discard_status = DiscardStatus::from(end);
+    if discard_status != DiscardStatus::Discarded {
         for attempt in &written {
-            context.lost(*attempt, end).await?;
+            context.report_lost(*attempt, end).await?;
         }
     }
-    if dropped == Dropped::WithTheClose {
-        dropped = close(reader, writer).await;
+    if discard_status == DiscardStatus::AfterClose {
+        discard_status = close_and_drain(reader, writer).await;
     }
-    if dropped != Dropped::Yes {
+    if discard_status != DiscardStatus::Discarded {
         let count = written.len();
-        log::warn!(count, reason:? = end; "an engine has not shown that it dropped attempts of a connection");
+        log::warn!(
+            engine = context.engine, count, reason:? = end;
+            "engine did not confirm the close of a connection: its attempts stay in flight"
+        );
         return Ok(());
     }
     for attempt in written {
-        context.ended(attempt, end).await?;
+        context.report_ended(attempt, end).await?;
     }
     Ok(())
 }
 
-/// Closes a connection and waits until the engine has closed it too: it has read the close by then.
-async fn close(mut reader: impl AsyncRead + Unpin, mut writer: impl AsyncWrite + Unpin) -> Dropped {
+/// Closes a connection and waits for the engine's close, which shows that the engine has read the manager's.
+async fn close_and_drain(
+    mut reader: impl AsyncRead + Unpin,
+    mut writer: impl AsyncWrite + Unpin,
+) -> DiscardStatus {
     if let Err(error) = writer.shutdown().await {
-        return read_error(&error);
+        return status_after_error(&error);
     }
-    let closed = tokio::time::timeout(CLOSE_CONFIRM_TIMEOUT, read_to_end(&mut reader)).await;
-    closed.unwrap_or(Dropped::Unknown)
+    let closed = tokio::time::timeout(CLOSE_CONFIRM_TIMEOUT, drain_to_end(&mut reader)).await;
+    closed.unwrap_or(DiscardStatus::Unknown)
 }
 
-async fn read_to_end(reader: &mut (impl AsyncRead + Unpin)) -> Dropped {
-    let mut buffer = BytesMut::with_capacity(DROPPED_BYTES);
+async fn drain_to_end(reader: &mut (impl AsyncRead + Unpin)) -> DiscardStatus {
+    let mut buffer = BytesMut::with_capacity(DRAIN_BUFFER_BYTES);
     loop {
         buffer.clear();
         match reader.read_buf(&mut buffer).await {
-            Ok(0) => return Dropped::Yes,
+            Ok(0) => return DiscardStatus::Discarded,
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) => return read_error(&error),
+            Err(error) => return status_after_error(&error),
         }
     }
 }
 
-/// Only a reset comes from the engine's side.
-fn read_error(error: &io::Error) -> Dropped {
+/// A reset comes from the engine, which has discarded the attempts then. Other errors don't come from the engine.
+fn status_after_error(error: &io::Error) -> DiscardStatus {
     match error.kind() {
-        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Dropped::Yes,
-        _ => Dropped::Unknown,
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => DiscardStatus::Discarded,
+        _ => DiscardStatus::Unknown,
     }
 }
--- a/src/upstream/line_protocol/connection/timeouts.rs
+++ b/src/upstream/line_protocol/connection/timeouts.rs
@@ -1,13 +1,13 @@
-//! Timeouts of a connection: an engine that is silent, or that is silent about one request; responses that do not end;
-//! health checks without an answer; an idle connection.
+//! Timeouts of a connection: an engine that sends nothing, or nothing about one request; incomplete responses;
+//! unanswered health checks; an idle connection.
 
-use super::{Connection, Stop};
+use super::{Connection, ExchangeEnd};
 use crate::clock::Micros;
 use crate::core::ConnectionEnd;
 use std::time::Instant;
 
 impl Connection {
-    /// Starts the timers of what the engine owes from now on.
+    /// Starts the timers of due responses and of unwritten bytes that are not running yet.
     pub(super) fn start_timers(&mut self) {
         let now = self.context.clock.now();
         if self.is_response_due() {
@@ -16,78 +16,88 @@
         self.output.update_stall_timer(now);
     }
 
-    /// When [`Connection::time_passed`] is next to be called.
+    /// Returns when [`Connection::handle_timeouts`] has to be called next.
     pub(super) fn next_timeout(&self) -> Instant {
         let limits = &self.context.limits;
-        let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.probe_timeout);
-        let reported = self.in_flight.values().filter(|_| limits.reports_progress);
-        let unmentioned = reported.map(|in_flight| in_flight.last_mention + limits.silent_after);
-        let incomplete = self.incomplete_since.map(|since| since + limits.line_within);
-        let first = health_checks.chain(unmentioned).chain(self.silent_at()).chain(incomplete).min();
-        let at = first.unwrap_or(self.last_command + limits.idle_after);
+        let health_checks = self.health_checks.values().map(|sent_at| *sent_at + limits.health_check_timeout);
+        let reported = self.in_flight.values().filter(|_| limits.engines_report_progress);
+        let silent_requests = reported.map(|in_flight| in_flight.last_response_at + limits.silence_timeout);
+        let incomplete = self.incomplete_since.map(|since| since + limits.incomplete_response_timeout);
+        let first = health_checks.chain(silent_requests).chain(self.silent_at()).chain(incomplete).min();
+        let at = first.unwrap_or(self.last_command_at + limits.idle_timeout);
         self.context.clock.instant(at)
     }
 
     fn is_busy(&self) -> bool {
         !self.in_flight.is_empty()
             || !self.health_checks.is_empty()
-            || self.stopping.awaits_confirmation()
+            || self.unconfirmed_stops.awaits_confirmation()
             || !self.output.queued.is_empty()
     }
 
-    /// Whether the engine owes a response.
+    /// Returns whether the engine owes a response.
     fn is_response_due(&self) -> bool {
-        let reports = self.context.limits.reports_progress && !self.in_flight.is_empty();
-        reports || !self.health_checks.is_empty() || self.stopping.awaits_confirmation()
+        let reports = self.context.limits.engines_report_progress && !self.in_flight.is_empty();
+        reports || !self.health_checks.is_empty() || self.unconfirmed_stops.awaits_confirmation()
     }
 
-    /// When the engine counts as cut off or hanging: it owes a response and sends none, or reads nothing.
+    /// Returns when the engine counts as disconnected or hanging, since it owes a response and sends none, or reads
+    /// nothing.
     fn silent_at(&self) -> Option<Micros> {
         let since = self.response_due_since.into_iter().chain(self.output.stalled_since).min();
-        since.map(|since| since + self.context.limits.silent_after)
+        since.map(|since| since + self.context.limits.silence_timeout)
     }
 
-    /// Acts on the timeouts that are over.
-    pub(super) async fn time_passed(&mut self) -> Result<(), Stop> {
+    /// Handles the expired timeouts.
+    pub(super) async fn handle_timeouts(&mut self) -> Result<(), ExchangeEnd> {
         let now = self.context.clock.now();
         if self.silent_at().is_some_and(|at| now >= at) {
-            return Err(Stop::Connection(ConnectionEnd::Silent));
+            return Err(ExchangeEnd::Connection(ConnectionEnd::Silent));
         }
-        // Guards against a response that stops short, or trickles: nothing behind it can be read any more.
-        let line_within = self.context.limits.line_within;
-        if self.incomplete_since.is_some_and(|since| now >= since + line_within) {
-            log::warn!("an engine's line does not end, its connection ends");
-            return Err(Stop::Connection(ConnectionEnd::Malformed));
+        // Guards against a response that stays incomplete, or arrives too slowly. It blocks all responses behind it.
+        let incomplete_response_timeout = self.context.limits.incomplete_response_timeout;
+        if self.incomplete_since.is_some_and(|since| now >= since + incomplete_response_timeout) {
+            log::warn!(
+                engine = self.context.engine;
+                "engine connection closed: response not complete within the time limit"
+            );
+            return Err(ExchangeEnd::Connection(ConnectionEnd::Malformed));
         }
-        self.give_up_unmentioned(now);
-        if !self.is_busy() && now >= self.last_command + self.context.limits.idle_after {
-            return Err(Stop::Idle);
+        self.abandon_silent_requests(now);
+        if !self.is_busy() && now >= self.last_command_at + self.context.limits.idle_timeout {
+            return Err(ExchangeEnd::Idle);
         }
         self.time_out_health_checks(now).await
     }
 
-    /// Guards against an answer, or a page, that never comes: the request may be retried before its deadline.
-    fn give_up_unmentioned(&mut self, now: Micros) {
+    /// Stops requests about which the engine sends nothing. Guards against an answer or a page that never arrives: the
+    /// request can be retried before its deadline.
+    fn abandon_silent_requests(&mut self, now: Micros) {
         let limits = &self.context.limits;
-        if !limits.reports_progress {
+        if !limits.engines_report_progress {
             return;
         }
-        let oldest = now - limits.silent_after;
-        let unmentioned = self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_mention <= oldest);
-        let requests: Vec<String> = unmentioned.map(|(request, _)| request.clone()).collect();
-        for request in requests {
-            log::warn!("an engine says no more of request {request}: given up there");
-            self.give_up(&request, ConnectionEnd::RequestSilent);
+        let oldest = now - limits.silence_timeout;
+        let silent_requests =
+            self.in_flight.iter().filter(|(_, in_flight)| in_flight.last_response_at <= oldest);
+        let requests: Vec<String> =
+            silent_requests.map(|(client_request_id, _)| client_request_id.clone()).collect();
+        for client_request_id in requests {
+            log::warn!(
+                engine = self.context.engine, name = client_request_id.as_str();
+                "engine sent nothing about a request within the silence timeout: attempt stopped"
+            );
+            self.abandon_request(&client_request_id, ConnectionEnd::RequestSilent);
         }
     }
 
-    async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), Stop> {
-        let oldest = now - self.context.limits.probe_timeout;
+    async fn time_out_health_checks(&mut self, now: Micros) -> Result<(), ExchangeEnd> {
+        let oldest = now - self.context.limits.health_check_timeout;
         let late = self.health_checks.iter().filter(|(_, sent_at)| **sent_at <= oldest);
         let tags: Vec<String> = late.map(|(tag, _)| tag.clone()).collect();
         for tag in tags {
             if let Some(sent_at) = self.health_checks.remove(&tag) {
-                self.context.probed(ConnectionEnd::TimedOut, None, now - sent_at).await?;
+                self.context.report_health_check(ConnectionEnd::TimedOut, None, now - sent_at).await?;
             }
         }
         Ok(())
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that speak the platform's line protocol: connections that each carry many requests at once.
+//! Engines that speak the platform's line protocol. Each connection carries many requests at once.
 
 mod carried_requests;
 mod connection;
@@ -15,50 +15,52 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::mpsc;
 
-/// Attempts from which on a connection is spared, as long as another may be opened: a connection that ends takes all
-/// that it carries with it.
-const PREFERRED_LOAD: usize = 4;
+/// Attempts per connection at which another connection is opened, as long as the limit of connections permits. All
+/// attempts of a connection fail when it ends.
+const PREFERRED_MAX_ATTEMPTS: usize = 4;
 /// Commands that may wait for one connection.
-const QUEUE: usize = 1024;
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
 
-/// A connection as the engine's task sees it.
+/// The handle with which the engine's task uses one connection.
 #[derive(Debug)]
 struct Connection {
     commands: mpsc::Sender<EndpointCommand>,
-    /// Attempts that it carries.
+    /// Number of attempts that the connection carries, shared with the connection's task.
     load: Arc<AtomicUsize>,
-    /// A request of these names goes to another connection.
-    carried: CarriedRequests,
-    /// The engine has moved to another address: what is in flight here may still end here, but nothing new is sent.
+    /// Requests with these client request ids are sent on other connections.
+    carried_requests: CarriedRequests,
+    /// Set once the engine has another address. Attempts in flight may still end here, but no new ones are sent.
     retired: bool,
 }
 
 impl Connection {
     fn open(context: &EndpointContext, address: SocketAddr) -> Connection {
-        let (commands, queue) = mpsc::channel(QUEUE);
+        let (commands, queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let load = Arc::new(AtomicUsize::new(0));
         tokio::spawn(connection::run(context.clone(), address, queue, load.clone()));
-        Connection { commands, load, carried: CarriedRequests::default(), retired: false }
+        Connection { commands, load, carried_requests: CarriedRequests::default(), retired: false }
     }
 
     fn load(&self) -> usize {
         self.load.load(Ordering::Relaxed)
     }
 
-    /// Whether it may carry one more attempt, of a request with this name, or a health check.
-    fn accepts(&self, name: Option<&str>, max_streams: usize) -> bool {
-        let may_confuse = name.is_some_and(|name| self.carried.contains(name));
-        !self.retired && !may_confuse && self.load() < max_streams
+    /// Returns whether the connection may carry one more attempt with this client request id, or a health check
+    /// (`None`).
+    fn accepts(&self, client_request_id: Option<&str>, max_attempts: usize) -> bool {
+        let was_carried = client_request_id
+            .is_some_and(|client_request_id| self.carried_requests.contains(client_request_id));
+        !self.retired && !was_carried && self.load() < max_attempts
     }
 
-    /// Hands a command to the connection; gives it back where the connection does not accept it.
+    /// Passes a command to the connection. Returns the command if the connection does not accept it.
     fn send(&mut self, now: Micros, command: EndpointCommand) -> Option<EndpointCommand> {
-        let name = request_name(&command).map(str::to_owned);
+        let client_request_id = client_request_id_of(&command).map(str::to_owned);
         match self.commands.try_send(command) {
             Ok(()) => {
-                if let Some(name) = name {
+                if let Some(client_request_id) = client_request_id {
                     self.load.fetch_add(1, Ordering::Relaxed);
-                    self.carried.insert(now, &name);
+                    self.carried_requests.insert(now, &client_request_id);
                 }
                 None
             }
@@ -67,8 +69,8 @@
     }
 }
 
-/// The name of the request that a command starts an attempt of.
-fn request_name(command: &EndpointCommand) -> Option<&str> {
+/// Returns the client request id of the attempt that a command starts; `None` for other commands.
+fn client_request_id_of(command: &EndpointCommand) -> Option<&str> {
     match command {
         EndpointCommand::Start { call, .. } => Some(&call.name),
         _ => None,
@@ -92,18 +94,20 @@
     while let Some(command) = commands.recv().await {
         pool.connections.retain(|connection| !connection.commands.is_closed());
         let unsent = match command {
-            EndpointCommand::Address(address) => {
-                pool.move_to(address);
+            EndpointCommand::SetAddress(address) => {
+                pool.set_address(address);
                 continue;
             }
             EndpointCommand::Cancel { .. } | EndpointCommand::SetPriority { .. } => {
                 pool.send_to_all(&command);
                 continue;
             }
-            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => pool.send_to_one(command),
+            EndpointCommand::Start { .. } | EndpointCommand::HealthCheck => {
+                pool.send_to_least_loaded(command)
+            }
         };
         if let Some(command) = unsent
-            && pool.context.unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
+            && pool.context.report_unwritten(command, ConnectionEnd::NeverWritten).await.is_err()
         {
             return;
         }
@@ -111,7 +115,7 @@
 }
 
 impl Pool {
-    fn move_to(&mut self, address: SocketAddr) {
+    fn set_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -119,7 +123,7 @@
         self.connections.iter_mut().for_each(|connection| connection.retired = true);
     }
 
-    /// Sends a command on an attempt to all connections: only the one that carries it knows, the others ignore it.
+    /// Sends a command about an attempt to all connections. Those that don't carry the attempt ignore it.
     fn send_to_all(&self, command: &EndpointCommand) {
         for connection in &self.connections {
             let copy = match *command {
@@ -133,18 +137,20 @@
         }
     }
 
-    /// Sends a command to the connection with the least load, which may be a new one; gives it back where none has
-    /// capacity.
-    fn send_to_one(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
+    /// Sends a command to the connection with the least load, which may be a new one. Returns the command if no
+    /// connection has capacity.
+    fn send_to_least_loaded(&mut self, command: EndpointCommand) -> Option<EndpointCommand> {
         let limits = &self.context.limits;
-        let max_streams = limits.streams;
-        let name = request_name(&command);
-        let is_light = |one: &Connection| one.accepts(name, max_streams) && one.load() < PREFERRED_LOAD;
-        if !self.connections.iter().any(is_light) && self.connections.len() < limits.connections {
+        let max_attempts = limits.max_attempts_per_connection;
+        let client_request_id = client_request_id_of(&command);
+        let has_low_load = |one: &Connection| {
+            one.accepts(client_request_id, max_attempts) && one.load() < PREFERRED_MAX_ATTEMPTS
+        };
+        if !self.connections.iter().any(has_low_load) && self.connections.len() < limits.max_connections {
             self.connections.push(Connection::open(&self.context, self.address));
         }
         let now = self.context.clock.now();
-        let usable = self.connections.iter_mut().filter(|one| one.accepts(name, max_streams));
+        let usable = self.connections.iter_mut().filter(|one| one.accepts(client_request_id, max_attempts));
         match usable.min_by_key(|one| one.load()) {
             Some(connection) => connection.send(now, command),
             None => Some(command),
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The engines that are listed, or still have attempts in flight, each with its task.
+//! The tasks of all engines that are listed or still have attempts in flight.
 
 use super::{
     EndpointCommand, EndpointContext, UpstreamLimits, UpstreamProtocol, line_protocol, send_when_possible,
@@ -14,8 +14,8 @@
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::mpsc;
 
-/// Commands that may wait for one engine; attempts beyond that never ran.
-const QUEUE: usize = 2048;
+/// Commands that may wait for one engine. Attempts beyond that are never executed.
+const COMMAND_QUEUE_CAPACITY: usize = 2048;
 
 /// The tasks of all engines.
 #[derive(Debug)]
@@ -24,32 +24,40 @@
     handle: ServiceHandle,
     clock: Clock,
     limits: UpstreamLimits,
-    collected: Arc<AtomicUsize>,
-    /// The way to each engine's task, by the engine's number. A task ends, with its connections, once its sender is
+    buffered_result_bytes: Arc<AtomicUsize>,
+    /// Command queue of each engine's task by engine number. A task ends, with its connections, once its sender is
     /// dropped.
     engines: HashMap<u64, mpsc::Sender<EndpointCommand>>,
 }
 
-/// A command and the number of the engine that it is for.
-struct Addressed {
+/// A command for the task of one engine.
+struct RoutedCommand {
     engine: u64,
     command: EndpointCommand,
 }
 
 impl UpstreamPool {
-    /// A pool without engines.
+    /// Creates a pool without engines.
     pub fn new(
         protocol: UpstreamProtocol,
         handle: ServiceHandle,
         clock: Clock,
         limits: UpstreamLimits,
     ) -> UpstreamPool {
-        UpstreamPool { protocol, handle, clock, limits, collected: Arc::default(), engines: HashMap::new() }
+        UpstreamPool {
+            protocol,
+            handle,
+            clock,
+            limits,
+            buffered_result_bytes: Arc::default(),
+            engines: HashMap::new(),
+        }
     }
 
-    /// Carries out a command of the core; one that cannot be handed to its engine's task comes back as its end.
-    pub fn carry_out(&mut self, command: Command) -> Option<Input> {
-        let Addressed { engine, command } = self.addressed(command)?;
+    /// Applies a command of the core. If the engine's task does not accept it, returns its end as an input for the
+    /// core.
+    pub fn apply_command(&mut self, command: Command) -> Option<Input> {
+        let RoutedCommand { engine, command } = self.route(command)?;
         let rejected = match self.engines.get(&engine) {
             Some(task) if matches!(command, EndpointCommand::Cancel { .. }) => {
                 send_when_possible(task, command);
@@ -58,11 +66,12 @@
             Some(task) => task.try_send(command).err().map(mpsc::error::TrySendError::into_inner),
             None => Some(command),
         };
-        never_written(engine, rejected?)
+        unsent_command_end(engine, rejected?)
     }
 
-    /// The command for an engine's task; commands for the pool itself are carried out here.
-    fn addressed(&mut self, command: Command) -> Option<Addressed> {
+    /// Returns the command for an engine's task. Commands for the pool itself are applied here, and `None` is returned
+    /// for them.
+    fn route(&mut self, command: Command) -> Option<RoutedCommand> {
         let (engine, command) = match command {
             Command::StartAttempt { attempt, engine, call } => {
                 (engine, EndpointCommand::Start { attempt, call })
@@ -87,24 +96,24 @@
             }
             Command::Answer { .. } | Command::Log(_) => return None,
         };
-        Some(Addressed { engine, command })
+        Some(RoutedCommand { engine, command })
     }
 
-    /// Starts the task of a new engine, or notifies the task of a known one of its address.
+    /// Starts the task of a new engine, or sends the address to the task of a known one.
     fn update(&mut self, engine: u64, address: SocketAddr) {
         if let Some(task) = self.engines.get(&engine) {
-            if task.try_send(EndpointCommand::Address(address)).is_err() {
-                log::warn!("an engine's queue is full: its new address is not known");
+            if task.try_send(EndpointCommand::SetAddress(address)).is_err() {
+                log::warn!(engine, address:%; "engine's command queue is full: its new address is not applied");
             }
             return;
         }
-        let (task, commands) = mpsc::channel(QUEUE);
+        let (task, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let context = EndpointContext {
             engine,
             handle: self.handle.clone(),
             clock: self.clock,
             limits: self.limits.clone(),
-            collected: self.collected.clone(),
+            buffered_result_bytes: self.buffered_result_bytes.clone(),
         };
         match &self.protocol {
             UpstreamProtocol::LineProtocol => tokio::spawn(line_protocol::run(context, address, commands)),
@@ -114,12 +123,12 @@
     }
 }
 
-/// What the core is notified of where an engine's task does not accept a command.
-fn never_written(engine: u64, command: EndpointCommand) -> Option<Input> {
+/// Returns the end of a command that an engine's task did not accept, as an input for the core.
+fn unsent_command_end(engine: u64, command: EndpointCommand) -> Option<Input> {
     let end = ConnectionEnd::NeverWritten;
     match command {
         EndpointCommand::Start { attempt, .. } => {
-            log::warn!("an engine's queue is full: attempt not sent");
+            log::warn!(engine, request:% = attempt; "engine's command queue is full or closed: attempt not sent");
             Some(Input::Attempt { attempt, event: AttemptEvent::Ended { end, report: None } })
         }
         EndpointCommand::HealthCheck => {
@@ -128,6 +137,6 @@
         }
         EndpointCommand::Cancel { .. }
         | EndpointCommand::SetPriority { .. }
-        | EndpointCommand::Address(_) => None,
+        | EndpointCommand::SetAddress(_) => None,
     }
 }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a TDS engine: a session that is opened for the first task, then one request at a time.
+//! One connection to a TDS engine. Its session is opened for the first task and executes one request at a time.
 
 use super::session::Session;
-use super::{ConnectionNumber, Idle, Login, Task};
+use super::{ConnectionNumber, IdleReport, Login, Task};
 use crate::clock::Micros;
 use crate::core::AttemptId;
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
@@ -9,48 +9,48 @@
 use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
-use crate::upstream::closing::report_written;
+use crate::upstream::closing::report_written_attempts;
 use crate::upstream::line_protocol::load_report;
 use crate::upstream::{EndpointCommand, EndpointContext, ResultBudget};
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// Error numbers that say that the engine is full: the request never ran.
-const ERRORS_FULL: [u32; 2] = [10928, 40501];
-/// Error number that says that the request's time was over when it was read: it never ran.
-const ERROR_EXPIRED: u32 = 50504;
-/// Number of the INFO tokens that report on a running request.
-const INFO_PROGRESS: u32 = 50100;
-/// The statement that asks an engine for its load report.
-const HEALTH_CHECK: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
+/// Error numbers that say that the engine is full. The request was never executed.
+const ERRORS_ENGINE_FULL: [u32; 2] = [10928, 40501];
+/// Error number that says that the deadline had passed when the engine read the request. It was never executed.
+const ERROR_DEADLINE_PASSED: u32 = 50504;
+/// Number of INFO tokens with progress or usage of a running request.
+const INFO_REQUEST_PROGRESS: u32 = 50100;
+/// Statement that requests the load report.
+const HEALTH_CHECK_STATEMENT: &str = "/*probe='load'*/ SELECT util, queue, x0, x1 FROM sys.dm_engine_load";
 
-/// What a connection needs.
+/// Arguments of a connection's task.
 pub(super) struct Setup {
     pub context: EndpointContext,
     pub address: SocketAddr,
     pub login: Login,
     pub number: ConnectionNumber,
-    /// Where the connection reports that it is idle.
-    pub idle: mpsc::Sender<Idle>,
+    /// Queue of idle reports to the pool.
+    pub idle: mpsc::Sender<IdleReport>,
 }
 
-/// How a request ended.
-enum Finish {
-    /// The engine answered it, or acknowledged that it is cancelled.
+/// How the execution of a batch ended.
+enum BatchEnd {
+    /// The engine answered the request, or acknowledged its cancellation.
     Answered {
         result: Result<Served, ConnectionEnd>,
         /// Whether the session can carry another request.
         reusable: bool,
     },
-    /// The session can't be used any more, and the engine may still execute it.
+    /// The session is broken, and the attempt is lost but in flight.
     Broken(ConnectionEnd),
 }
 
-/// What is left to do after an attempt.
-enum AttemptFinish {
-    /// Its end is reported. Says whether the session can carry another request.
-    SessionUsable(bool),
-    /// The session is to be closed, and the attempt is over with that.
+/// State of an attempt after its execution, and what it means for the session.
+enum AttemptState {
+    /// The attempt ended and its end is reported. The value says whether the session can carry another request.
+    Ended(bool),
+    /// The attempt is lost. The session has to be closed, which ends the attempt.
     Lost(ConnectionEnd),
 }
 
@@ -60,12 +60,12 @@
     usage: Option<Usage>,
 }
 
-/// Carries out tasks until the session breaks or is idle for too long.
+/// Executes tasks until the session breaks or has been idle for the idle timeout.
 pub(super) async fn run(setup: Setup, mut tasks: mpsc::Receiver<Task>) {
-    let idle_after = setup.context.limits.idle_after.to_duration();
+    let idle_timeout = setup.context.limits.idle_timeout.to_duration();
     let mut session: Option<Session> = None;
     loop {
-        let Ok(Some(task)) = tokio::time::timeout(idle_after, tasks.recv()).await else { break };
+        let Ok(Some(task)) = tokio::time::timeout(idle_timeout, tasks.recv()).await else { break };
         let Task::Run(command) = task else { continue };
         let (open, started_at) = (session.take(), setup.context.clock.now());
         let mut current = match open {
@@ -74,7 +74,7 @@
                 Ok(opened) => opened,
                 Err(end) => {
                     tasks.close();
-                    let _ended = setup.context.unwritten(command, end).await;
+                    let _ended = setup.context.report_unwritten(command, end).await;
                     break;
                 }
             },
@@ -82,11 +82,12 @@
         let reusable = match command {
             EndpointCommand::Start { attempt, call } => {
                 match setup.run_attempt(&mut current, attempt, &call, &mut tasks).await {
-                    Ok(AttemptFinish::SessionUsable(reusable)) => reusable,
-                    Ok(AttemptFinish::Lost(end)) => {
+                    Ok(AttemptState::Ended(reusable)) => reusable,
+                    Ok(AttemptState::Lost(end)) => {
                         tasks.close();
                         let (reader, writer) = current.into_split();
-                        let _ended = report_written(&setup.context, vec![attempt], end, reader, writer).await;
+                        let _ended =
+                            report_written_attempts(&setup.context, vec![attempt], end, reader, writer).await;
                         break;
                     }
                     Err(ServiceEnded) => return,
@@ -102,12 +103,12 @@
             break;
         }
         session = Some(current);
-        if setup.idle.send(Idle(setup.number)).await.is_err() {
+        if setup.idle.send(IdleReport(setup.number)).await.is_err() {
             return;
         }
     }
     drop(tasks);
-    let _ended = setup.idle.send(Idle(setup.number)).await;
+    let _ended = setup.idle.send(IdleReport(setup.number)).await;
 }
 
 impl Setup {
@@ -117,34 +118,34 @@
         opened.unwrap_or(Err(ConnectionEnd::ConnectTimeout))
     }
 
-    /// Runs an attempt and reports its end, unless it is lost.
+    /// Executes an attempt and reports its end, unless it is lost.
     async fn run_attempt(
         &self,
         session: &mut Session,
         attempt: AttemptId,
         call: &Call,
         tasks: &mut mpsc::Receiver<Task>,
-    ) -> Result<AttemptFinish, ServiceEnded> {
+    ) -> Result<AttemptState, ServiceEnded> {
         let Some(remaining) = call.permit.remaining(self.context.clock.now()) else {
-            self.context.ended(attempt, ConnectionEnd::NeverWritten).await?;
-            return Ok(AttemptFinish::SessionUsable(true));
+            self.context.report_ended(attempt, ConnectionEnd::NeverWritten).await?;
+            return Ok(AttemptState::Ended(true));
         };
-        let finish = Attempt::new(&self.context, attempt, call).run(session, remaining, tasks).await;
-        let (result, reusable) = match finish {
-            Finish::Answered { result, reusable } => (result, reusable),
-            Finish::Broken(end) => return Ok(AttemptFinish::Lost(end)),
+        let batch_end = Attempt::new(&self.context, attempt, call).execute(session, remaining, tasks).await;
+        let (result, reusable) = match batch_end {
+            BatchEnd::Answered { result, reusable } => (result, reusable),
+            BatchEnd::Broken(end) => return Ok(AttemptState::Lost(end)),
         };
         let event = match result {
             Ok(Served { table, usage }) => AttemptEvent::Served { table, usage, report: None },
             Err(end) => AttemptEvent::Ended { end, report: None },
         };
-        self.context.news(attempt, event).await?;
-        Ok(AttemptFinish::SessionUsable(reusable))
+        self.context.report_event(attempt, event).await?;
+        Ok(AttemptState::Ended(reusable))
     }
 
-    /// Asks for the load report and reports it; true where the session can carry another request.
+    /// Requests the load report and reports it to the core. Returns true if the session can carry another request.
     async fn check_health(&self, session: &mut Session, started_at: Micros) -> Result<bool, ServiceEnded> {
-        let timeout = self.context.limits.probe_timeout.to_duration();
+        let timeout = self.context.limits.health_check_timeout.to_duration();
         let (end, report) = match tokio::time::timeout(timeout, query_load(session)).await {
             Ok(Ok(report)) => (ConnectionEnd::Answered, Some(report)),
             Ok(Err(end)) => (end, None),
@@ -152,95 +153,101 @@
         };
         let elapsed = self.context.clock.now() - started_at;
         let answered = report.is_some();
-        self.context.probed(end, report, elapsed).await?;
+        self.context.report_health_check(end, report, elapsed).await?;
         Ok(answered)
     }
 }
 
-/// A running attempt, and what has come of its result.
+/// An attempt in flight, and the part of its result received so far.
 struct Attempt<'a> {
     context: &'a EndpointContext,
     id: AttemptId,
     call: &'a Call,
     table: Table,
     usage: Option<Usage>,
-    /// The first error that the engine sent.
+    /// Number of the first error that the engine sent.
     error: Option<u32>,
     budget: ResultBudget,
 }
 
 impl<'a> Attempt<'a> {
     fn new(context: &'a EndpointContext, id: AttemptId, call: &'a Call) -> Attempt<'a> {
-        let budget = context.collect();
+        let budget = context.result_budget();
         Attempt { context, id, call, table: Table::default(), usage: None, error: None, budget }
     }
 
-    async fn run(
+    async fn execute(
         mut self,
         session: &mut Session,
         remaining: Micros,
         tasks: &mut mpsc::Receiver<Task>,
-    ) -> Finish {
+    ) -> BatchEnd {
         let batch = token::batch(&statement(self.call, remaining));
         if let Err(end) = session.send(packet::SQL_BATCH, &batch).await {
-            return Finish::Broken(end);
+            return BatchEnd::Broken(end);
         }
-        session.last_token = self.context.clock.now();
+        session.last_token_at = self.context.clock.now();
         loop {
             let limits = &self.context.limits;
-            let silent_at = self.context.clock.instant(session.last_token + limits.silent_after);
+            let silent_at = self.context.clock.instant(session.last_token_at + limits.silence_timeout);
             let token = tokio::select! {
                 token = session.next_token() => match token {
                     Ok(token) => token,
-                    Err(end) => return Finish::Broken(end),
+                    Err(end) => return BatchEnd::Broken(end),
                 },
                 task = tasks.recv() => match task {
                     Some(Task::Cancel(cancelled)) if cancelled == self.id => {
                         return match session.cancel().await {
-                            true => Finish::Answered { result: Err(ConnectionEnd::Cancelled), reusable: true },
-                            false => Finish::Broken(ConnectionEnd::Cancelled),
+                            true => BatchEnd::Answered { result: Err(ConnectionEnd::Cancelled), reusable: true },
+                            false => BatchEnd::Broken(ConnectionEnd::Cancelled),
                         };
                     }
                     Some(_) => continue,
-                    None => return Finish::Broken(ConnectionEnd::Cancelled),
+                    None => return BatchEnd::Broken(ConnectionEnd::Cancelled),
                 },
-                // An engine that runs a request reports on it all the time. Whether the engine itself hangs is for the
-                // health checks to find, which have connections of their own.
-                () = tokio::time::sleep_until(silent_at.into()), if limits.reports_progress => {
-                    log::warn!("a TDS engine says no more of request {}: given up there", self.call.name);
-                    return Finish::Broken(ConnectionEnd::RequestSilent);
+                // An engine sends progress notes as long as it executes a request. Health checks, which use other
+                // connections, detect an engine that hangs.
+                () = tokio::time::sleep_until(silent_at.into()), if limits.engines_report_progress => {
+                    log::warn!(
+                        engine = self.context.engine, request:% = self.id, name = self.call.name.as_str();
+                        "TDS engine sent nothing about a request within the silence timeout: attempt lost"
+                    );
+                    return BatchEnd::Broken(ConnectionEnd::RequestSilent);
                 }
             };
-            session.last_token = self.context.clock.now();
+            session.last_token_at = self.context.clock.now();
             if let Token::Done { more: false, error, .. } = token {
-                return Finish::Answered {
+                return BatchEnd::Answered {
                     result: self.result(error),
                     reusable: session.is_message_complete(),
                 };
             }
-            if let Err(end) = self.token(token).await {
-                return Finish::Broken(end);
+            if let Err(end) = self.handle_token(token).await {
+                return BatchEnd::Broken(end);
             }
         }
     }
 
-    /// Takes one token of the answer in.
-    async fn token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
+    /// Adds one token of the response to the result.
+    async fn handle_token(&mut self, token: Token) -> Result<(), ConnectionEnd> {
         match token {
             Token::Columns(columns) => {
                 self.table.columns = columns.into_iter().map(|column| column.name).collect();
             }
-            Token::Row(row) => self.row(row)?,
-            Token::Info { number: INFO_PROGRESS, text } => match progress(&text) {
-                Some(Progress::Note(note)) => {
-                    let notified = self.context.news(self.id, AttemptEvent::Note(note)).await;
+            Token::Row(row) => self.add_row(row)?,
+            Token::Info { number: INFO_REQUEST_PROGRESS, text } => match parse_info(&text) {
+                Some(InfoContent::Note(note)) => {
+                    let notified = self.context.report_event(self.id, AttemptEvent::Note(note)).await;
                     notified.map_err(|ServiceEnded| ConnectionEnd::Cancelled)?;
                 }
-                Some(Progress::Usage(usage)) => self.usage = Some(usage),
+                Some(InfoContent::Usage(usage)) => self.usage = Some(usage),
                 None => {}
             },
             Token::Error { number, text } => {
-                log::debug!("an engine's error: {number} {text}");
+                log::debug!(
+                    engine = self.context.engine, request:% = self.id;
+                    "TDS engine sent error {number}: {text}"
+                );
                 self.error.get_or_insert(number);
             }
             _ => {}
@@ -248,21 +255,24 @@
         Ok(())
     }
 
-    fn row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
+    fn add_row(&mut self, row: Row) -> Result<(), ConnectionEnd> {
         let bytes = row.iter().flatten().map(String::len).sum();
-        if !self.budget.add(bytes, self.context.limits.collected) {
-            log::warn!("a TDS engine's result is too long: given up there");
+        if !self.budget.add(bytes, self.context.limits.max_buffered_result_bytes) {
+            log::warn!(
+                engine = self.context.engine, request:% = self.id;
+                "result of a TDS engine exceeds the buffer limit: attempt lost"
+            );
             return Err(ConnectionEnd::RequestSilent);
         }
         self.table.rows.push(row);
         Ok(())
     }
 
-    /// The result at the end of the answer, whose last token says whether there was an error.
+    /// Returns the result at the end of the response. The last DONE token says whether there was an error.
     fn result(self, done_with_error: bool) -> Result<Served, ConnectionEnd> {
         match self.error {
-            Some(number) if ERRORS_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
-            Some(ERROR_EXPIRED) => Err(ConnectionEnd::AnsweredOver),
+            Some(number) if ERRORS_ENGINE_FULL.contains(&number) => Err(ConnectionEnd::AnsweredFull),
+            Some(ERROR_DEADLINE_PASSED) => Err(ConnectionEnd::AnsweredOver),
             Some(_) => Err(ConnectionEnd::AnsweredError),
             None if done_with_error => Err(ConnectionEnd::AnsweredError),
             None => Ok(Served { table: self.table, usage: self.usage }),
@@ -270,7 +280,7 @@
     }
 }
 
-/// The statement with the request's fields in its first comment.
+/// Returns the statement with the request's fields in its first comment.
 fn statement(call: &Call, remaining: Micros) -> String {
     let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
@@ -283,15 +293,15 @@
     )
 }
 
-/// What an engine reports of a running request.
-enum Progress {
+/// Content of an INFO token about a running request.
+enum InfoContent {
     Note(AttemptNote),
     Usage(Usage),
 }
 
-/// Parses a report on a running request: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
-fn progress(text: &str) -> Option<Progress> {
-    /// The amount of `held` that stands for a load.
+/// Parses the text of an INFO token: `share=0.4`, `short=64`, `held=1`, or `toil=120 room=64`.
+fn parse_info(text: &str) -> Option<InfoContent> {
+    /// Amount of `held` that means waiting for a load. Other amounts mean waiting for memory.
     const WAITS_FOR_LOAD: f64 = 2.0;
     let find = |name: &str| {
         let value = text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -308,14 +318,14 @@
         }
     } else {
         let work_ms = find("toil")?;
-        return Some(Progress::Usage(Usage { work_ms, memory_mb: find("room").unwrap_or(0.0) }));
+        return Some(InfoContent::Usage(Usage { work_ms, memory_mb: find("room").unwrap_or(0.0) }));
     };
-    Some(Progress::Note(note))
+    Some(InfoContent::Note(note))
 }
 
-/// Asks an engine for its load report.
+/// Requests the load report of an engine.
 async fn query_load(session: &mut Session) -> Result<LoadReport, ConnectionEnd> {
-    session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK)).await?;
+    session.send(packet::SQL_BATCH, &token::batch(HEALTH_CHECK_STATEMENT)).await?;
     let mut columns = Vec::new();
     let mut row = Row::new();
     loop {
