--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,7 +1,7 @@
-//! Leases as the voters agree on them: requests, their outcomes, and the replicated table of leases.
+//! The replicated table of leases, the requests that change it, and their outcomes.
 //!
-//! The table has no clock. Whether a lease has expired is determined by each manager on its own clock (see
-//! [`crate::lease_holder`]); the table only ensures that at most one of several managers acquires it.
+//! The table has no clock. Each manager determines by its own clock whether a lease has expired (see
+//! [`crate::lease_holder`]). The table ensures that at most one of the managers that request a lease acquires it.
 
 mod table;
 
@@ -12,19 +12,19 @@
 
 /// Maximum number of leases in the table.
 pub const MAX_LEASES: usize = 256;
-/// Maximum size of a lease's checkpoint, in bytes.
+/// Maximum size of the checkpoint of one lease, in bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 4096;
-/// Maximum size of a lease's or manager's name, in bytes.
+/// Maximum size of the name of a lease or a manager, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Accepted lease durations, in microseconds: 100 ms to 10 minutes.
+/// Accepted lease durations, in microseconds (100 ms to 10 minutes).
 pub const LEASE_DURATION_RANGE_US: RangeInclusive<u64> = 100_000..=600_000_000;
 
-/// One run of a manager: after a restart under the same name it is another incarnation.
+/// One run of a manager. A manager that restarts under the same name is a new incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Name of the manager.
+    /// Name of the manager, unique in the fleet.
     pub name: String,
-    /// Grows with each start of the manager.
+    /// Number of the incarnation. It grows with each start of the manager.
     pub number: u64,
 }
 
@@ -34,78 +34,81 @@
     }
 }
 
-/// A lease as granted to a holder.
+/// A lease that was granted to a manager.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The holder.
+    /// The incarnation that holds the lease.
     pub holder: Incarnation,
-    /// Fencing token: higher with every grant of any lease.
+    /// Fencing token. It grows with every grant of any lease.
     pub fencing_token: u64,
-    /// Duration of each renewal, counted from before its request was sent, in microseconds.
+    /// Duration of the lease, in microseconds. The holder counts it from before it sent the request, also for each
+    /// renewal.
     pub lease_us: u64,
-    /// Identifies the request that was granted: only its sender knows since when it holds the lease.
+    /// Nonce of the request that was granted. By it the sender finds the time of sending, which nobody else knows and
+    /// from which the lease counts.
     pub nonce: u64,
 }
 
-/// State of one lease.
+/// State of one lease in the table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The current grant, if the lease is held.
+    /// The current grant; `None` if the lease was released. It stays after its expiry until another grant replaces it.
     pub grant: Option<Grant>,
     /// Log index of the last grant, renewal or release.
     pub version: u64,
-    /// Name of the manager that the last holder designated as next.
+    /// Name of the manager that the last holder designated as the next holder, when it released the lease.
     pub successor: Option<String>,
-    /// Progress of the lease's work, as written by the holder. The next holder continues from it.
+    /// Progress of the work that is done under the lease, as saved by a holder. The next holder continues from it.
     pub checkpoint: String,
-    /// Log index of the last checkpoint.
+    /// Log index of the last checkpoint; 0 if none was saved.
     pub checkpoint_index: u64,
 }
 
-/// A manager's request to the voters. The order of variants and fields is that of the wire format.
+/// A request of a manager to the voters. The wire format depends on the order of variants and fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// Acquire a lease that is free, or that has expired by the sender's clock.
+    /// Acquire a lease that is free or has expired by the sender's clock.
     Acquire {
         /// Name of the lease.
         lease: String,
-        /// The version that the sender has seen unchanged for long enough; 0 for a lease that was never held.
+        /// The [`LeaseRecord::version`] that the sender has seen unchanged for long enough; 0 for a lease that was
+        /// never held. The request is rejected if the version has changed.
         version: u64,
-        /// Requested duration, in microseconds.
+        /// Requested duration, in microseconds, within [`LEASE_DURATION_RANGE_US`].
         lease_us: u64,
     },
-    /// Extend a lease that the sender holds.
+    /// Renew a lease that the sender holds.
     Renew {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the sender's grant.
         fencing_token: u64,
     },
-    /// Give a lease back. The sender has stopped its work already.
+    /// Release a lease that the sender holds. The sender has already stopped the work that it did under the lease.
     Release {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the sender's grant.
         fencing_token: u64,
-        /// Name of the manager that should hold the lease next.
+        /// Name of the manager that may acquire the lease before all others; `None` for no preference.
         successor: Option<String>,
     },
-    /// Record the progress of the lease's work. Rejected unless the sender holds the lease.
+    /// Save the progress of the work that is done under the lease. Rejected unless the sender holds the lease.
     Checkpoint {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the sender's grant.
         fencing_token: u64,
-        /// [`LeaseRecord::checkpoint_index`] that the new checkpoint was derived from. The request is rejected if
-        /// another checkpoint was saved since, so that no update is lost.
+        /// The [`LeaseRecord::checkpoint_index`] that the new checkpoint was derived from. The request is rejected if
+        /// another checkpoint was saved since then, so that no update is lost.
         based_on: u64,
-        /// The new checkpoint.
+        /// The new checkpoint, at most [`MAX_CHECKPOINT_BYTES`] long.
         checkpoint: String,
     },
 }
 
 impl LeaseRequest {
-    /// Name of the lease that the request is about.
+    /// Name of the lease that the request refers to.
     pub fn lease(&self) -> &str {
         match self {
             LeaseRequest::Acquire { lease, .. }
@@ -116,36 +119,36 @@
     }
 }
 
-/// A request as an entry of the voters' log.
+/// A request as an entry of the replicated log. The wire format depends on the order of fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The requesting manager.
+    /// The requesting manager and its incarnation.
     pub from: Incarnation,
-    /// Identifies the request.
+    /// Random number by which the requesting manager matches the response to its request.
     pub nonce: u64,
-    /// The request.
+    /// The change of a lease that is requested.
     pub request: LeaseRequest,
 }
 
-/// Outcome of a request. The order of variants is that of the wire format.
+/// Outcome of a request. The wire format depends on the order of variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseOutcome {
-    /// The sender holds the lease.
+    /// The sender acquired the lease.
     Granted {
         /// Fencing token of the grant.
         fencing_token: u64,
     },
-    /// The sender's lease is extended.
+    /// The sender's lease was renewed.
     Renewed,
-    /// The lease is free.
+    /// The lease was released and is free.
     Released,
-    /// The checkpoint is saved.
+    /// The checkpoint was saved.
     CheckpointSaved,
-    /// The lease's version or checkpoint is not the one that the request was based on.
+    /// The version or the checkpoint has changed since the one that the request was based on.
     Conflict,
-    /// The sender does not hold the lease.
+    /// The sender does not hold the lease under the fencing token of the request.
     NotHolder,
-    /// The request exceeds a limit.
+    /// A name, the checkpoint, the duration or the number of leases is outside its limit.
     Invalid,
 }
 
--- a/crates/cluster/src/lease/table.rs
+++ b/crates/cluster/src/lease/table.rs
@@ -1,4 +1,4 @@
-//! The replicated table of leases: the state machine that the voters' log drives.
+//! The replicated state machine of the voters. It applies the entries of the log to the table of leases.
 
 use super::{
     Grant, LEASE_DURATION_RANGE_US, LeaseOutcome, LeaseRecord, LeaseRequest, MAX_CHECKPOINT_BYTES,
@@ -7,23 +7,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All leases, and the voters. The order of fields is that of the wire format.
+/// The table of all leases and of the voters. The wire format depends on the order of fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
     /// Log index of the last applied entry.
     pub index: u64,
-    /// Leases by name.
+    /// Leases by name. Leases that were never held are absent.
     pub leases: BTreeMap<String, LeaseRecord>,
-    /// Names of the voters' managers, by voter id.
+    /// The voters of the group. Maps the id of a voter to the name of its manager.
     pub voters: BTreeMap<u64, String>,
 }
 
 impl LeaseTable {
-    /// Applies a proposal. The same proposals in the same order give the same table at every voter.
+    /// Applies the proposal at a log index. It is deterministic, so voters that have applied the same entries have the
+    /// same table.
     ///
-    /// The fencing token of a grant is its log index, so it grows across all leases, incarnations and elections.
+    /// The fencing token of a grant is the log index of its entry, so it grows across all leases, incarnations and
+    /// terms.
     pub fn apply(&mut self, index: u64, proposal: &Proposal) -> LeaseOutcome {
-        debug_assert!(index > self.index, "entries are applied in the order of the log");
+        debug_assert!(index > self.index, "entry {index} must come after the last applied entry");
         self.index = index;
         let outcome = self.evaluate(index, proposal);
         match outcome {
@@ -36,7 +38,7 @@
         outcome
     }
 
-    /// The outcome of a proposal, without a change of any record.
+    /// Determines the outcome of a proposal without changing any record.
     fn evaluate(&self, index: u64, proposal: &Proposal) -> LeaseOutcome {
         let name = proposal.request.lease();
         let record = self.leases.get(name);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Carries out a proposal that was accepted.
+    /// Applies a proposal that [`Self::evaluate`] accepted to the record of its lease.
     fn update_record(&mut self, index: u64, proposal: &Proposal) {
         let record = self.leases.entry(proposal.request.lease().to_owned()).or_default();
         match &proposal.request {
--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -13,8 +13,8 @@
     LeaseOutcome::Granted { fencing_token }
 }
 
-/// Guards against two managers that have both waited for expiry: one of them acquires the lease, with a higher fencing
-/// token than all before.
+/// Guards against two holders. Two managers wait for the expiry of the same version and both request the lease. One of
+/// them acquires it, with a higher fencing token than all earlier grants.
 #[test]
 fn one_of_two_requests_for_the_same_version_is_granted() {
     let mut table = LeaseTable::default();
@@ -22,13 +22,13 @@
     assert_eq!(submit(&mut table, "b", acquire(0)), LeaseOutcome::Conflict);
     assert_eq!(submit(&mut table, "b", acquire(1)), granted(3));
     let renew = |fencing_token| LeaseRequest::Renew { lease: "backup".to_owned(), fencing_token };
-    assert_eq!(submit(&mut table, "a", renew(1)), LeaseOutcome::NotHolder, "a former holder");
+    assert_eq!(submit(&mut table, "a", renew(1)), LeaseOutcome::NotHolder, "the former holder's token");
     assert_eq!(submit(&mut table, "b", renew(3)), LeaseOutcome::Renewed);
-    assert_eq!(submit(&mut table, "c", acquire(3)), LeaseOutcome::Conflict, "it was renewed meanwhile");
+    assert_eq!(submit(&mut table, "c", acquire(3)), LeaseOutcome::Conflict, "the renewal has changed the version");
 }
 
-/// Guards against a lease that is handed over while its former holder still counts it as held, and against an
-/// incarnation before a restart that renews under its name.
+/// Guards against a lease that is free to others while its former holder still counts it as held, and against a renewal
+/// by another incarnation of the holder, before or after a restart.
 #[test]
 fn a_released_lease_is_free_and_only_its_own_incarnation_renews_it() {
     let mut table = LeaseTable::default();
@@ -49,7 +49,7 @@
     assert_eq!(submit(&mut table, "b", acquire(3)), granted(4));
 }
 
-/// Guards against a lost update: one of two checkpoints that were derived from the same one.
+/// Guards against a lost update when two checkpoints are derived from the same earlier one.
 #[test]
 fn the_second_of_two_checkpoints_based_on_the_same_one_is_rejected() {
     let mut table = LeaseTable::default();
@@ -69,6 +69,7 @@
     assert_eq!((record.checkpoint.as_str(), record.version), ("third", 1));
 }
 
+/// Guards against a table that grows without bound, and against lease durations that are too short to be renewed.
 #[test]
 fn requests_beyond_a_limit_change_nothing() {
     let mut table = LeaseTable::default();
--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -1,20 +1,20 @@
-//! A manager's side of the leases: when it requests a lease, and for how long it may act on a grant.
+//! The lease holder of one manager. It decides when the manager requests a lease, and until when it may use a grant.
 //!
-//! Why no two managers hold one lease at the same moment, given clocks that each run at most [`CLOCK_DRIFT`] off true
-//! time and are never set back (monotonic clocks are not):
+//! No two managers hold one lease at the same moment. The proof assumes that each manager's clock is monotonic and that
+//! its rate is off true time by at most d, which is [`CLOCK_DRIFT`]. L is the duration of the lease.
 //!
-//! - A holder counts its lease L from *before* it sent the request, on its own clock, and stops acting once L is over.
-//!   In true time that is at most L / (1 - d) after sending.
-//! - A manager that acquires a held lease has seen one version of its record unchanged for [`expiry_wait_us`] =
-//!   L (1 + d) / (1 - d) on its own clock; in true time at least L / (1 - d), counted from *after* it saw that version.
-//!   Its request names that version.
-//! - A renewal that the voters applied before the acquisition has changed the version, so the acquisition is rejected;
-//!   one that is applied after it is rejected. So the last renewal that counts was sent before its version could be
-//!   seen, and its lease is over by the time that the acquisition is requested.
+//! - A holder counts L on its own clock from *before* it sends the request, and starts no operation after L has passed.
+//!   In true time the lease therefore ends at most L / (1 - d) after sending.
+//! - A manager that acquires a held lease has seen one version of its record unchanged for [`expiry_wait_us`], which is
+//!   L (1 + d) / (1 - d) on its own clock. In true time this is at least L / (1 - d), counted from *after* it first saw
+//!   that version. Its request contains that version.
+//! - If the voters apply a renewal before the acquisition, the version has changed and they reject the acquisition. If
+//!   they apply it after the acquisition, they reject the renewal. The last valid renewal was therefore sent before its
+//!   version could be seen, and its lease has expired by the time at which the acquisition is requested.
 //!
-//! Neither the voters' clocks nor transmission times enter into this. If a holder is suspended between its check of the
-//! clock and its act, the fencing token decides: each act carries it, and the resource rejects a token below the highest
-//! that it has seen.
+//! The proof depends neither on the voters' clocks nor on message delays. A holder may still be suspended between its
+//! check of the clock and its operation. The fencing token covers this case. Each operation carries the token, and the
+//! resource rejects a token below the highest one that it has seen.
 
 mod acquisition;
 mod effect;
@@ -27,26 +27,29 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// Microseconds of a manager's own monotonic clock.
+/// A time in microseconds, by a manager's own monotonic clock.
 pub type Micros = u64;
 
-/// Assumed bound of a clock's rate error: 1 %. Crystals stay within 0.02 %; wall clocks, which may jump, are not read.
+/// Clock drift bound: the assumed maximum rate error of a clock, as a fraction (1 %). Quartz oscillators stay within
+/// 0.02 %. Wall clocks are not used, because they may jump.
 pub const CLOCK_DRIFT: f64 = 0.01;
-/// A request without a response by then is sent again.
+/// An acquisition or a renewal without a response within this time is sent again, in microseconds.
 const RESPONSE_TIMEOUT_US: Micros = 500_000;
-/// Requests other than an acquisition are forgotten after this many response timeouts.
+/// Pending requests other than acquisitions expire after this many response timeouts.
 const FORGET_AFTER_TIMEOUTS: Micros = 4;
-/// A renewal is sent again after this fraction of the lease, where that is shorter than [`RESPONSE_TIMEOUT_US`].
+/// An unanswered renewal of a short lease is sent this many times per lease duration, which is more often than every
+/// [`RESPONSE_TIMEOUT_US`].
 const RENEW_RETRIES_PER_LEASE: u64 = 6;
-/// Maximum number of requests without a response.
+/// Maximum number of pending requests. Further requests are not sent.
 const MAX_PENDING_REQUESTS: usize = 256;
 
 /// A lease that this manager wants to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DesiredLease {
-    /// Duration of each renewal, in microseconds.
+    /// Duration of the lease, in microseconds. The lease expires this long after the acquisition or the last renewal
+    /// was sent.
     pub lease_us: u64,
-    /// Position among the managers that want to hold it: rank 0 requests it first.
+    /// Position of this manager in the order in which managers request the lease. Rank 0 is first.
     pub rank: u64,
 }
 
@@ -57,7 +60,7 @@
     pub lease: &'a str,
     /// Fencing token of the grant.
     pub fencing_token: u64,
-    /// When it expires, by this manager's clock.
+    /// When the lease expires, by this manager's clock.
     pub expires_at_us: Micros,
 }
 
@@ -67,25 +70,25 @@
     lease_us: u64,
     expires_at_us: Micros,
     renew_at_us: Micros,
-    /// It is being handed over: no further act may begin.
+    /// The lease is being handed over, and no further operation may begin under it.
     is_finishing: bool,
 }
 
 #[derive(Debug)]
 struct PendingRequest {
     request: LeaseRequest,
-    /// When it was sent: the lease counts from here.
+    /// When the request was sent. A lease that it acquires or renews counts from this time.
     sent_at_us: Micros,
 }
 
-/// A version of a lease's record, and when this manager first saw it.
+/// The current version of a lease's record, and when this manager first saw it.
 #[derive(Debug, Clone, Copy)]
 struct ObservedVersion {
     version: u64,
     first_seen_us: Micros,
 }
 
-/// The leases of one manager.
+/// State machine of the leases that one manager wants and holds.
 #[derive(Debug)]
 pub struct LeaseHolder {
     local: Incarnation,
@@ -94,15 +97,16 @@
     observed: BTreeMap<String, ObservedVersion>,
     table: LeaseTable,
     held: BTreeMap<String, HeldState>,
-    /// Requests without a response, by nonce.
+    /// Requests that were sent and not responded to, by nonce.
     pending: BTreeMap<u64, PendingRequest>,
     is_draining: bool,
-    /// Whether leases are counted as the proof demands. Simulations clear it to see that the mistake is found.
+    /// Whether leases are counted as the proof requires. Simulations clear it to verify that the resulting violation is
+    /// detected.
     has_safety_margin: bool,
 }
 
 impl LeaseHolder {
-    /// A manager that holds no lease.
+    /// Creates the state of a manager that holds no lease. The seed determines the nonces of its requests.
     pub fn new(local: Incarnation, seed: u64) -> LeaseHolder {
         LeaseHolder {
             local,
@@ -117,24 +121,26 @@
         }
     }
 
-    /// A holder that is wrong on purpose: it counts its leases from the response, and waits no longer than the lease of
-    /// another. A simulation that does not detect it proves nothing about the correct one.
+    /// Creates a deliberately incorrect holder for simulations. It counts its leases from the response, and waits for
+    /// exactly the lease duration before it acquires another manager's lease. Simulations must detect the violations,
+    /// otherwise they prove nothing about the correct holder.
     #[doc(hidden)]
     pub fn without_safety_margin(local: Incarnation, seed: u64) -> LeaseHolder {
         LeaseHolder { has_safety_margin: false, ..LeaseHolder::new(local, seed) }
     }
 
-    /// Sets the leases that this manager wants to hold. Leases that it holds stay, whatever their rank.
+    /// Sets the leases that this manager wants to hold, by name. It keeps the leases that it already holds, whatever
+    /// their rank.
     pub fn set_desired(&mut self, desired: BTreeMap<String, DesiredLease>) {
         self.desired = desired;
     }
 
-    /// The latest table that this manager has seen.
+    /// The latest table of leases that this manager has received.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// The leases that are held now.
+    /// The leases that this manager holds at this time, also those that are being handed over.
     pub fn held(&self, now: Micros) -> impl Iterator<Item = HeldLease<'_>> {
         let unexpired = self.held.iter().filter(move |(_, held)| now < held.expires_at_us);
         unexpired.map(|(lease, held)| HeldLease {
@@ -144,13 +150,14 @@
         })
     }
 
-    /// The fencing token to act under, if an act of the lease may begin now. To be checked right before each act.
+    /// Returns the fencing token for an operation under the lease; `None` if no operation may begin at this time,
+    /// because the lease is not held, has expired, or is being handed over. To be called right before each operation.
     pub fn may_act(&self, lease: &str, now: Micros) -> Option<u64> {
         let held = self.held.get(lease)?;
         (now < held.expires_at_us && !held.is_finishing).then_some(held.fencing_token)
     }
 
-    /// Takes a table of the voters over, unless it is older than the known one.
+    /// Replaces the known table of leases, unless the new one is older. Grants and losses of leases follow from it.
     pub fn update_table(&mut self, now: Micros, table: LeaseTable, out: &mut Vec<LeaseEffect>) {
         if table.index < self.table.index {
             return;
@@ -172,7 +179,8 @@
         self.observed.retain(|lease, _| table.leases.contains_key(lease));
     }
 
-    /// The response to a request may be lost while its grant is in the table: the nonce identifies the request.
+    /// Acquires leases whose grant is in the table although the response was lost. The nonce of the grant identifies
+    /// the pending request.
     fn adopt_local_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         let grants = self.table.leases.values().filter_map(|record| record.grant.as_ref());
         let local_grants: Vec<(u64, u64)> = grants
@@ -187,7 +195,7 @@
     fn end_lost_leases(&mut self, out: &mut Vec<LeaseEffect>) {
         let table = &self.table;
         let is_lost = |lease: &String, held: &HeldState| {
-            // A grant that is newer than the table is not in it yet.
+            // The table is older than the grant and can't contain it.
             if held.fencing_token > table.index {
                 return false;
             }
@@ -205,7 +213,8 @@
         }
     }
 
-    /// Time has passed: ends expired leases, renews, and requests desired leases that may be acquired.
+    /// Ends expired leases, renews leases whose renewal is due, and requests desired leases that may be acquired. To be
+    /// called periodically.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         self.end_expired_leases(now, out);
         self.forget_stale_requests(now);
@@ -232,7 +241,7 @@
         }
     }
 
-    /// Forgets requests whose response would no longer count.
+    /// Removes pending requests whose response would no longer have an effect.
     fn forget_stale_requests(&mut self, now: Micros) {
         self.pending.retain(|_, pending| {
             let relevant_us = match &pending.request {
@@ -255,7 +264,8 @@
         requests
     }
 
-    /// The work of a lease that is being handed over is finished: releases it.
+    /// Releases a lease that is being handed over, because the work under it is finished. The successor may acquire the
+    /// lease before all others.
     pub fn work_finished(
         &mut self,
         now: Micros,
@@ -273,7 +283,9 @@
         }
     }
 
-    /// Requests that a checkpoint be saved. [`LeaseEffect::CheckpointSaved`] follows once it is; the caller retries.
+    /// Requests that a checkpoint be saved, derived from the one at log index `based_on`. Does nothing if the lease is
+    /// not held. [`LeaseEffect::CheckpointSaved`] follows once the checkpoint is saved. The request is not resent, so
+    /// the caller has to retry.
     pub fn save_checkpoint(
         &mut self,
         now: Micros,
@@ -288,7 +300,7 @@
         }
     }
 
-    /// Begins to hand a lease over: its work is finished first.
+    /// Starts the handover of a lease. The lease is released once the work that was begun under it is finished.
     pub fn hand_over(&mut self, lease: &str, out: &mut Vec<LeaseEffect>) {
         if let Some(held) = self.held.get_mut(lease)
             && !held.is_finishing
@@ -299,7 +311,7 @@
         }
     }
 
-    /// Hands all leases over and requests none (`true`), or requests leases again (`false`).
+    /// Starts (`true`) or ends (`false`) draining. A draining manager hands over all its leases and acquires none.
     pub fn set_draining(&mut self, is_draining: bool, out: &mut Vec<LeaseEffect>) {
         self.is_draining = is_draining;
         if is_draining {
--- a/crates/cluster/src/lease_holder/acquisition.rs
+++ b/crates/cluster/src/lease_holder/acquisition.rs
@@ -1,23 +1,25 @@
-//! When a manager requests a lease: see the proof of [`super`].
+//! Decides when a manager requests a lease. The waiting times follow from the proof in [`super`].
 
 use super::{CLOCK_DRIFT, DesiredLease, LeaseHolder, Micros, RESPONSE_TIMEOUT_US};
 use crate::lease::{LeaseRecord, LeaseRequest};
 
-/// Delay between the acquisition requests of managers of successive rank: some round trips of the voters, so that the
-/// first has the lease before the second requests it.
+/// Delay between the acquisition requests of managers of successive rank, in microseconds. It covers a few round trips
+/// between voters, so that the first manager holds the lease before the second one requests it.
 const RANK_DELAY_US: Micros = 200_000;
-/// Ranks above this one wait no longer than it.
+/// Managers of higher rank wait as long as the manager of this rank.
 const MAX_RANK: u64 = 20;
-/// How long the designated successor of a lease may acquire it before all others.
+/// For this long after a release only the designated successor requests the lease, in microseconds.
 const SUCCESSOR_HEAD_START_US: Micros = 1_000_000;
 
-/// How long a version must stay unchanged before its lease counts as expired: see the module's proof.
+/// How long the version of a lease's record must stay unchanged before another manager may consider the lease expired,
+/// in microseconds. The factor is derived in the module's proof.
 pub fn expiry_wait_us(lease_us: u64) -> Micros {
     (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
 }
 
 impl LeaseHolder {
-    /// The request for a desired lease, if it may be acquired by now.
+    /// Returns the request to acquire a desired lease; `None` if this manager holds the lease, has requested it within
+    /// the response timeout, or may not acquire it yet.
     pub(super) fn acquire_request(
         &self,
         now: Micros,
@@ -33,7 +35,8 @@
                 let wait_us = self.wait_before_acquire_us(record, rank_delay_us);
                 (observed.version, observed.first_seen_us + wait_us)
             }
-            // A lease that was never held: in the order of ranks too, as far as managers start together.
+            // The lease was never held. The rank delay counts from time 0 of the clock, so it orders managers only if
+            // they start together.
             _ => (0, rank_delay_us),
         };
         let request =
@@ -49,7 +52,7 @@
         })
     }
 
-    /// How long a record's version must be unchanged before this manager requests the lease.
+    /// How long the version of a record must stay unchanged before this manager requests the lease.
     fn wait_before_acquire_us(&self, record: &LeaseRecord, rank_delay_us: Micros) -> Micros {
         match (&record.grant, &record.successor) {
             (Some(grant), _) if self.has_safety_margin => expiry_wait_us(grant.lease_us) + rank_delay_us,
--- a/crates/cluster/src/lease_holder/effect.rs
+++ b/crates/cluster/src/lease_holder/effect.rs
@@ -1,28 +1,28 @@
-//! What follows from a lease holder's decisions.
+//! The effects that a lease holder returns to its caller.
 
 use super::Micros;
 use crate::lease::LeaseRequest;
 
-/// An effect that the caller of [`super::LeaseHolder`] carries out.
+/// An effect that the caller of [`super::LeaseHolder`] applies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEffect {
-    /// Send this request to the voters.
+    /// Send a request to the voters. Requests may be lost, and their responses too.
     Submit {
-        /// Identifies the request.
+        /// Random number that the voters return with the outcome, see [`super::LeaseHolder::handle_outcome`].
         nonce: u64,
-        /// The request.
+        /// The request to send.
         request: LeaseRequest,
     },
-    /// This manager holds the lease.
+    /// This manager acquired the lease.
     Acquired {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
-        /// When it expires unless it is renewed, by this manager's clock.
+        /// When the lease expires unless it is renewed, by this manager's clock.
         expires_at_us: Micros,
     },
-    /// The checkpoint that was to be saved is saved: the next holder continues from it.
+    /// The voters saved a checkpoint as requested. The next holder continues from it.
     CheckpointSaved {
         /// Name of the lease.
         lease: String,
@@ -35,40 +35,41 @@
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
-        /// When it expires unless it is renewed again, by this manager's clock.
+        /// When the lease expires unless it is renewed again, by this manager's clock.
         expires_at_us: Micros,
     },
-    /// Finish the work that was begun under this grant, begin nothing more, and report when it is finished.
+    /// Finish the work that was begun under this grant, begin no more, and call [`super::LeaseHolder::work_finished`]
+    /// when it is finished.
     FinishWork {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
     },
-    /// This manager no longer holds the lease: nothing may be done under this grant from now on.
+    /// This manager no longer holds the lease. No operation may be done under this grant any more.
     Ended {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
-        /// Why it ended.
+        /// Why this manager no longer holds the lease.
         reason: LeaseEndReason,
     },
 }
 
-/// Why a lease ended.
+/// Why a manager no longer holds a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEndReason {
-    /// It expired: the voters were not reached in time.
+    /// The lease expired, because no renewal was confirmed by the voters in time.
     Expired,
-    /// According to the voters another manager holds it.
+    /// According to the voters this manager does not hold the lease under its fencing token any more.
     Lost,
-    /// It was handed over.
+    /// The lease was handed over: its work was finished and the lease was released.
     HandedOver,
 }
 
 impl std::fmt::Display for LeaseEndReason {
-    /// The text of the log line of the lease's end.
+    /// The text of the `reason` field in the log line `lease ended`.
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         out.write_str(match self {
             LeaseEndReason::Expired => "its lease ran out",
--- a/crates/cluster/src/lease_holder/response.rs
+++ b/crates/cluster/src/lease_holder/response.rs
@@ -1,18 +1,18 @@
-//! What follows from the voters' responses.
+//! Handles the voters' responses to the requests of a lease holder.
 
 use super::{HeldState, LeaseEffect, LeaseEndReason, LeaseHolder, Micros};
 use crate::lease::{LeaseOutcome, LeaseRequest};
 
-/// A holder renews after this fraction of its lease, so that two renewals may be lost.
+/// A holder renews after this fraction of the lease duration, so that two successive renewals may be lost.
 const RENEW_AFTER_FRACTION: f64 = 1.0 / 3.0;
 
-/// The moment at which a lease that was requested at `requested_at_us` is renewed.
+/// When to renew a lease that was acquired or renewed by a request sent at `requested_at_us`.
 fn renewal_time_us(requested_at_us: Micros, lease_us: u64) -> Micros {
     requested_at_us + (lease_us as f64 * RENEW_AFTER_FRACTION) as Micros
 }
 
 impl LeaseHolder {
-    /// Handles the voters' response to a request.
+    /// Handles the outcome of a request. Ignored if no request with this nonce is pending.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The moment from which a lease is counted.
+    /// The start of a lease: when its request was sent.
     fn counted_from(&self, now: Micros, sent_at_us: Micros) -> Micros {
         if self.has_safety_margin { sent_at_us } else { now }
     }
@@ -57,7 +57,8 @@
         out: &mut Vec<LeaseEffect>,
     ) {
         let expires_at_us = self.counted_from(now, sent_at_us) + lease_us;
-        // After a late response others may be waiting for the lease's expiry already.
+        // A grant can't be used if its response arrives after its expiry or while draining. It is released, because
+        // other managers may already be waiting for its expiry.
         if now >= expires_at_us || self.is_draining {
             let release = LeaseRequest::Release { lease, fencing_token, successor: None };
             return self.submit(now, release, out);
@@ -86,7 +87,7 @@
         if held.fencing_token != fencing_token {
             return;
         }
-        // An expired lease has ended, even if the renewal reached the voters in time.
+        // An expired lease stays ended, even if the voters applied the renewal in time.
         if now >= held.expires_at_us {
             return self.end(lease, LeaseEndReason::Expired, out);
         }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,15 +1,16 @@
-//! Leases that at most one manager of a fleet holds at a time: membership, voters, and leases with fencing tokens.
+//! Leases for a fleet of managers. At most one manager holds a given lease at any moment.
 //!
 //! ```text
 //!   Membership  (SWIM, foca)   which managers are up, by gossip
-//!   Voter       (raft)         one order of proposals among 3, 5 or 7 voters, each persisted before it counts
-//!   LeaseTable                 the leases: holder, fencing token, version; a proposal changes it or is rejected
-//!   LeaseHolder                when a manager requests a lease, and until when it may act, by its own clock
-//!   Node                       the four of one manager: fn handle(now, input, disk, &mut out)
+//!   Voter       (Raft)         a replicated log of 3, 5 or 7 voters; each persists an entry before acknowledging it
+//!   LeaseTable                 holder, fencing token and version of each lease; a log entry changes it or is rejected
+//!   LeaseHolder                when a manager requests a lease, and until when it may use it, by its own clock
+//!   Node                       these four for one manager, behind fn handle(now, input, disk, &mut out)
 //! ```
 //!
-//! Nothing here does I/O or reads a clock: time, messages and the disk are passed in, so that a seed determines the
-//! history of a whole fleet with message loss, partitions, pauses, crashes and clock drift ([`simulation`]).
+//! This crate does no I/O and reads no clock. The caller passes in time, messages and the disk. A seed therefore
+//! determines the whole history of a simulated fleet, with message loss, partitions, pauses, crashes and clock drift
+//! ([`simulation`]).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -1,6 +1,6 @@
-//! Membership: the managers that are reachable, by the SWIM protocol of the foca library (probes, indirect probes,
-//! suspicion, gossip), on the caller's time. The number and size of a member's messages per second does not depend on
-//! the size of the fleet.
+//! Tracks which managers are reachable, with the SWIM protocol of the foca library (probes, indirect probes, suspicion,
+//! gossip). The caller passes in the time. The number and size of the messages that a member sends per second do not
+//! depend on the size of the fleet.
 
 use crate::lease::Incarnation;
 use crate::lease_holder::Micros;
@@ -15,26 +15,28 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Fleet size that the library's times are derived from: the time that a suspect has to refute, and the number of
-/// retransmissions, grow with its logarithm. Fleets of 3 to 9 were simulated; larger ones were not.
+/// Fleet size from which the library derives its parameters. The time that a suspected member has to refute the
+/// suspicion and the number of retransmissions grow with its logarithm. Simulations covered fleets of 3 to 9 members,
+/// none larger.
 const ASSUMED_FLEET_SIZE: u32 = 8;
-/// How often one member that is considered down is asked whether it is back.
+/// How often this member contacts one member that is considered down, in case that one is reachable again.
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a member that is considered down is remembered. Incarnations are many, and a later one wins by its number.
+/// How long the record of a member that is considered down is retained. Each restart adds a record, and a later
+/// incarnation takes precedence by its number without it.
 const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
 /// Maximum size of one gossip packet, in bytes.
 const MAX_PACKET_BYTES: usize = 1400;
 
-/// A member as the others know it. The order of fields is that of the wire format.
+/// A member as the other members know it. The wire format depends on the order of fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name and incarnation.
+    /// Name of the manager and number of its incarnation.
     pub incarnation: Incarnation,
-    /// Address at which other managers reach it.
+    /// Address at which other managers reach this one.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the manager; empty if none is configured.
     pub zone: String,
-    /// How often it rejoined within this incarnation after the others had considered it down.
+    /// Number of times that this incarnation rejoined after the other members had considered it down.
     pub rejoin_count: u32,
 }
 
@@ -54,36 +56,36 @@
     }
 }
 
-/// A gossip packet that can't be used.
+/// Why a gossip packet was rejected.
 #[derive(Debug, Error)]
 pub enum GossipError {
-    /// It is longer than any packet.
-    #[error("gossip packet of {0} bytes: at most {MAX_PACKET_BYTES} are accepted")]
+    /// The packet is longer than any that a member sends. The value is its size in bytes.
+    #[error("gossip packet rejected: size of {0} bytes exceeds the maximum of {MAX_PACKET_BYTES}")]
     TooLong(usize),
-    /// The library rejected it.
-    #[error("gossip packet was rejected: {0}")]
+    /// The library rejected the packet, because it is malformed or not meant for this member.
+    #[error("gossip packet rejected: {0}")]
     Protocol(foca::Error),
 }
 
-/// What follows from gossip and time.
+/// An event or an action that follows from received gossip or from the passage of time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// Send a gossip packet to a member.
     Send {
-        /// Its recipient.
+        /// The member that the packet is sent to.
         to: Member,
-        /// The packet.
+        /// The encoded packet. It may be lost.
         packet: Vec<u8>,
     },
-    /// A member joined.
+    /// A member joined, or became reachable again.
     Up(Member),
     /// A member left or does not respond.
     Down(Member),
-    /// The others had considered this manager down; it rejoined as the same incarnation.
+    /// The other members had considered this manager down, and it rejoined as the same incarnation.
     Rejoined,
 }
 
-/// The caller's side of the library: collects its timers and events.
+/// The interface through which the library sets timers and reports events. It collects them.
 struct FocaRuntime<'a> {
     now: Micros,
     timers: &'a mut TimerQueue,
@@ -114,7 +116,7 @@
     }
 }
 
-/// Timers by their time, and in the order of submission where times are equal.
+/// Timers in the order of their due time. Timers that are due at the same time keep the order of their submission.
 #[derive(Default)]
 struct TimerQueue {
     due: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -141,7 +143,7 @@
 
 type Protocol = Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>;
 
-/// The members as one of them sees them.
+/// The members of the fleet, as seen by the local member.
 pub struct Membership {
     protocol: Protocol,
     timers: TimerQueue,
@@ -154,13 +156,14 @@
 }
 
 impl Membership {
-    /// Knows this member only.
+    /// Creates a membership that contains only the local member.
     pub fn new(local: Member, seed: u64) -> Membership {
         let size = NonZeroU32::new(ASSUMED_FLEET_SIZE).unwrap_or(NonZeroU32::MIN);
         let mut config = foca::Config::new_lan(size);
         config.max_packet_size = NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(config.max_packet_size);
         config.remove_down_after = REMOVE_DOWN_AFTER.into();
-        // After a partition each side considers the other down: without this they would find each other after a minute.
+        // After a partition each side considers the other one down. Without these announcements they would find each
+        // other only after a minute.
         config.periodic_announce_to_down_members = Some(foca::PeriodicParams {
             frequency: ANNOUNCE_TO_DOWN_INTERVAL,
             num_members: NonZeroUsize::MIN,
@@ -169,24 +172,24 @@
         Membership { protocol, timers: TimerQueue::default() }
     }
 
-    /// This member.
+    /// The local member. Its rejoin count may have changed since the start.
     pub fn local(&self) -> &Member {
         self.protocol.identity()
     }
 
-    /// The other members that are up.
+    /// All other members that are considered up.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.protocol.iter_members().map(foca::Member::id)
     }
 
-    /// The member of this name, if it is up.
+    /// The member with this name; `None` if it is not up. Includes the local member.
     pub fn by_name(&self, name: &str) -> Option<&Member> {
-        // A member that restarted at another address is known twice until its old incarnation is considered down.
+        // A member that restarted at another address has two records until its old incarnation is considered down.
         let all = self.others().chain([self.local()]);
         all.filter(|member| member.incarnation.name == name).max_by_key(|member| member.incarnation.number)
     }
 
-    /// The address of the member of this name, if it is up.
+    /// The address of the member with this name; `None` if it is not up.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.by_name(name).map(|member| member.address)
     }
@@ -201,21 +204,22 @@
         operation(&mut self.protocol, runtime)
     }
 
-    /// Asks the member at this address, of which nothing else is known, to admit this one.
+    /// Requests to join the fleet through the member at this address, about which nothing else is known.
     pub fn join(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<MembershipEvent>) {
         let unknown = Incarnation { name: String::new(), number: 0 };
         let seed = Member { incarnation: unknown, address, zone: String::new(), rejoin_count: 0 };
-        // Sent to the address, whichever member is there. If it fails, the next attempt follows.
+        // Only the address is used, so it does not matter which member is there. The caller retries periodically, so a
+        // failure is ignored.
         let _unsent = self.run(now, out, |protocol, runtime| protocol.announce(seed, runtime));
     }
 
-    /// Notifies the others that this member leaves.
+    /// Notifies other members that the local member leaves the fleet.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<MembershipEvent>) {
-        // Where it fails, the others' probes find out.
+        // If this fails, the other members find out by their probes.
         let _unsent = self.run(now, out, |protocol, runtime| protocol.leave_cluster(runtime));
     }
 
-    /// Handles a gossip packet.
+    /// Handles a gossip packet of another member.
     ///
     /// # Errors
     /// If the packet is too long, malformed, or not meant for this member.
@@ -232,10 +236,10 @@
             .map_err(GossipError::Protocol)
     }
 
-    /// Time has passed: runs the timers that are due.
+    /// Runs the timers that are due. To be called periodically.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<MembershipEvent>) {
         while let Some(timer) = self.timers.pop_due(now) {
-            // The library rejects timers of a probe round that is over.
+            // The library rejects timers of a probe round that has ended, which is expected.
             let _stale = self.run(now, out, |protocol, runtime| protocol.handle_timer(timer, runtime));
         }
     }
--- a/crates/cluster/src/rolling_restart.rs
+++ b/crates/cluster/src/rolling_restart.rs
@@ -1,13 +1,15 @@
-//! Rolling restart: managers are drained or restarted a few of one zone at a time while the rest serve. The holder of
-//! the lease [`LEASE_NAME`] controls it. Its state is the lease's checkpoint, so the next holder continues from it.
+//! Rolling restart. Drains or restarts the managers, a few of one zone at a time, while the others serve.
+//!
+//! The holder of the lease [`LEASE_NAME`] is the controller. The state of the rolling restart is the checkpoint of that
+//! lease, so the next holder continues from it.
 //!
 //! ```text
 //!   planned --start--> Draining --drained, no open requests--> Returning --ready (restarted: new incarnation)--> done
-//!                          \------- not within [`MEMBER_TIMEOUT_US`]: the roll stops, and says why -------/
+//!                          \---- not within [`MEMBER_TIMEOUT_US`]: the rolling restart stops with a reason ----/
 //! ```
 //!
-//! Each change is saved before it is acted on. A step may be sent twice, by two holders one after another, and does no
-//! harm. The recipient checks the sender's fencing token.
+//! A change of state is saved before any step that depends on it is sent. Steps are idempotent, because two successive
+//! holders may send the same one. The receiving manager checks the sender's fencing token.
 
 mod status;
 
@@ -17,18 +19,18 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Name of the lease of the rolling-restart controller.
+/// Name of the lease whose holder controls rolling restarts.
 pub const LEASE_NAME: &str = "warden";
-/// Time limit of each stage of a member, in microseconds: twice the longest deadline of a request (25 s), and some.
+/// Time limit of each stage of a member, in microseconds. It exceeds twice the longest deadline of a request (25 s).
 pub const MEMBER_TIMEOUT_US: Micros = 60_000_000;
 
-/// What is done to each manager.
+/// What a rolling restart does to each manager.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RestartMode {
-    /// It is drained, and resumes.
+    /// The manager is drained and then resumes work, without a restart.
     Drain,
-    /// It is drained and exits; its supervisor starts it again.
+    /// The manager is drained and exits. Its process supervisor starts it again.
     Restart,
 }
 
@@ -36,21 +38,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RestartState {
-    /// It is in progress.
+    /// Members are drained or restarted one group after another.
     Running,
-    /// Active members return to work; no other is started.
+    /// Active members complete their stages. No planned member is started.
     Paused,
-    /// Active members resume work, then it stops.
+    /// An operator cancelled the rolling restart. Active members resume work, then the state becomes `Stopped`.
     #[serde(rename = "taken_back")]
     Cancelling,
-    /// It has stopped before its end.
+    /// The rolling restart ended before all members were done: it was cancelled, or a member exceeded
+    /// [`MEMBER_TIMEOUT_US`].
     Stopped,
-    /// All members are done.
+    /// All members were drained or restarted.
     Done,
 }
 
 impl std::fmt::Display for RestartState {
-    /// The name that the administration API's problem texts have.
+    /// The name of the state in the problem texts of the administration API.
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         out.write_str(match self {
             RestartState::Running => "Running",
@@ -62,31 +65,31 @@
     }
 }
 
-/// A state that an operator requested does not follow on the current one.
+/// An operator requested a state that can't follow the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the roll is {current}")]
 pub struct InvalidTransition {
-    /// The current state.
+    /// State of the rolling restart, which the rejected request did not change.
     pub current: RestartState,
-    /// The requested state.
+    /// State that the operator requested.
     pub requested: RestartState,
 }
 
-/// A step that a manager is asked to take. The order of variants is that of the wire format.
+/// A step that the controller requests of a manager. The wire format depends on the order of variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartStep {
-    /// Report the status.
+    /// Report the status and do nothing else.
     ReportStatus,
-    /// Drain, if this is still the manager's incarnation: the step may arrive at the next one.
+    /// Drain. Ignored by another incarnation of the manager, at which the step may arrive after a restart.
     Quiesce {
-        /// Number of the incarnation.
+        /// Number of the incarnation that is to drain.
         incarnation: u64,
     },
-    /// Resume work.
+    /// End draining and accept requests again.
     Resume,
-    /// Exit, if this is still the manager's incarnation.
+    /// Exit. Ignored by another incarnation of the manager.
     Restart {
-        /// Number of the incarnation.
+        /// Number of the incarnation that is to exit.
         incarnation: u64,
     },
 }
@@ -107,25 +110,25 @@
 pub struct MemberStep {
     /// Name of the manager.
     pub member: String,
-    /// The step.
+    /// What the manager is to do.
     pub step: RestartStep,
 }
 
-/// Result of advancing a rolling restart.
+/// Result of [`RollingRestart::advance`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
-    /// Its state has changed, and is to be saved before any step is sent.
+    /// The state has changed. The caller has to save it before any step is sent.
     Changed,
-    /// Its state is unchanged: these steps are to be sent.
+    /// The state is unchanged. The caller has to send these steps.
     Steps(Vec<MemberStep>),
 }
 
-/// A member that is not started yet.
+/// A manager that is yet to be drained or restarted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedMember {
-    /// Its name.
+    /// Name of the manager.
     pub name: String,
-    /// Its zone.
+    /// Zone of the manager. Members that are active at the same time are of one zone.
     pub zone: String,
 }
 
@@ -136,19 +139,19 @@
     Returning,
 }
 
-/// A member that is started and not done.
+/// A manager that is being drained or restarted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct ActiveMember {
     name: String,
     zone: String,
-    /// Number of its incarnation when it was started: after a restart it is another.
+    /// Number of the manager's incarnation when its first stage began. A higher number shows that it has restarted.
     #[serde(rename = "life")]
     incarnation: u64,
     stage: Stage,
 }
 
 impl ActiveMember {
-    /// The step that the member is still to take in its stage; `None` if the stage is complete.
+    /// The step that the member has yet to take in its stage; `None` if the stage is complete.
     fn pending_step(
         &self,
         mode: RestartMode,
@@ -185,12 +188,12 @@
     }
 }
 
-/// A rolling restart. Its JSON form is the lease's checkpoint.
+/// State of a rolling restart. Its JSON form is the checkpoint of the lease [`LEASE_NAME`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RollingRestart {
     #[serde(rename = "how")]
     mode: RestartMode,
-    /// Maximum number of active members, all of one zone.
+    /// Maximum number of active members. All active members are of one zone.
     #[serde(rename = "most")]
     max_active: usize,
     state: RestartState,
@@ -199,13 +202,14 @@
     #[serde(rename = "now")]
     active: Vec<ActiveMember>,
     done: Vec<String>,
-    /// Why it stopped.
+    /// Why the state is `Stopped`; empty in other states.
     #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
     stop_reason: String,
 }
 
 impl RollingRestart {
-    /// Of these members zone by zone; the controller itself (`last`) is the last one.
+    /// Plans a rolling restart of these members, zone by zone. The member named `last` comes last; it is the controller
+    /// itself.
     pub fn new(
         mode: RestartMode,
         max_active: usize,
@@ -224,27 +228,27 @@
         }
     }
 
-    /// Reads the checkpoint of the lease; `None` if it holds no rolling restart.
+    /// Decodes the checkpoint of the lease; `None` if it contains no rolling restart.
     pub fn from_checkpoint(checkpoint: &str) -> Option<RollingRestart> {
         serde_json::from_str(checkpoint).ok()
     }
 
-    /// The checkpoint of the lease.
+    /// Encodes the state as the checkpoint of the lease.
     pub fn to_checkpoint(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The current state.
+    /// Current state, as of the last call of [`Self::advance`] or [`Self::transition_to`].
     pub fn state(&self) -> RestartState {
         self.state
     }
 
-    /// Whether it has not ended: it may still change by itself.
+    /// Whether the rolling restart has not ended, also while it is paused. Only then [`Self::advance`] changes it.
     pub fn is_open(&self) -> bool {
         !matches!(self.state, RestartState::Stopped | RestartState::Done)
     }
 
-    /// Names of the members that are started and not done.
+    /// Names of the members that are being drained or restarted.
     pub fn active(&self) -> impl Iterator<Item = &str> {
         self.active.iter().map(|member| member.name.as_str())
     }
@@ -252,12 +256,12 @@
     /// Sets the state that an operator requested.
     ///
     /// # Errors
-    /// If it does not follow on the current one.
+    /// If the requested state can't follow the current one.
     pub fn transition_to(&mut self, requested: RestartState) -> Result<(), InvalidTransition> {
         let is_valid = match (self.state, requested) {
             (RestartState::Running, RestartState::Paused | RestartState::Cancelling)
             | (RestartState::Paused, RestartState::Running | RestartState::Cancelling) => true,
-            // A stopped one continues where it was: with the member that did not return.
+            // Continues with the members that were active when the rolling restart stopped.
             (RestartState::Stopped, RestartState::Running) => true,
             _ => false,
         };
@@ -269,7 +273,7 @@
         Ok(())
     }
 
-    /// Advances as far as the observations allow.
+    /// Advances the rolling restart as far as the reported statuses allow.
     pub fn advance(&mut self, now: Micros, observations: &mut Observations) -> Progress {
         if !self.is_open() {
             observations.clear_stage_times();
@@ -284,7 +288,8 @@
         if *self == before { Progress::Steps(steps) } else { Progress::Changed }
     }
 
-    /// Moves each active member to its next stage, if its stage is complete. Gives the steps still to be taken.
+    /// Moves each active member whose stage is complete to its next stage. Returns the steps that the other active
+    /// members have yet to take.
     fn advance_active(&mut self, now: Micros, observations: &mut Observations) -> Vec<MemberStep> {
         let mut steps = Vec::new();
         let mut timeout_reason = None;
@@ -310,14 +315,14 @@
         if let Some(reason) = timeout_reason {
             self.state = RestartState::Stopped;
             self.stop_reason = reason;
-            // Once an operator resumes it, each member has its full time again.
+            // Each member has its full time limit again once an operator resumes the rolling restart.
             observations.clear_stage_times();
         }
         steps
     }
 
-    /// Starts planned members, of one zone at a time, so that the others serve. A member without a status, or one that
-    /// is not ready, is skipped for now.
+    /// Starts planned members, of one zone at a time, so that the members of the other zones serve. A member that has
+    /// reported no status or is not ready is skipped until a later call.
     fn start_members(&mut self, observations: &Observations) {
         for member in std::mem::take(&mut self.planned) {
             let has_capacity = self.active.len() < self.max_active
@@ -334,7 +339,7 @@
         }
     }
 
-    /// Ends it if no member is active any more.
+    /// Sets the final state once no member is active: `Done` if none is planned either, `Stopped` after a cancellation.
     fn finish(&mut self) {
         if !self.active.is_empty() {
             return;
--- a/crates/cluster/src/rolling_restart/tests.rs
+++ b/crates/cluster/src/rolling_restart/tests.rs
@@ -12,7 +12,7 @@
     Incarnation { name: name.to_owned(), number }
 }
 
-/// Managers that take the steps that they are sent.
+/// Simulated managers, which apply the steps that they receive.
 struct Managers {
     incarnations: Vec<u64>,
     statuses: Vec<MemberStatus>,
@@ -53,10 +53,11 @@
     }
 }
 
-/// Managers that take their steps, some of them late, under controllers that change in the middle and keep only the
-/// checkpoint: every member is drained, none of a zone beyond the limit, and the state never goes back.
+/// Guards against members that are skipped, drained beyond the limit, or drained in two zones at once when the
+/// controller changes during a rolling restart. Each new controller has only the checkpoint. Steps, reports and
+/// checkpoints are lost at random.
 #[test]
-fn every_member_is_drained_whichever_controllers_take_over() {
+fn every_member_is_drained_despite_changes_of_the_controller() {
     for seed in 0..200 {
         let mut rng = Rand64::new(seed);
         let count = 3 + (seed % 7) as usize;
@@ -69,7 +70,7 @@
         for round in 0..20_000 {
             now += 50_000;
             if rng.rand_float() < 0.02 {
-                observations = Observations::default(); // the next controller
+                observations = Observations::default(); // another controller
             }
             for number in 0..count {
                 if rng.rand_float() < 0.3 {
@@ -83,7 +84,7 @@
             }
             let mut restart = RollingRestart::from_checkpoint(&checkpoint).unwrap();
             match restart.advance(now, &mut observations) {
-                // A checkpoint may be lost with its controller.
+                // A checkpoint is lost if its controller fails before it is saved.
                 Progress::Changed if rng.rand_float() < 0.8 => checkpoint = restart.to_checkpoint(),
                 Progress::Changed => {}
                 Progress::Steps(steps) => {
@@ -94,27 +95,33 @@
                 }
             }
             let out: Vec<usize> = (0..count).filter(|number| !managers.statuses[*number].ready).collect();
-            assert!(out.len() <= max_active, "seed {seed}: {out:?} at once");
-            assert!(out.iter().all(|number| number % 3 == out[0] % 3), "seed {seed}: {out:?} of two zones");
+            assert!(out.len() <= max_active, "seed {seed}: more than {max_active} members drained: {out:?}");
+            assert!(
+                out.iter().all(|number| number % 3 == out[0] % 3),
+                "seed {seed}: members of two zones drained: {out:?}"
+            );
             if RollingRestart::from_checkpoint(&checkpoint).unwrap().state() == RestartState::Done {
                 let was_drained = &managers.was_drained;
-                assert!(was_drained.iter().all(|once| *once), "seed {seed}: {was_drained:?}");
+                assert!(
+                    was_drained.iter().all(|once| *once),
+                    "seed {seed}: not all members were drained: {was_drained:?}"
+                );
                 let incarnations = &managers.incarnations;
                 assert!(
                     mode == RestartMode::Drain || incarnations.iter().all(|number| *number == 2),
-                    "seed {seed}: {incarnations:?}"
+                    "seed {seed}: not all members restarted once: incarnations {incarnations:?}"
                 );
                 assert!(managers.statuses.iter().all(|status| status.ready));
                 break;
             }
-            assert!(round < 19_999, "seed {seed}: it does not end: {checkpoint}");
+            assert!(round < 19_999, "seed {seed}: the rolling restart does not end: {checkpoint}");
         }
     }
 }
 
-/// Guards against a report from before a drain that arrives after one from within it.
+/// Guards against reports that arrive out of order: one sent before a drain must not replace one sent during the drain.
 #[test]
-fn a_report_that_was_overtaken_is_ignored() {
+fn a_report_older_than_the_known_one_is_ignored() {
     let mut statuses = MemberStatuses::default();
     let status =
         |ready, reported_at_us| MemberStatus { ready, drained: !ready, open_requests: 0, reported_at_us };
@@ -127,9 +134,9 @@
     assert_eq!(statuses.get("m0"), Some(&reported(3, status(true, 1))));
 }
 
-/// Guards against a rolling restart that continues although one member does not return.
+/// Guards against a rolling restart that drains further members although one is stuck in its stage.
 #[test]
-fn it_stops_at_the_first_member_that_does_not_return() {
+fn a_rolling_restart_stops_when_a_member_exceeds_its_time_limit() {
     let mut restart = RollingRestart::new(RestartMode::Drain, 1, members(3), "m2");
     let mut observations = Observations::default();
     let status = |ready: bool| MemberStatus { ready, drained: !ready, open_requests: 5, reported_at_us: 0 };
@@ -142,7 +149,7 @@
     assert_eq!(restart.state(), RestartState::Stopped);
     let checkpoint = restart.to_checkpoint();
     assert!(checkpoint.contains("m0 was not drained within 60 s"), "{checkpoint}");
-    // Resumed, it continues with that member; cancelled, that member resumes work.
+    // A resumed rolling restart continues with that member. A cancelled one makes that member resume work.
     assert!(restart.transition_to(RestartState::Running).is_ok());
     assert!(restart.transition_to(RestartState::Running).is_err());
     assert!(restart.transition_to(RestartState::Cancelling).is_ok());
@@ -152,7 +159,7 @@
     assert_eq!((restart.state(), restart.active().count()), (RestartState::Stopped, 0));
 }
 
-/// The administration API's problem texts have these names.
+/// Guards the state names in the problem texts of the administration API.
 #[test]
 fn an_invalid_transition_names_the_current_state() {
     let names = [
--- a/crates/cluster/src/voter.rs
+++ b/crates/cluster/src/voter.rs
@@ -1,5 +1,7 @@
-//! A voter: the raft library's state machine with its log in memory, and a [`Disk`] that persists each change before
-//! anything that depends on it is sent. Its output is proposals in one order, the same at every voter.
+//! A voter of the Raft group that orders lease grants. All voters apply the same proposals in the same order.
+//!
+//! It drives the raft library's state machine. The log is in memory, and a [`Disk`] persists each change before any
+//! message that depends on the change is sent.
 
 mod storage;
 
@@ -17,35 +19,41 @@
 use storage::{LogStorage, decode_table};
 use thiserror::Error;
 
-/// Time between two ticks, in microseconds.
+/// Interval between two ticks of a voter, in microseconds.
 pub const TICK_US: u64 = 50_000;
-/// A leader without a heartbeat for this many ticks (0.5 s) and more is replaced.
+/// Shortest election timeout, in ticks (0.5 s). A voter that receives no heartbeat for this long starts an election.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between two heartbeats of a leader (0.1 s).
+/// Interval between two heartbeats of a leader, in ticks (0.1 s).
 const HEARTBEAT_TICKS: usize = 2;
-/// Voters wait this many ticks longer one after another, in the order of their ids in the current group: two do not
-/// stand for election at once, and a simulation is the same each time. (The library's own spread draws from the system.)
+/// Difference between the election timeouts of successive voters, in ticks. Voters are ordered by their ids in the
+/// current group.
+///
+/// Different timeouts keep two voters from starting an election at the same tick. The library randomizes the timeouts
+/// with the system's random numbers, which would make simulations irreproducible.
 const ELECTION_STAGGER_TICKS: usize = 2;
-/// Positions of that order: a group has 7 voters at most, and one that is admitted comes after its old id is removed.
+/// Maximum number of voters in a group. A voter that is admitted under a new id does not exceed it, because its old id
+/// is removed first.
 const MAX_VOTERS: usize = 7;
 /// Maximum size of log entries in one message, in bytes.
 const MAX_MESSAGE_ENTRY_BYTES: u64 = 64 * 1024;
-/// Maximum number of messages with log entries that one voter has not acknowledged.
+/// Maximum number of messages with log entries that are sent to one voter before it acknowledges them.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Applied entries that the log retains for voters that are behind; the snapshot replaces the rest.
+/// Number of applied entries that the log retains for voters that lag behind. The snapshot replaces older entries.
 const RETAINED_ENTRIES: u64 = 1024;
 
-/// Why a voter can't go on, or rejected an input.
+/// Why a voter can no longer operate, or why it rejected an input. The texts of [`VoterError::Disk`] and
+/// [`VoterError::Corrupt`] are shown in the `cluster:` log lines and by the administration API.
 #[derive(Debug, Error)]
 pub enum VoterError {
-    /// A change could not be persisted.
+    /// A change could not be persisted. The voter must stop, because it must not acknowledge an entry or a vote that
+    /// it could lose.
     #[error("a promise can't be kept: {0}")]
     Disk(String),
-    /// Persisted or replicated data can't be decoded, or is inconsistent.
+    /// Persisted or replicated data can't be decoded or is inconsistent, or a value can't be encoded.
     #[error("what was kept can't be used: {0}")]
     Corrupt(String),
-    /// A message of another voter was rejected.
-    #[error("a voter's message was rejected: {0}")]
+    /// A message of another voter was rejected. It had no effect.
+    #[error("message of a voter rejected: {0}")]
     InvalidMessage(String),
     /// The raft library rejected an operation.
     #[error("{0}")]
@@ -58,40 +66,40 @@
     }
 }
 
-/// A message for another voter. The changes that it depends on are persisted.
+/// A message to another voter. All changes that it depends on are already persisted.
 #[derive(Debug)]
 pub struct VoterMessage {
-    /// Id of the recipient.
+    /// Id of the receiving voter.
     pub to: u64,
-    /// The encoded message.
+    /// The raft message, encoded with protobuf.
     pub bytes: Vec<u8>,
 }
 
-/// A proposal that the table has applied.
+/// A proposal that was committed and then applied to the lease table.
 #[derive(Debug)]
 pub struct AppliedProposal {
-    /// The proposal.
+    /// The proposal, as decoded from its log entry.
     pub proposal: Proposal,
-    /// Its outcome.
+    /// Whether the table accepted the proposal, or why not. It is the same at every voter.
     pub outcome: LeaseOutcome,
 }
 
 /// Output of one step of a voter.
 #[derive(Debug, Default)]
 pub struct VoterOutput {
-    /// Messages to send.
+    /// Messages to send to other voters. They may be lost.
     pub messages: Vec<VoterMessage>,
-    /// Proposals that were applied.
+    /// Proposals that were applied, in the order of the log.
     pub applied: Vec<AppliedProposal>,
-    /// Whether the table has changed.
+    /// Whether an entry or a snapshot was applied to the lease table, so that its index has changed.
     pub table_changed: bool,
 }
 
-/// One voter.
+/// A voter with its Raft state and its replica of the lease table.
 pub struct Voter {
     node: RawNode<LogStorage>,
     id: u64,
-    /// Log index of the persisted snapshot.
+    /// Log index of the latest persisted snapshot.
     snapshot_index: u64,
 }
 
@@ -102,10 +110,10 @@
 }
 
 impl Voter {
-    /// Resumes from persisted state.
+    /// Starts a voter from its persisted state.
     ///
     /// # Errors
-    /// If the state can't be decoded or is inconsistent.
+    /// If the state can't be decoded, a log entry is missing, or the commit index is outside the log.
     pub fn start(id: u64, state: &PersistedState) -> Result<Voter, VoterError> {
         let snapshot = Snapshot::parse_from_bytes(&state.snapshot).map_err(VoterError::corrupt)?;
         let table = decode_table(&snapshot.data)?;
@@ -134,44 +142,46 @@
         Ok(Voter { node, id, snapshot_index })
     }
 
-    /// Its id.
+    /// Id of this voter in the group.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The table as of the last entry that is applied here.
+    /// The lease table as of the last log entry that this voter has applied.
     pub fn table(&self) -> &LeaseTable {
         &self.node.store().table
     }
 
-    /// Whether it is the leader.
+    /// Whether this voter is the leader in its current term. Another voter may lead in a later term already.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Whether it is in the group, as far as its log goes: one that was just admitted has yet to receive the log.
+    /// Whether this voter is in the group, according to the entries that it has applied. A newly admitted voter is not
+    /// until it has received the log.
     pub fn is_member(&self) -> bool {
         self.table().voters.contains_key(&self.id)
     }
 
-    /// Id of the current leader, if it is known.
+    /// Id of the current leader; `None` if it is unknown, as during an election.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
-    /// Name of the current leader's manager, if it is known.
+    /// Name of the current leader's manager; `None` if the leader is unknown or not in the table.
     pub fn leader_name(&self) -> Option<&String> {
         self.table().voters.get(&self.leader()?)
     }
 
-    /// The current term.
+    /// The current term. It grows with each election.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// [`TICK_US`] have passed.
+    /// Advances the election and heartbeat timers by one tick. To be called every [`TICK_US`].
     pub fn tick(&mut self) {
-        // The library draws a new election timeout at each change of term; the value at the time of counting decides.
+        // The library chooses a random election timeout at each change of term. The timeout is compared in `tick`, so
+        // it is set to this voter's own value right before.
         let position = self.table().voters.keys().position(|voter| *voter == self.id).unwrap_or(0);
         let timeout_ticks = ELECTION_TICKS + position % MAX_VOTERS * ELECTION_STAGGER_TICKS;
         self.node.raft.set_randomized_election_timeout(timeout_ticks);
@@ -181,24 +191,26 @@
     /// Handles a message of another voter.
     ///
     /// # Errors
-    /// If it can't be decoded, is not from a voter to this one, or is rejected by the library. It changes nothing then.
+    /// If the message can't be decoded, is not from a voter of the group to this voter, or is rejected by the library.
+    /// A rejected message has no effect.
     pub fn step(&mut self, bytes: &[u8]) -> Result<(), VoterError> {
         let message = Message::parse_from_bytes(bytes)
             .map_err(|error| VoterError::InvalidMessage(error.to_string()))?;
         let is_from_voter = self.table().voters.contains_key(&message.from);
         if message.to != self.id || !is_from_voter || raft::raw_node::is_local_msg(message.msg_type) {
-            return Err(VoterError::InvalidMessage("not from a voter to this one".to_owned()));
+            return Err(VoterError::InvalidMessage("not sent by a voter of the group to this voter".to_owned()));
         }
-        // Guards against a heartbeat whose commit index this log does not reach: the library ends the program on it.
+        // The library panics on a heartbeat whose commit index is beyond the end of this voter's log.
         if message.commit > self.node.raft.raft_log.last_index()
             && message.msg_type == MessageType::MsgHeartbeat
         {
-            return Err(VoterError::InvalidMessage("a commit index beyond the log".to_owned()));
+            return Err(VoterError::InvalidMessage("commit index of a heartbeat is beyond the log".to_owned()));
         }
         Ok(self.node.step(message)?)
     }
 
-    /// Proposes an entry of the log. Whether it is applied shows later, or never.
+    /// Proposes a log entry. If it is committed, a later [`Voter::process_ready`] returns it. If it is lost, for
+    /// example by a change of leader, this is not reported.
     ///
     /// # Errors
     /// If this voter is not the leader, or the library rejects the proposal.
@@ -207,7 +219,7 @@
         Ok(self.node.propose(Vec::new(), data)?)
     }
 
-    /// Proposes to add a voter. The group continues meanwhile.
+    /// Proposes to add a voter to the group. The group continues to commit entries meanwhile.
     ///
     /// # Errors
     /// If this voter is not the leader, or another change is in progress.
@@ -215,7 +227,7 @@
         self.propose_change(ConfChangeType::AddNode, id, name)
     }
 
-    /// Proposes to remove a voter. The group continues meanwhile.
+    /// Proposes to remove a voter from the group. The group continues to commit entries meanwhile.
     ///
     /// # Errors
     /// If this voter is not the leader, or another change is in progress.
@@ -231,16 +243,18 @@
         Ok(self.node.propose_conf_change(Vec::new(), changes)?)
     }
 
-    /// Asks another voter to become the leader.
+    /// Starts the transfer of leadership to another voter, if this one is the leader. The transfer is aborted if it
+    /// does not succeed within an election timeout.
     pub fn transfer_leadership(&mut self, id: u64) {
         self.node.transfer_leader(id);
     }
 
-    /// Does all that is ready: persists changes, then releases the messages that depend on them, and applies committed
-    /// entries.
+    /// Processes all pending work of the Raft state machine. It persists changes, then returns the messages that depend
+    /// on them, and applies committed entries.
     ///
     /// # Errors
-    /// If the disk fails: nothing that depends on it is sent, and the voter must not go on.
+    /// If a change can't be persisted, or an entry can't be decoded. No message that depends on an unpersisted change
+    /// is returned, and the voter must not be used any more.
     pub fn process_ready(&mut self, disk: &mut dyn Disk) -> Result<VoterOutput, VoterError> {
         let mut output = VoterOutput::default();
         while self.node.has_ready() {
@@ -286,7 +300,7 @@
         Ok(())
     }
 
-    /// Replaces table and log by the leader's snapshot. Gives its index and encoded form.
+    /// Replaces the table and the log by the leader's snapshot. Returns the snapshot's log index and encoded form.
     fn install_snapshot(&mut self, snapshot: Snapshot) -> Result<(u64, Vec<u8>), VoterError> {
         let index = snapshot.get_metadata().index;
         let bytes = snapshot.write_to_bytes().map_err(VoterError::corrupt)?;
@@ -313,8 +327,8 @@
 
     fn apply_entry(&mut self, entry: &Entry) -> Option<AppliedProposal> {
         let table = &mut self.node.mut_store().table;
-        // A new leader's first entry is empty. An entry that can't be decoded is of a later version: every voter of
-        // this one skips it.
+        // A new leader's first entry is empty. An entry that can't be decoded was written by a later version of the
+        // program. Every voter of this version skips it, so their tables stay equal.
         match postcard::from_bytes::<Proposal>(&entry.data) {
             Ok(proposal) if !entry.data.is_empty() => {
                 let outcome = table.apply(entry.index, &proposal);
@@ -348,7 +362,8 @@
         Ok(())
     }
 
-    /// Replaces the older part of the log by a snapshot of the table.
+    /// Persists a snapshot of the table and removes the older part of the log, once the log has grown to twice
+    /// [`RETAINED_ENTRIES`] since the last snapshot.
     fn compact_log(&mut self, disk: &mut dyn Disk) -> Result<(), VoterError> {
         let index = self.table().index;
         if index < self.snapshot_index + 2 * RETAINED_ENTRIES {
--- a/crates/cluster/src/voter/storage.rs
+++ b/crates/cluster/src/voter/storage.rs
@@ -1,4 +1,4 @@
-//! What a voter persists, and the log in memory that the raft library reads.
+//! The persisted state of a voter, and the in-memory log that the raft library reads.
 
 use super::VoterError;
 use crate::lease::LeaseTable;
@@ -7,14 +7,14 @@
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// Changes that are persisted before anything that depends on them is sent. All of them or none.
+/// Changes that are persisted atomically, before any message that depends on them is sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// Term, vote and commit index, where they changed.
+    /// Term, vote and commit index in encoded form; `None` if they are unchanged.
     pub hard_state: Option<Vec<u8>>,
-    /// Log entries with their index. They replace all entries from the first of them on.
+    /// Log entries with their log index, in encoded form. They replace all persisted entries from the first index on.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// A new snapshot of the table with its log index. Entries up to it may be removed.
+    /// A new snapshot of the table with its log index, if there is one. Entries up to that index may be removed.
     pub snapshot: Option<(u64, Vec<u8>)>,
 }
 
@@ -24,28 +24,29 @@
     }
 }
 
-/// Durable storage of a voter.
+/// Durable storage of a voter's Raft state.
 pub trait Disk {
-    /// Persists a batch. Returns once all of it would survive a loss of power.
+    /// Persists a batch. Returns once the whole batch would survive a power failure.
     ///
     /// # Errors
-    /// Why it could not be persisted, as text for operators.
+    /// The reason why the batch could not be persisted, as text for operators.
     fn persist(&mut self, batch: &PersistBatch) -> Result<(), String>;
 }
 
-/// What a voter's disk holds when the voter starts.
+/// The state that a voter's disk holds when the voter starts. All parts are in encoded form.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// Term, vote and commit index.
+    /// Term, vote and commit index (raft's hard state).
     pub hard_state: Vec<u8>,
-    /// The log entries after the snapshot.
+    /// The log entries after the snapshot, in the order of their log index.
     pub entries: Vec<Vec<u8>>,
-    /// The snapshot of the table that the log continues from. There is always one: a voter starts with it.
+    /// The snapshot of the table that the log continues from. It is never empty, because a new group starts from one.
     pub snapshot: Vec<u8>,
 }
 
 impl PersistedState {
-    /// The state that all voters of a new group start with: the group itself, agreed on before there is a log.
+    /// The state that all voters of a new group start from. It contains the group's members, which the voters agree on
+    /// before there is a log.
     ///
     /// # Errors
     /// If the table can't be encoded.
@@ -66,10 +67,10 @@
         })
     }
 
-    /// Applies a batch, as a disk does.
+    /// Applies a batch in memory, with the result that [`Disk::persist`] must have on disk.
     ///
     /// # Errors
-    /// If an entry can't be decoded.
+    /// If an entry can't be decoded. The state is unspecified then.
     pub fn apply(&mut self, batch: &PersistBatch) -> Result<(), VoterError> {
         if let Some(hard_state) = &batch.hard_state {
             self.hard_state.clone_from(hard_state);
@@ -106,7 +107,8 @@
     postcard::from_bytes(bytes).map_err(VoterError::corrupt)
 }
 
-/// The log in memory, and the table as of the last applied entry.
+/// The in-memory log, with the table and the group's members as of the last applied entry. The raft library reads the
+/// log from here and obtains snapshots of the table for voters that lag behind.
 pub(super) struct LogStorage {
     pub(super) log: MemStorage,
     pub(super) table: LeaseTable,
--- a/crates/cluster/src/voter/tests.rs
+++ b/crates/cluster/src/voter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::BTreeMap;
 
-/// A disk in memory.
+/// A disk that holds its state in memory.
 struct MemoryDisk(PersistedState);
 
 impl Disk for MemoryDisk {
@@ -10,7 +10,7 @@
     }
 }
 
-/// Voters whose ticks coincide, and whose messages take one tick.
+/// Voters that tick at the same time. A message is delivered one tick after it was sent.
 #[derive(Default)]
 struct Group {
     voters: BTreeMap<u64, (Voter, MemoryDisk)>,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Ticks until the condition holds; gives the number of ticks.
+    /// Ticks until the condition holds, at most 1000 times. Returns the number of ticks before the last one.
     fn tick_until(&mut self, condition: &str, holds: impl Fn(&Group) -> bool) -> usize {
         let ticks = (0..1000).find(|_| {
             self.tick();
             holds(self)
         });
-        ticks.unwrap_or_else(|| panic!("1000 ticks, and not: {condition}"))
+        ticks.unwrap_or_else(|| panic!("not within 1000 ticks: {condition}"))
     }
 
     fn voter(&mut self, id: u64) -> &mut Voter {
@@ -54,17 +54,17 @@
     }
 }
 
-/// Guards against two voters that stand for election at the same tick for ever: one waits by its position in the group
-/// at its start, the other was admitted since.
+/// Guards against two voters with equal election timeouts, which would split the vote in every election. This happens
+/// if a voter derives its timeout from its position in the group at its own start, and another voter is admitted later.
 #[test]
-fn an_admitted_voter_and_another_do_not_stand_for_election_at_once() {
+fn a_newly_admitted_voter_and_an_older_one_have_different_election_timeouts() {
     let mut group = Group::default();
     let (lost, leader, other, new) = (10, 20, 30, 5);
     [lost, leader, other].into_iter().for_each(|id| group.join(id, &[lost, leader, other]));
     group.tick_until("there is a leader", |group| group.leader().is_some());
     let first_leader = group.leader().unwrap();
     group.voter(first_leader).transfer_leadership(leader);
-    group.tick_until("the voter that is to fail leads", |group| group.leader() == Some(leader));
+    group.tick_until("the voter that will be removed is the leader", |group| group.leader() == Some(leader));
     group.voters.remove(&lost);
     group.voter(leader).remove_voter(lost).unwrap();
     group.tick_until("the lost voter is removed", |group| {
@@ -72,12 +72,12 @@
     });
     group.voter(leader).add_voter(new, "m0").unwrap();
     group.join(new, &[leader, other]);
-    assert!(!group.voters[&new].0.is_member(), "its log does not have its admission yet");
-    group.tick_until("all know the new voter", |group| {
+    assert!(!group.voters[&new].0.is_member(), "it has not received the log entry of its admission yet");
+    group.tick_until("all voters have applied the admission", |group| {
         group.voters.values().all(|(voter, _)| voter.table().voters.contains_key(&new))
     });
     assert!(group.voters[&new].0.is_member());
     group.voters.remove(&leader);
-    let ticks = group.tick_until("one of the remaining two leads", |group| group.leader().is_some());
-    assert!(ticks <= ELECTION_TICKS + 3 * ELECTION_STAGGER_TICKS + 4, "{ticks} ticks: one election");
+    let ticks = group.tick_until("one of the remaining two is the leader", |group| group.leader().is_some());
+    assert!(ticks <= ELECTION_TICKS + 3 * ELECTION_STAGGER_TICKS + 4, "{ticks} ticks, more than one election takes");
 }
