--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -24,7 +24,11 @@
     let renew = |fencing_token| LeaseRequest::Renew { lease: "backup".to_owned(), fencing_token };
     assert_eq!(submit(&mut table, "a", renew(1)), LeaseOutcome::NotHolder, "the former holder's token");
     assert_eq!(submit(&mut table, "b", renew(3)), LeaseOutcome::Renewed);
-    assert_eq!(submit(&mut table, "c", acquire(3)), LeaseOutcome::Conflict, "the renewal has changed the version");
+    assert_eq!(
+        submit(&mut table, "c", acquire(3)),
+        LeaseOutcome::Conflict,
+        "the renewal has changed the version"
+    );
 }
 
 /// Guards against a lease that is free to others while its former holder still counts it as held, and against a renewal
--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -1,7 +1,7 @@
 //! The lease holder of one manager. It decides when the manager requests a lease, and until when it may use a grant.
 //!
 //! No two managers hold one lease at the same moment. The proof assumes that each manager's clock is monotonic and that
-//! its rate is off true time by at most d, which is [`CLOCK_DRIFT`]. L is the duration of the lease.
+//! its rate is off true time by at most d, which is [`CLOCK_DRIFT_BOUND`]. L is the duration of the lease.
 //!
 //! - A holder counts L on its own clock from *before* it sends the request, and starts no operation after L has passed.
 //!   In true time the lease therefore ends at most L / (1 - d) after sending.
@@ -32,7 +32,7 @@
 
 /// Clock drift bound: the assumed maximum rate error of a clock, as a fraction (1 %). Quartz oscillators stay within
 /// 0.02 %. Wall clocks are not used, because they may jump.
-pub const CLOCK_DRIFT: f64 = 0.01;
+pub const CLOCK_DRIFT_BOUND: f64 = 0.01;
 /// An acquisition or a renewal without a response within this time is sent again, in microseconds.
 const RESPONSE_TIMEOUT_US: Micros = 500_000;
 /// Pending requests other than acquisitions expire after this many response timeouts.
--- a/crates/cluster/src/lease_holder/acquisition.rs
+++ b/crates/cluster/src/lease_holder/acquisition.rs
@@ -1,6 +1,6 @@
 //! Decides when a manager requests a lease. The waiting times follow from the proof in [`super`].
 
-use super::{CLOCK_DRIFT, DesiredLease, LeaseHolder, Micros, RESPONSE_TIMEOUT_US};
+use super::{CLOCK_DRIFT_BOUND, DesiredLease, LeaseHolder, Micros, RESPONSE_TIMEOUT_US};
 use crate::lease::{LeaseRecord, LeaseRequest};
 
 /// Delay between the acquisition requests of managers of successive rank, in microseconds. It covers a few round trips
@@ -14,7 +14,7 @@
 /// How long the version of a lease's record must stay unchanged before another manager may consider the lease expired,
 /// in microseconds. The factor is derived in the module's proof.
 pub fn expiry_wait_us(lease_us: u64) -> Micros {
-    (lease_us as f64 * (1.0 + CLOCK_DRIFT) / (1.0 - CLOCK_DRIFT)).ceil() as Micros
+    (lease_us as f64 * (1.0 + CLOCK_DRIFT_BOUND) / (1.0 - CLOCK_DRIFT_BOUND)).ceil() as Micros
 }
 
 impl LeaseHolder {
--- a/crates/cluster/src/rolling_restart.rs
+++ b/crates/cluster/src/rolling_restart.rs
@@ -116,11 +116,11 @@
 
 /// Result of [`RollingRestart::advance`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Progress {
+pub enum AdvanceOutcome {
     /// The state has changed. The caller has to save it before any step is sent.
-    Changed,
+    StateChanged,
     /// The state is unchanged. The caller has to send these steps.
-    Steps(Vec<MemberStep>),
+    SendSteps(Vec<MemberStep>),
 }
 
 /// A manager that is yet to be drained or restarted.
@@ -244,7 +244,7 @@
     }
 
     /// Whether the rolling restart has not ended, also while it is paused. Only then [`Self::advance`] changes it.
-    pub fn is_open(&self) -> bool {
+    pub fn is_unfinished(&self) -> bool {
         !matches!(self.state, RestartState::Stopped | RestartState::Done)
     }
 
@@ -274,10 +274,10 @@
     }
 
     /// Advances the rolling restart as far as the reported statuses allow.
-    pub fn advance(&mut self, now: Micros, observations: &mut Observations) -> Progress {
-        if !self.is_open() {
+    pub fn advance(&mut self, now: Micros, observations: &mut Observations) -> AdvanceOutcome {
+        if !self.is_unfinished() {
             observations.clear_stage_times();
-            return Progress::Steps(Vec::new());
+            return AdvanceOutcome::SendSteps(Vec::new());
         }
         let before = self.clone();
         let steps = self.advance_active(now, observations);
@@ -285,7 +285,7 @@
             self.start_members(observations);
         }
         self.finish();
-        if *self == before { Progress::Steps(steps) } else { Progress::Changed }
+        if *self == before { AdvanceOutcome::SendSteps(steps) } else { AdvanceOutcome::StateChanged }
     }
 
     /// Moves each active member whose stage is complete to its next stage. Returns the steps that the other active
--- a/crates/cluster/src/rolling_restart/tests.rs
+++ b/crates/cluster/src/rolling_restart/tests.rs
@@ -85,9 +85,11 @@
             let mut restart = RollingRestart::from_checkpoint(&checkpoint).unwrap();
             match restart.advance(now, &mut observations) {
                 // A checkpoint is lost if its controller fails before it is saved.
-                Progress::Changed if rng.rand_float() < 0.8 => checkpoint = restart.to_checkpoint(),
-                Progress::Changed => {}
-                Progress::Steps(steps) => {
+                AdvanceOutcome::StateChanged if rng.rand_float() < 0.8 => {
+                    checkpoint = restart.to_checkpoint()
+                }
+                AdvanceOutcome::StateChanged => {}
+                AdvanceOutcome::SendSteps(steps) => {
                     for step in steps.into_iter().filter(|_| rng.rand_float() < 0.9) {
                         let number: usize = step.member[1..].parse().unwrap();
                         managers.take_step(number, step.step, now);
@@ -140,12 +142,12 @@
     let mut restart = RollingRestart::new(RestartMode::Drain, 1, members(3), "m2");
     let mut observations = Observations::default();
     let status = |ready: bool| MemberStatus { ready, drained: !ready, open_requests: 5, reported_at_us: 0 };
-    let step = |step| Progress::Steps(vec![MemberStep { member: "m0".to_owned(), step }]);
+    let step = |step| AdvanceOutcome::SendSteps(vec![MemberStep { member: "m0".to_owned(), step }]);
     observations.statuses.update(incarnation("m0", 1), status(true));
-    assert_eq!(restart.advance(0, &mut observations), Progress::Changed);
+    assert_eq!(restart.advance(0, &mut observations), AdvanceOutcome::StateChanged);
     observations.statuses.update(incarnation("m0", 1), status(false));
     assert_eq!(restart.advance(1, &mut observations), step(RestartStep::Quiesce { incarnation: 1 }));
-    assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 10, &mut observations), Progress::Changed);
+    assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 10, &mut observations), AdvanceOutcome::StateChanged);
     assert_eq!(restart.state(), RestartState::Stopped);
     let checkpoint = restart.to_checkpoint();
     assert!(checkpoint.contains("m0 was not drained within 60 s"), "{checkpoint}");
@@ -155,7 +157,7 @@
     assert!(restart.transition_to(RestartState::Cancelling).is_ok());
     assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 20, &mut observations), step(RestartStep::Resume));
     observations.statuses.update(incarnation("m0", 1), status(true));
-    assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 30, &mut observations), Progress::Changed);
+    assert_eq!(restart.advance(MEMBER_TIMEOUT_US + 30, &mut observations), AdvanceOutcome::StateChanged);
     assert_eq!((restart.state(), restart.active().count()), (RestartState::Stopped, 0));
 }
 
--- a/crates/cluster/src/simulation.rs
+++ b/crates/cluster/src/simulation.rs
@@ -1,7 +1,7 @@
 //! A fleet on virtual time, determined by a seed: real state machines with a simulated environment. Messages are lost,
 //! delayed, duplicated, reordered, truncated, corrupted, and delivered again from incarnations that have ended; links
 //! are cut in one direction or both; managers are suspended, crash, and restart with their files; disks are full; clocks
-//! drift up to [`CLOCK_DRIFT`](crate::lease_holder::CLOCK_DRIFT) and start at any value.
+//! drift up to [`CLOCK_DRIFT_BOUND`](crate::lease_holder::CLOCK_DRIFT_BOUND) and start at any value.
 //!
 //! Checked all the time:
 //!
--- a/crates/cluster/src/simulation/world.rs
+++ b/crates/cluster/src/simulation/world.rs
@@ -5,7 +5,7 @@
 use super::network::Network;
 use super::{DisabledSafeguard, LEASE_US, LEASES, SimulationPlan, SimulationSummary, Violation};
 use crate::lease::{Incarnation, LeaseTable};
-use crate::lease_holder::{CLOCK_DRIFT, Micros};
+use crate::lease_holder::{CLOCK_DRIFT_BOUND, Micros};
 use crate::membership::Member;
 use crate::node::{Input, Node, NodeConfig, VoterDisk};
 use crate::voter::TICK_US;
@@ -115,7 +115,7 @@
         // Drawn for each manager, so that the number of voters does not change what is drawn after it.
         let voter_id = self.rng.rand_u64() | 1;
         let disk = (number < self.plan.voters).then(|| MemoryDisk::new(voter_id));
-        let rate = 1.0 + CLOCK_DRIFT * (2.0 * self.rng.rand_float() - 1.0);
+        let rate = 1.0 + CLOCK_DRIFT_BOUND * (2.0 * self.rng.rand_float() - 1.0);
         let offset_us = self.rng.rand_range(0..MAX_CLOCK_OFFSET_US);
         self.managers.push(Manager::new(disk, LocalClock { rate, offset_us }));
         let start_at = self.rng.rand_range(0..START_WITHIN_US);
--- a/crates/cluster/src/voter.rs
+++ b/crates/cluster/src/voter.rs
@@ -198,13 +198,17 @@
             .map_err(|error| VoterError::InvalidMessage(error.to_string()))?;
         let is_from_voter = self.table().voters.contains_key(&message.from);
         if message.to != self.id || !is_from_voter || raft::raw_node::is_local_msg(message.msg_type) {
-            return Err(VoterError::InvalidMessage("not sent by a voter of the group to this voter".to_owned()));
+            return Err(VoterError::InvalidMessage(
+                "not sent by a voter of the group to this voter".to_owned(),
+            ));
         }
         // The library panics on a heartbeat whose commit index is beyond the end of this voter's log.
         if message.commit > self.node.raft.raft_log.last_index()
             && message.msg_type == MessageType::MsgHeartbeat
         {
-            return Err(VoterError::InvalidMessage("commit index of a heartbeat is beyond the log".to_owned()));
+            return Err(VoterError::InvalidMessage(
+                "commit index of a heartbeat is beyond the log".to_owned(),
+            ));
         }
         Ok(self.node.step(message)?)
     }
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use sanddyke_cluster::lease::MAX_CHECKPOINT_BYTES;
 use sanddyke_cluster::rolling_restart::{
-    InvalidTransition, LEASE_NAME, MemberStep, Observations, PlannedMember, Progress, RestartMode,
+    AdvanceOutcome, InvalidTransition, LEASE_NAME, MemberStep, Observations, PlannedMember, RestartMode,
     RestartState, RestartStep, RollingRestart,
 };
 use std::time::Duration;
@@ -97,16 +97,16 @@
     }
     let checkpoint = cluster.checkpoint(LEASE_NAME);
     let Some(mut restart) = RollingRestart::from_checkpoint(&checkpoint.text) else { return };
-    if !restart.is_open() {
+    if !restart.is_unfinished() {
         return;
     }
     observations.statuses = cluster.statuses();
     match restart.advance(clock.now().0.unsigned_abs(), observations) {
-        Progress::Changed => {
+        AdvanceOutcome::StateChanged => {
             log::info!("rolling restart: {}", restart.to_checkpoint());
             save(cluster, events, &checkpoint, &restart).await;
         }
-        Progress::Steps(steps) => {
+        AdvanceOutcome::SendSteps(steps) => {
             for MemberStep { member, step } in steps {
                 cluster.send_restart_step(&member, step).await;
             }
@@ -162,7 +162,7 @@
     let current = RollingRestart::from_checkpoint(&previous.text);
     let restart = match command {
         OperatorCommand::Start { mode, max_active } => {
-            if current.is_some_and(|current| current.is_open()) {
+            if current.is_some_and(|current| current.is_unfinished()) {
                 return Err(OperatorCommandError::AlreadyOpen);
             }
             RollingRestart::new(mode, max_active, all_members(cluster), cluster.name())
