--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -36,7 +36,7 @@
 /// An acquisition or a renewal without a response within this time is sent again, in microseconds.
 const RESPONSE_TIMEOUT_US: Micros = 500_000;
 /// Pending requests other than acquisitions expire after this many response timeouts.
-const FORGET_AFTER_TIMEOUTS: Micros = 4;
+const PENDING_EXPIRY_TIMEOUTS: Micros = 4;
 /// An unanswered renewal of a short lease is sent this many times per lease duration, which is more often than every
 /// [`RESPONSE_TIMEOUT_US`].
 const RENEW_RETRIES_PER_LEASE: u64 = 6;
@@ -164,7 +164,7 @@
         }
         self.observe_versions(now, &table);
         self.table = table;
-        self.adopt_local_grants(now, out);
+        self.apply_local_grants(now, out);
         self.end_lost_leases(out);
     }
 
@@ -181,7 +181,7 @@
 
     /// Acquires leases whose grant is in the table although the response was lost. The nonce of the grant identifies
     /// the pending request.
-    fn adopt_local_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
+    fn apply_local_grants(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         let grants = self.table.leases.values().filter_map(|record| record.grant.as_ref());
         let local_grants: Vec<(u64, u64)> = grants
             .filter(|grant| grant.holder == self.local)
@@ -209,7 +209,7 @@
             .map(|(lease, _)| lease.clone())
             .collect();
         for lease in lost {
-            self.end(&lease, LeaseEndReason::Lost, out);
+            self.end_lease(&lease, LeaseEndReason::Lost, out);
         }
     }
 
@@ -217,7 +217,7 @@
     /// called periodically.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<LeaseEffect>) {
         self.end_expired_leases(now, out);
-        self.forget_stale_requests(now);
+        self.expire_pending_requests(now);
         let mut requests = self.due_renewals(now);
         if !self.is_draining {
             let acquisitions =
@@ -237,18 +237,18 @@
             .map(|(lease, _)| lease.clone())
             .collect();
         for lease in expired {
-            self.end(&lease, LeaseEndReason::Expired, out);
+            self.end_lease(&lease, LeaseEndReason::Expired, out);
         }
     }
 
     /// Removes pending requests whose response would no longer have an effect.
-    fn forget_stale_requests(&mut self, now: Micros) {
+    fn expire_pending_requests(&mut self, now: Micros) {
         self.pending.retain(|_, pending| {
-            let relevant_us = match &pending.request {
+            let retention_us = match &pending.request {
                 LeaseRequest::Acquire { lease_us, .. } => *lease_us,
-                _ => FORGET_AFTER_TIMEOUTS * RESPONSE_TIMEOUT_US,
+                _ => PENDING_EXPIRY_TIMEOUTS * RESPONSE_TIMEOUT_US,
             };
-            now < pending.sent_at_us + relevant_us
+            now < pending.sent_at_us + retention_us
         });
     }
 
@@ -274,7 +274,7 @@
         out: &mut Vec<LeaseEffect>,
     ) {
         if let Some(fencing_token) = self.held.get(lease).map(|held| held.fencing_token) {
-            self.end(lease, LeaseEndReason::HandedOver, out);
+            self.end_lease(lease, LeaseEndReason::HandedOver, out);
             self.submit(
                 now,
                 LeaseRequest::Release { lease: lease.to_owned(), fencing_token, successor },
@@ -322,7 +322,7 @@
         }
     }
 
-    fn end(&mut self, lease: &str, reason: LeaseEndReason, out: &mut Vec<LeaseEffect>) {
+    fn end_lease(&mut self, lease: &str, reason: LeaseEndReason, out: &mut Vec<LeaseEffect>) {
         if let Some(held) = self.held.remove(lease) {
             let fencing_token = held.fencing_token;
             out.push(LeaseEffect::Ended { lease: lease.to_owned(), fencing_token, reason });
--- a/crates/cluster/src/lease_holder/response.rs
+++ b/crates/cluster/src/lease_holder/response.rs
@@ -36,14 +36,14 @@
                 | LeaseRequest::Checkpoint { lease, fencing_token, .. },
                 LeaseOutcome::NotHolder,
             ) if self.held.get(&lease).is_some_and(|held| held.fencing_token == fencing_token) => {
-                self.end(&lease, LeaseEndReason::Lost, out);
+                self.end_lease(&lease, LeaseEndReason::Lost, out);
             }
             _ => {}
         }
     }
 
     /// The start of a lease: when its request was sent.
-    fn counted_from(&self, now: Micros, sent_at_us: Micros) -> Micros {
+    fn lease_start_us(&self, now: Micros, sent_at_us: Micros) -> Micros {
         if self.has_safety_margin { sent_at_us } else { now }
     }
 
@@ -56,7 +56,7 @@
         fencing_token: u64,
         out: &mut Vec<LeaseEffect>,
     ) {
-        let expires_at_us = self.counted_from(now, sent_at_us) + lease_us;
+        let expires_at_us = self.lease_start_us(now, sent_at_us) + lease_us;
         // A grant can't be used if its response arrives after its expiry or while draining. It is released, because
         // other managers may already be waiting for its expiry.
         if now >= expires_at_us || self.is_draining {
@@ -82,16 +82,16 @@
         fencing_token: u64,
         out: &mut Vec<LeaseEffect>,
     ) {
-        let counted_from = self.counted_from(now, sent_at_us);
+        let lease_start_us = self.lease_start_us(now, sent_at_us);
         let Some(held) = self.held.get_mut(lease) else { return };
         if held.fencing_token != fencing_token {
             return;
         }
         // An expired lease stays ended, even if the voters applied the renewal in time.
         if now >= held.expires_at_us {
-            return self.end(lease, LeaseEndReason::Expired, out);
+            return self.end_lease(lease, LeaseEndReason::Expired, out);
         }
-        let expires_at_us = counted_from + held.lease_us;
+        let expires_at_us = lease_start_us + held.lease_us;
         if expires_at_us > held.expires_at_us {
             held.expires_at_us = expires_at_us;
             held.renew_at_us = renewal_time_us(sent_at_us, held.lease_us);
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -194,7 +194,7 @@
         self.by_name(name).map(|member| member.address)
     }
 
-    fn run(
+    fn call_protocol(
         &mut self,
         now: Micros,
         out: &mut Vec<MembershipEvent>,
@@ -210,13 +210,13 @@
         let seed = Member { incarnation: unknown, address, zone: String::new(), rejoin_count: 0 };
         // Only the address is used, so it does not matter which member is there. The caller retries periodically, so a
         // failure is ignored.
-        let _unsent = self.run(now, out, |protocol, runtime| protocol.announce(seed, runtime));
+        let _unsent = self.call_protocol(now, out, |protocol, runtime| protocol.announce(seed, runtime));
     }
 
     /// Notifies other members that the local member leaves the fleet.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<MembershipEvent>) {
         // If this fails, the other members find out by their probes.
-        let _unsent = self.run(now, out, |protocol, runtime| protocol.leave_cluster(runtime));
+        let _unsent = self.call_protocol(now, out, |protocol, runtime| protocol.leave_cluster(runtime));
     }
 
     /// Handles a gossip packet of another member.
@@ -232,7 +232,7 @@
         if packet.len() > MAX_PACKET_BYTES {
             return Err(GossipError::TooLong(packet.len()));
         }
-        self.run(now, out, |protocol, runtime| protocol.handle_data(packet, runtime))
+        self.call_protocol(now, out, |protocol, runtime| protocol.handle_data(packet, runtime))
             .map_err(GossipError::Protocol)
     }
 
@@ -240,7 +240,8 @@
     pub fn tick(&mut self, now: Micros, out: &mut Vec<MembershipEvent>) {
         while let Some(timer) = self.timers.pop_due(now) {
             // The library rejects timers of a probe round that has ended, which is expected.
-            let _stale = self.run(now, out, |protocol, runtime| protocol.handle_timer(timer, runtime));
+            let _stale =
+                self.call_protocol(now, out, |protocol, runtime| protocol.handle_timer(timer, runtime));
         }
     }
 }
--- a/crates/cluster/src/rolling_restart.rs
+++ b/crates/cluster/src/rolling_restart.rs
@@ -208,15 +208,15 @@
 }
 
 impl RollingRestart {
-    /// Plans a rolling restart of these members, zone by zone. The member named `last` comes last; it is the controller
-    /// itself.
+    /// Plans a rolling restart of these members, zone by zone. The member named `last_member` comes last; it is the
+    /// controller itself.
     pub fn new(
         mode: RestartMode,
         max_active: usize,
         mut members: Vec<PlannedMember>,
-        last: &str,
+        last_member: &str,
     ) -> RollingRestart {
-        members.sort_by_key(|member| (member.name == last, member.zone.clone(), member.name.clone()));
+        members.sort_by_key(|member| (member.name == last_member, member.zone.clone(), member.name.clone()));
         RollingRestart {
             mode,
             max_active: max_active.max(1),
@@ -284,7 +284,7 @@
         if self.state == RestartState::Running {
             self.start_members(observations);
         }
-        self.finish();
+        self.update_final_state();
         if *self == before { AdvanceOutcome::SendSteps(steps) } else { AdvanceOutcome::StateChanged }
     }
 
@@ -340,7 +340,7 @@
     }
 
     /// Sets the final state once no member is active: `Done` if none is planned either, `Stopped` after a cancellation.
-    fn finish(&mut self) {
+    fn update_final_state(&mut self) {
         if !self.active.is_empty() {
             return;
         }
--- a/crates/cluster/src/rolling_restart/tests.rs
+++ b/crates/cluster/src/rolling_restart/tests.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    fn take_step(&mut self, number: usize, step: RestartStep, now: Micros) {
+    fn apply_step(&mut self, number: usize, step: RestartStep, now: Micros) {
         let status = &mut self.statuses[number];
         match step {
             RestartStep::ReportStatus => {}
@@ -92,20 +92,24 @@
                 AdvanceOutcome::SendSteps(steps) => {
                     for step in steps.into_iter().filter(|_| rng.rand_float() < 0.9) {
                         let number: usize = step.member[1..].parse().unwrap();
-                        managers.take_step(number, step.step, now);
+                        managers.apply_step(number, step.step, now);
                     }
                 }
             }
-            let out: Vec<usize> = (0..count).filter(|number| !managers.statuses[*number].ready).collect();
-            assert!(out.len() <= max_active, "seed {seed}: more than {max_active} members drained: {out:?}");
+            let not_ready: Vec<usize> =
+                (0..count).filter(|number| !managers.statuses[*number].ready).collect();
             assert!(
-                out.iter().all(|number| number % 3 == out[0] % 3),
-                "seed {seed}: members of two zones drained: {out:?}"
+                not_ready.len() <= max_active,
+                "seed {seed}: more than {max_active} members drained: {not_ready:?}"
+            );
+            assert!(
+                not_ready.iter().all(|number| number % 3 == not_ready[0] % 3),
+                "seed {seed}: members of two zones drained: {not_ready:?}"
             );
             if RollingRestart::from_checkpoint(&checkpoint).unwrap().state() == RestartState::Done {
                 let was_drained = &managers.was_drained;
                 assert!(
-                    was_drained.iter().all(|once| *once),
+                    was_drained.iter().all(|was_drained| *was_drained),
                     "seed {seed}: not all members were drained: {was_drained:?}"
                 );
                 let incarnations = &managers.incarnations;
--- a/crates/cluster/src/voter.rs
+++ b/crates/cluster/src/voter.rs
@@ -22,9 +22,9 @@
 /// Interval between two ticks of a voter, in microseconds.
 pub const TICK_US: u64 = 50_000;
 /// Shortest election timeout, in ticks (0.5 s). A voter that receives no heartbeat for this long starts an election.
-const ELECTION_TICKS: usize = 10;
+const ELECTION_TIMEOUT_TICKS: usize = 10;
 /// Interval between two heartbeats of a leader, in ticks (0.1 s).
-const HEARTBEAT_TICKS: usize = 2;
+const HEARTBEAT_INTERVAL_TICKS: usize = 2;
 /// Difference between the election timeouts of successive voters, in ticks. Voters are ordered by their ids in the
 /// current group.
 ///
@@ -37,7 +37,7 @@
 /// Maximum size of log entries in one message, in bytes.
 const MAX_MESSAGE_ENTRY_BYTES: u64 = 64 * 1024;
 /// Maximum number of messages with log entries that are sent to one voter before it acknowledges them.
-const MAX_INFLIGHT_MESSAGES: usize = 64;
+const MAX_UNACKNOWLEDGED_MESSAGES: usize = 64;
 /// Number of applied entries that the log retains for voters that lag behind. The snapshot replaces older entries.
 const RETAINED_ENTRIES: u64 = 1024;
 
@@ -97,7 +97,7 @@
 
 /// A voter with its Raft state and its replica of the lease table.
 pub struct Voter {
-    node: RawNode<LogStorage>,
+    raw_node: RawNode<LogStorage>,
     id: u64,
     /// Log index of the latest persisted snapshot.
     snapshot_index: u64,
@@ -138,8 +138,8 @@
         log.wl().set_hardstate(hard_state);
         let config = raft_config(id, snapshot_index);
         let storage = LogStorage { log, table, conf_state };
-        let node = RawNode::new(&config, storage, &Logger::root(slog::Discard, o!()))?;
-        Ok(Voter { node, id, snapshot_index })
+        let raw_node = RawNode::new(&config, storage, &Logger::root(slog::Discard, o!()))?;
+        Ok(Voter { raw_node, id, snapshot_index })
     }
 
     /// Id of this voter in the group.
@@ -149,12 +149,12 @@
 
     /// The lease table as of the last log entry that this voter has applied.
     pub fn table(&self) -> &LeaseTable {
-        &self.node.store().table
+        &self.raw_node.store().table
     }
 
     /// Whether this voter is the leader in its current term. Another voter may lead in a later term already.
     pub fn is_leader(&self) -> bool {
-        self.node.raft.state == StateRole::Leader
+        self.raw_node.raft.state == StateRole::Leader
     }
 
     /// Whether this voter is in the group, according to the entries that it has applied. A newly admitted voter is not
@@ -165,7 +165,7 @@
 
     /// Id of the current leader; `None` if it is unknown, as during an election.
     pub fn leader(&self) -> Option<u64> {
-        Some(self.node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
+        Some(self.raw_node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
     /// Name of the current leader's manager; `None` if the leader is unknown or not in the table.
@@ -175,7 +175,7 @@
 
     /// The current term. It grows with each election.
     pub fn term(&self) -> u64 {
-        self.node.raft.term
+        self.raw_node.raft.term
     }
 
     /// Advances the election and heartbeat timers by one tick. To be called every [`TICK_US`].
@@ -183,9 +183,9 @@
         // The library chooses a random election timeout at each change of term. The timeout is compared in `tick`, so
         // it is set to this voter's own value right before.
         let position = self.table().voters.keys().position(|voter| *voter == self.id).unwrap_or(0);
-        let timeout_ticks = ELECTION_TICKS + position % MAX_VOTERS * ELECTION_STAGGER_TICKS;
-        self.node.raft.set_randomized_election_timeout(timeout_ticks);
-        self.node.tick();
+        let timeout_ticks = ELECTION_TIMEOUT_TICKS + position % MAX_VOTERS * ELECTION_STAGGER_TICKS;
+        self.raw_node.raft.set_randomized_election_timeout(timeout_ticks);
+        self.raw_node.tick();
     }
 
     /// Handles a message of another voter.
@@ -203,14 +203,14 @@
             ));
         }
         // The library panics on a heartbeat whose commit index is beyond the end of this voter's log.
-        if message.commit > self.node.raft.raft_log.last_index()
+        if message.commit > self.raw_node.raft.raft_log.last_index()
             && message.msg_type == MessageType::MsgHeartbeat
         {
             return Err(VoterError::InvalidMessage(
                 "commit index of a heartbeat is beyond the log".to_owned(),
             ));
         }
-        Ok(self.node.step(message)?)
+        Ok(self.raw_node.step(message)?)
     }
 
     /// Proposes a log entry. If it is committed, a later [`Voter::process_ready`] returns it. If it is lost, for
@@ -220,7 +220,7 @@
     /// If this voter is not the leader, or the library rejects the proposal.
     pub fn propose(&mut self, proposal: &Proposal) -> Result<(), VoterError> {
         let data = postcard::to_stdvec(proposal).map_err(VoterError::corrupt)?;
-        Ok(self.node.propose(Vec::new(), data)?)
+        Ok(self.raw_node.propose(Vec::new(), data)?)
     }
 
     /// Proposes to add a voter to the group. The group continues to commit entries meanwhile.
@@ -244,13 +244,13 @@
         let mut changes = ConfChangeV2::default();
         changes.set_changes(vec![change].into());
         changes.context = name.as_bytes().to_vec().into();
-        Ok(self.node.propose_conf_change(Vec::new(), changes)?)
+        Ok(self.raw_node.propose_conf_change(Vec::new(), changes)?)
     }
 
     /// Starts the transfer of leadership to another voter, if this one is the leader. The transfer is aborted if it
     /// does not succeed within an election timeout.
     pub fn transfer_leadership(&mut self, id: u64) {
-        self.node.transfer_leader(id);
+        self.raw_node.transfer_leader(id);
     }
 
     /// Processes all pending work of the Raft state machine. It persists changes, then returns the messages that depend
@@ -261,7 +261,7 @@
     /// is returned, and the voter must not be used any more.
     pub fn process_ready(&mut self, disk: &mut dyn Disk) -> Result<VoterOutput, VoterError> {
         let mut output = VoterOutput::default();
-        while self.node.has_ready() {
+        while self.raw_node.has_ready() {
             self.process_one_ready(disk, &mut output)?;
             self.compact_log(disk)?;
         }
@@ -269,7 +269,7 @@
     }
 
     fn process_one_ready(&mut self, disk: &mut dyn Disk, output: &mut VoterOutput) -> Result<(), VoterError> {
-        let mut ready = self.node.ready();
+        let mut ready = self.raw_node.ready();
         let mut messages = ready.take_messages();
         let mut batch = PersistBatch::default();
         if !ready.snapshot().is_empty() {
@@ -279,10 +279,10 @@
         for entry in ready.entries() {
             batch.entries.push((entry.index, entry.write_to_bytes().map_err(VoterError::corrupt)?));
         }
-        self.node.store().log.wl().append(ready.entries())?;
+        self.raw_node.store().log.wl().append(ready.entries())?;
         if let Some(hard_state) = ready.hs() {
             batch.hard_state = Some(hard_state.write_to_bytes().map_err(VoterError::corrupt)?);
-            self.node.store().log.wl().set_hardstate(hard_state.clone());
+            self.raw_node.store().log.wl().set_hardstate(hard_state.clone());
         }
         if !batch.is_empty() {
             disk.persist(&batch).map_err(VoterError::Disk)?;
@@ -290,13 +290,13 @@
         messages.extend(ready.take_persisted_messages());
         let committed = ready.take_committed_entries();
         self.apply_committed(committed, output)?;
-        let mut light_ready = self.node.advance(ready);
+        let mut light_ready = self.raw_node.advance(ready);
         if let Some(commit_index) = light_ready.commit_index() {
-            self.node.store().log.wl().mut_hard_state().commit = commit_index;
+            self.raw_node.store().log.wl().mut_hard_state().commit = commit_index;
         }
         messages.extend(light_ready.take_messages());
         self.apply_committed(light_ready.take_committed_entries(), output)?;
-        self.node.advance_apply();
+        self.raw_node.advance_apply();
         for message in messages {
             let bytes = message.write_to_bytes().map_err(VoterError::corrupt)?;
             output.messages.push(VoterMessage { to: message.to, bytes });
@@ -309,7 +309,7 @@
         let index = snapshot.get_metadata().index;
         let bytes = snapshot.write_to_bytes().map_err(VoterError::corrupt)?;
         self.snapshot_index = index;
-        let storage = self.node.mut_store();
+        let storage = self.raw_node.mut_store();
         storage.table = decode_table(&snapshot.data)?;
         storage.conf_state = snapshot.get_metadata().get_conf_state().clone();
         storage.log.wl().apply_snapshot(snapshot)?;
@@ -330,7 +330,7 @@
     }
 
     fn apply_entry(&mut self, entry: &Entry) -> Option<AppliedProposal> {
-        let table = &mut self.node.mut_store().table;
+        let table = &mut self.raw_node.mut_store().table;
         // A new leader's first entry is empty. An entry that can't be decoded was written by a later version of the
         // program. Every voter of this version skips it, so their tables stay equal.
         match postcard::from_bytes::<Proposal>(&entry.data) {
@@ -347,8 +347,8 @@
 
     fn apply_conf_change(&mut self, entry: &Entry) -> Result<(), VoterError> {
         let changes = ConfChangeV2::parse_from_bytes(&entry.data).map_err(VoterError::corrupt)?;
-        let conf_state = self.node.apply_conf_change(&changes)?;
-        let storage = self.node.mut_store();
+        let conf_state = self.raw_node.apply_conf_change(&changes)?;
+        let storage = self.raw_node.mut_store();
         storage.log.wl().set_conf_state(conf_state.clone());
         storage.conf_state = conf_state;
         storage.table.index = entry.index;
@@ -373,9 +373,9 @@
         if index < self.snapshot_index + 2 * RETAINED_ENTRIES {
             return Ok(());
         }
-        let snapshot = self.node.store().snapshot(index, 0)?;
+        let snapshot = self.raw_node.store().snapshot(index, 0)?;
         let snapshot = snapshot.write_to_bytes().map_err(VoterError::corrupt)?;
-        let hard_state = self.node.store().initial_state()?.hard_state;
+        let hard_state = self.raw_node.store().initial_state()?.hard_state;
         let hard_state = hard_state.write_to_bytes().map_err(VoterError::corrupt)?;
         let batch = PersistBatch {
             hard_state: Some(hard_state),
@@ -383,7 +383,7 @@
             snapshot: Some((index, snapshot)),
         };
         disk.persist(&batch).map_err(VoterError::Disk)?;
-        self.node.store().log.wl().compact(index - RETAINED_ENTRIES)?;
+        self.raw_node.store().log.wl().compact(index - RETAINED_ENTRIES)?;
         self.snapshot_index = index;
         Ok(())
     }
@@ -392,13 +392,13 @@
 fn raft_config(id: u64, applied: u64) -> Config {
     Config {
         id,
-        election_tick: ELECTION_TICKS,
-        heartbeat_tick: HEARTBEAT_TICKS,
-        min_election_tick: ELECTION_TICKS,
-        max_election_tick: ELECTION_TICKS + MAX_VOTERS * ELECTION_STAGGER_TICKS,
+        election_tick: ELECTION_TIMEOUT_TICKS,
+        heartbeat_tick: HEARTBEAT_INTERVAL_TICKS,
+        min_election_tick: ELECTION_TIMEOUT_TICKS,
+        max_election_tick: ELECTION_TIMEOUT_TICKS + MAX_VOTERS * ELECTION_STAGGER_TICKS,
         applied,
         max_size_per_msg: MAX_MESSAGE_ENTRY_BYTES,
-        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        max_inflight_msgs: MAX_UNACKNOWLEDGED_MESSAGES,
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
--- a/crates/cluster/src/voter/tests.rs
+++ b/crates/cluster/src/voter/tests.rs
@@ -80,7 +80,7 @@
     group.voters.remove(&leader);
     let ticks = group.tick_until("one of the remaining two is the leader", |group| group.leader().is_some());
     assert!(
-        ticks <= ELECTION_TICKS + 3 * ELECTION_STAGGER_TICKS + 4,
+        ticks <= ELECTION_TIMEOUT_TICKS + 3 * ELECTION_STAGGER_TICKS + 4,
         "{ticks} ticks, more than one election takes"
     );
 }
