--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -1,4 +1,4 @@
-//! Gives the one final answer, and counts answers and attempts.
+//! Sends the one final answer of each request, and counts answers and attempts.
 
 use super::{Answer, AttemptId, Command, Core, OpenRequest, Timer};
 use crate::clock::Micros;
@@ -8,12 +8,12 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Answers to requests of one class and tenant.
+/// Counts of the answers to requests of one class and tenant.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct AnswerCounts {
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// The tenant; empty where there are none.
+    /// The tenant's name; empty for requests without a tenant.
     pub tenant: String,
     /// Requests that were served.
     pub served: u64,
@@ -31,28 +31,28 @@
     pub served_us: i64,
 }
 
-/// What [`AnswerCounts`] are counted by.
+/// The key by which [`AnswerCounts`] are stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AnswerKey {
-    /// The tenant's slot; none where there are none.
+    /// The tenant's slot in the roster; `None` for requests without a tenant.
     pub tenant_slot: Option<Slot>,
-    /// The position of the class in the settings.
+    /// The index of the class in the settings.
     pub class: usize,
 }
 
 /// Counts of answers and attempts.
 #[derive(Debug, Clone, Default)]
 pub struct Accounting {
-    /// Answers, for each tenant and class that has had a request.
+    /// Answers, for each tenant and class with at least one closed request.
     pub answers: BTreeMap<AnswerKey, AnswerCounts>,
-    /// Ended attempts, by the name of their outcome.
+    /// Attempts with a recorded outcome, by the name of the outcome.
     pub attempts: BTreeMap<&'static str, u64>,
-    /// How often a request was withheld because something with its name or key might still be executed.
+    /// How often a request was deferred because its client request id or idempotency key was in use.
     pub withheld: u64,
 }
 
 impl Accounting {
-    /// Drops the counts of a tenant that was removed.
+    /// Removes the counts of a removed tenant, because its slot is assigned again.
     pub(super) fn forget(&mut self, slot: Slot) {
         let tenant_slot = Some(slot);
         let first = AnswerKey { tenant_slot, class: 0 };
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts an attempt by its recorded outcome.
     pub(super) fn count_attempt(&mut self, outcome: Outcome) {
         *self.attempts.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// Counts a request's answer.
+    /// Counts a request by its final answer.
     pub(super) fn count_answer(
         &mut self,
         front: &Front,
@@ -107,7 +107,7 @@
     }
 }
 
-/// An outcome's name in metrics and the log.
+/// Returns an outcome's name in metrics and the log. The names are part of the metrics' interface.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "Served",
@@ -123,7 +123,7 @@
 }
 
 impl Core {
-    /// Answers a request and takes it out of the table; a second answer finds none there.
+    /// Sends a request's final answer. Removes the request from the table, so that a second answer has no effect.
     pub(super) fn answer(&mut self, now: Micros, request: u64, answer: Answer, out: &mut Vec<Command>) {
         let Some(open) = self.requests.remove(&request) else { return };
         self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
@@ -137,10 +137,11 @@
         out.push(Command::Answer { request, answer });
     }
 
-    /// Releases what a request occupied when it has left the table. Attempts that are not written yet never will be.
+    /// Releases the resources of a request that was removed from the table. Attempts that are not written yet are
+    /// never written, because their permits are revoked.
     pub(super) fn close(&mut self, now: Micros, request: u64, open: &OpenRequest, out: &mut Vec<Command>) {
         self.open_names.remove(&open.incoming.name);
-        debug_assert_eq!(self.open_names.len(), self.requests.len(), "each open request has its name");
+        debug_assert_eq!(self.open_names.len(), self.requests.len(), "each open request has exactly one client request id in the set");
         for number in self.guard.attempt_numbers(request) {
             let id = AttemptId { request, number };
             if let Some(attempt) = self.attempts.get(&id) {
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,12 +1,12 @@
-//! Carries out what the decision module decides.
+//! Applies the actions that the scheduler decides on.
 
 use super::{Answer, AttemptId, Command, Core, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{Action, Outcome};
 
-/// The highest priority that engines know.
+/// The highest priority that engines accept.
 const MAX_PRIORITY: u8 = 3;
-/// A timer fires in a later turn, never in the one that sets it.
+/// A timer that the scheduler sets fires in a later tick, never in the one that sets it.
 const MIN_TIMER_DELAY: Micros = Micros(1);
 
 impl Core {
@@ -32,7 +32,7 @@
                 let delay = Micros::from_ms(after_ms).max(MIN_TIMER_DELAY);
                 self.timers.set(now + delay, Timer::Gateway(token));
             }
-            Action::Subscribe => {} // the name service is polled all the time
+            Action::Subscribe => {} // service discovery polls the name service independently of this action
             Action::Log(message) => out.push(Command::Log(message.to_string())),
         }
     }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! Admits a valid request and hands it to the decision module, or rejects it.
+//! Rejects a valid request, or admits it and submits it to the scheduler.
 
 use super::execution_guard::Withheld;
 use super::{Answer, AttemptId, Command, Core, IncomingRequest, Invalid, OpenRequest, RequestState, Timer};
@@ -7,11 +7,12 @@
 use crate::sql;
 use sanddyke_tenancy::{AdmissionRequest, Reason, Rejection};
 
-/// Retry-After of requests that are rejected because the program ends or is full: it has started again by then.
+/// Retry-After of requests that are rejected because the program shuts down or has reached its limit of open
+/// requests. A restart of the program takes less time.
 const RETRY_AFTER_OVERLOAD: Micros = Micros(1_000_000);
 
 impl Core {
-    /// A frontend received a request.
+    /// Handles a request that a frontend received.
     pub(super) fn request_received(
         &mut self,
         now: Micros,
@@ -43,7 +44,8 @@
         self.hand_over(now, request, out);
     }
 
-    /// Hands an admitted request to the decision module, unless it is withheld.
+    /// Submits an admitted request to the scheduler, or defers it if its client request id or idempotency key is
+    /// in use.
     pub(super) fn hand_over(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let admitted = self.guard.admit(request, &open.incoming);
@@ -70,7 +72,7 @@
             id: RequestId(request),
             class: ClassId(open.class),
             tenant: open.tenant_slot.map(TenantId),
-            key: None, // no class here is ordered by key
+            key: None, // no class is ordered by key
             data_set: sql::table_group(&open.incoming.statement).unwrap_or(0),
             work_ms: None,
             memory_mb: None,
@@ -84,7 +86,8 @@
         self.decide(now, event, out);
     }
 
-    /// Has engines show that they have dropped attempts whose end a request waits for.
+    /// Requests that engines confirm the cancellation of these attempts of closed requests, because a deferred
+    /// request waits for their end.
     fn confirm_cancellations(&self, attempts: &[AttemptId], out: &mut Vec<Command>) {
         for attempt in attempts {
             if let Some(engine) = self.guard.engine_of(*attempt)
@@ -95,8 +98,8 @@
         }
     }
 
-    /// Applies the limits of the request's tenant; from here on it counts as one of the tenant's. The error is the
-    /// answer to the request.
+    /// Applies the limits of the request's tenant. On success the request counts against these limits; the error
+    /// is the final answer to the request.
     fn admit_to_tenant(&mut self, now: Micros, open: &mut OpenRequest) -> Result<(), Answer> {
         let requests_carry_tenants = self.has_tenant_store || !self.roster.is_empty();
         if !requests_carry_tenants {
@@ -126,7 +129,8 @@
         }
     }
 
-    /// The program is ended by force at `at`: no request, open or new, has a later deadline.
+    /// Handles a shutdown that forcibly ends the program at `at`: moves later deadlines of open requests to `at`, and
+    /// bounds those of new requests by it.
     pub(super) fn shut_down_by(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
         self.shutdown_by = Some(at);
         for (request, open) in self.requests.iter_mut().filter(|(_, open)| open.deadline > at) {
@@ -136,7 +140,8 @@
         self.decide(now, Event::ShutdownBy(at.as_ms()), out);
     }
 
-    /// The connections of both processes count against one limit of open requests.
+    /// Reduces the limit of open requests by the connections of another process of this manager, because the
+    /// connections of both processes count against one limit. At least one open request stays possible.
     pub(super) fn peer_process_connections(&mut self, connections: usize) {
         let limit = self.front.settings.limits.max_open_requests;
         let remaining = limit.map(|limit| limit.saturating_sub(connections).max(1));
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -1,4 +1,5 @@
-//! Handles what engines report of attempts, and what ends a request early: its client, an operator, its deadline.
+//! Handles what engines report of attempts, and the events that close a request early: the client disconnects, an
+//! operator cancels the request, or its deadline passes.
 
 use super::attempts::AttemptResult;
 use super::{Answer, AttemptEvent, AttemptId, Command, Core, RequestState, Table};
@@ -6,7 +7,7 @@
 use crate::decision::{Event, RequestId};
 
 impl Core {
-    /// An engine, or the connection to it, reports on an attempt.
+    /// Handles a report of an engine or its connection on an attempt.
     pub(super) fn attempt_event(
         &mut self,
         now: Micros,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// The answer with a result, unless the result exceeds its tenant's limit: then the request has failed, and is
-    /// not rejected, as it was executed.
+    /// Returns the answer with the result. If the result exceeds the tenant's limit, the request fails; it is not
+    /// rejected, because it was executed.
     fn answer_with(&mut self, request: u64, table: Table) -> Answer {
         let slot = self.requests.get(&request).and_then(|open| open.tenant_slot);
         let checked = slot.map_or(Ok(()), |slot| self.roster.check_result(slot, table.bytes()));
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The client of a request no longer waits.
+    /// Closes a request whose client disconnected.
     pub(super) fn client_disconnected(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if let Some(open) = self.requests.remove(&request) {
             self.accounting.count_disconnected(&self.front, &self.roster, &open);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// An operator cancels a request.
+    /// Closes a request that an operator cancels.
     pub(super) fn cancel_request(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if self.requests.contains_key(&request) {
             self.answer(now, request, Answer::Cancelled, out);
@@ -73,15 +74,17 @@
         }
     }
 
-    /// A request has reached its deadline. What the decision module has it answers before that: the rest guards against
-    /// its faults. A request that is withheld never began, so it is rejected.
+    /// Answers a request whose deadline has passed.
+    ///
+    /// A deferred request was never executed and is rejected. The scheduler answers a submitted request before its
+    /// deadline; the other branch guards against a fault of the scheduler, and fails the request.
     pub(super) fn deadline_passed(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         let Some(open) = self.requests.get(&request) else { return };
         if open.state == RequestState::Withheld {
             let answer = Answer::Rejected { retry_after: Micros(0), reason: None };
             self.answer(now, request, answer, out);
         } else {
-            out.push(Command::Log(format!("request {request} has reached its deadline without a decision")));
+            out.push(Command::Log(format!("request {request} failed: its deadline passed and the scheduler had not answered it")));
             self.answer(now, request, Answer::Failed(None), out);
             self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -6,23 +6,23 @@
 use crate::decision::{AttemptEnd, EngineState, Event, LoadReport, Outcome, RequestId, Usage};
 use sanddyke_tenancy::Slot;
 
-/// After this long without a sign from its engine, an attempt no longer holds others with its name or key back: longer
-/// than engines hang, and than clients retry.
+/// An attempt that was cancelled or lost, and whose end the engine has not confirmed, counts as ended after this
+/// time. Requests with its client request id or idempotency key are deferred until then. The time is longer than
+/// engines hang and longer than clients retry.
 const UNCONFIRMED_RETENTION: Micros = Micros(120_000_000);
 
-/// An attempt whose end the decision module does not know yet.
+/// An attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) engine: u64,
     tenant_slot: Option<Slot>,
     sent_at: Micros,
     pub(super) permit: SendPermit,
-    /// The outcome that the decision module is notified of once the engine has dropped the attempt; set when the
-    /// attempt is cancelled or lost.
+    /// Set when the attempt is cancelled or lost: the outcome to record once the engine has discarded the attempt.
     pub(super) ends_as: Option<Outcome>,
 }
 
-/// How an attempt ended, and what its engine reported with the end.
+/// The outcome of an attempt, and what the engine reported with it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
@@ -31,19 +31,20 @@
 }
 
 impl AttemptResult {
-    /// The end of an attempt that was served.
+    /// The result of a served attempt.
     pub(super) fn served(usage: Option<Usage>, report: Option<LoadReport>) -> AttemptResult {
         AttemptResult { outcome: Outcome::Served, usage, report }
     }
 
-    /// An end of which the engine reported nothing.
+    /// An outcome with which the engine reported nothing.
     fn without_report(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, usage: None, report: None }
     }
 }
 
 impl Core {
-    /// Starts an attempt of an open request on an engine, unless the guard denies it.
+    /// Starts an attempt of an open request on an engine, unless the execution guard denies it. `timeout` bounds
+    /// the attempt; 0 means that only the request's deadline does.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -54,7 +55,7 @@
     ) {
         debug_assert!(
             self.requests.contains_key(&request),
-            "an attempt of request {request}, which is closed"
+            "the scheduler started an attempt of request {request}, which is closed"
         );
         let Some(open) = self.requests.get_mut(&request) else {
             self.guard.count(Violation::RequestClosed);
@@ -112,9 +113,11 @@
         out.push(Command::StartAttempt { attempt, engine, call });
     }
 
-    /// Cancels an attempt. Where its request is still open, the decision module is notified only once the engine has
-    /// dropped it: an engine that is paused reads nothing, and an attempt sent meanwhile would be executed beside the
-    /// first.
+    /// Cancels an attempt.
+    ///
+    /// While the request is open, the scheduler is notified of the end only once the engine has discarded the
+    /// attempt. A paused engine does not read the cancellation, so another attempt started in the meantime would
+    /// be executed concurrently with this one.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -143,8 +146,9 @@
         }
     }
 
-    /// An attempt will have no result, and its engine may still execute it: the decision module learns that at once,
-    /// and of its end once the engine has dropped it, or its request is over.
+    /// Handles the loss of an attempt: it will have no result, but its engine may be executing it still. The
+    /// scheduler is notified of the loss immediately, and of the end once the engine has discarded the attempt or
+    /// the request is closed.
     pub(super) fn attempt_lost(
         &mut self,
         now: Micros,
@@ -161,7 +165,8 @@
         self.decide(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
     }
 
-    /// An attempt is to end, and nobody waits for its engine any more.
+    /// Ends a cancelled or lost attempt of a closed request without waiting for its engine. For the execution
+    /// guard the attempt stays in flight until the engine has discarded it.
     pub(super) fn abandon_attempt(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
         let outcome = self.attempts.get(&attempt).and_then(|running| running.ends_as);
         if let Some(outcome) = outcome {
@@ -169,24 +174,26 @@
         }
     }
 
-    /// An engine has dropped an attempt, or never had it.
+    /// Records that an engine has answered or discarded an attempt, or never received it, and schedules the
+    /// release of the requests that were deferred until then.
     pub(super) fn attempt_over(&mut self, now: Micros, attempt: AttemptId, never_ran: bool) {
         for released in self.guard.attempt_over(attempt, never_ran) {
             self.timers.set(now, Timer::Released(released));
         }
     }
 
-    /// An attempt has no result in time.
+    /// Cancels an attempt that has no result within its timeout.
     pub(super) fn attempt_timed_out(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
         self.cancel_attempt(now, attempt, Outcome::TimedOut, out);
     }
 
-    /// An attempt could not be sent.
+    /// Ends an attempt that the execution guard denied, and that was therefore never sent.
     pub(super) fn attempt_not_sent(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
         self.end_attempt(now, attempt, AttemptResult::without_report(Outcome::NotSent), out);
     }
 
-    /// Ends an attempt: the one place where it leaves the table and the decision module is notified of its end.
+    /// Removes an attempt from the table, records its outcome, and notifies the scheduler of its end. No other
+    /// code does this.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -223,7 +230,7 @@
         self.forget_tenant(now, released_slot, out);
     }
 
-    /// Tools read this line.
+    /// Logs an attempt's end. Tools parse this line, so its text stays as it is.
     fn log_attempt(&self, now: Micros, attempt: AttemptId, ended: &Attempt, outcome: Outcome) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -240,7 +247,7 @@
     }
 }
 
-/// What an engine is sent for a request.
+/// Returns the content of an attempt of this request.
 fn call(open: &OpenRequest, permit: SendPermit) -> Call {
     Call {
         permit,
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -1,4 +1,4 @@
-//! The engines that are listed, or still have attempts in flight.
+//! The table of engines: those in the endpoint list, and removed ones that still have attempts.
 
 use super::{Command, ConnectionEnd, Core, Engine, EngineListUpdate, HealthCheckResult};
 use crate::clock::Micros;
@@ -6,15 +6,15 @@
 use crate::settings::number;
 use std::collections::HashSet;
 
-/// Before a new process is ready, this many quarters of the engines must have answered: one that is cut off must not
-/// keep a new version from its work.
+/// The quarters of the ready engines that must have answered a health check before a new process is ready. It is
+/// not all of them, because one unreachable engine must not block the start of a new version.
 const REQUIRED_CHECKED_QUARTERS: usize = 3;
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// An engine that is listed, or still has attempts in flight.
+/// An engine in the endpoint list, or a removed one that still has attempts.
 #[derive(Debug)]
 pub(super) struct KnownEngine {
     pub(super) name: String,
@@ -24,19 +24,19 @@
     pub(super) cell: Option<CellId>,
     pub(super) state: EngineState,
     pub(super) attempts_in_flight: usize,
-    /// It has answered a health check.
+    /// Whether the engine has answered a health check of this process.
     has_answered: bool,
 }
 
-/// An engine's number: the FNV-1a hash of its name. All managers give an engine the same number, in whatever order
-/// they learn of engines.
+/// Returns an engine's number: the 64-bit FNV-1a hash of its name. All managers compute the same number,
+/// independently of the order in which they receive the engines.
 pub(super) fn engine_number(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     name.bytes().fold(FNV_OFFSET_BASIS, step)
 }
 
 impl Core {
-    /// Takes over an update of the engine list.
+    /// Applies an update of the engine list.
     pub(super) fn update_engines(&mut self, now: Micros, update: EngineListUpdate, out: &mut Vec<Command>) {
         let event = match update {
             EngineListUpdate::Initial(engines) => {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Enters engines into the table, and gives their entries for the decision module.
+    /// Records engines in the table, and returns their entries for the scheduler.
     fn take_over_engines(&mut self, engines: Vec<Engine>, out: &mut Vec<Command>) -> Vec<EngineEntry> {
         let mut entries = Vec::with_capacity(engines.len());
         for engine in engines {
@@ -98,7 +98,7 @@
         entries
     }
 
-    /// A complete list removes the engines that it does not name.
+    /// Marks engines that a complete list does not name as removed.
     fn mark_unlisted_as_removed(&mut self, listed: &[EngineEntry]) {
         let listed: HashSet<u64> = listed.iter().map(|entry| entry.id.0).collect();
         for (id, engine) in &mut self.engines {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// What is queued, for example behind a connection that is being established, is not written to an engine that
-    /// accepts nothing new.
+    /// Revokes the permits of attempts on engines that are not ready. An attempt may still be queued, for example
+    /// behind a connection that is being established, and such an engine accepts no new attempts.
     fn cancel_unwritten_attempts(&self) {
         for attempt in self.attempts.values() {
             let engine = self.engines.get(&attempt.engine);
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Drops an engine that was removed, once no attempt is in flight there. New ones are listed all day long.
+    /// Deletes a removed engine from the table if it has no attempts. Otherwise the table would grow, because new
+    /// engines are listed continually.
     pub(super) fn remove_if_gone(&mut self, engine: u64, out: &mut Vec<Command>) {
         let is_gone =
             |known: &KnownEngine| known.state == EngineState::Removed && known.attempts_in_flight == 0;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub(super) fn health_checked(&mut self, now: Micros, result: &HealthCheckResult, out: &mut Vec<Command>) {
         self.log_health_check(now, result);
         if let Some(known) = self.engines.get_mut(&result.engine) {
@@ -144,7 +145,8 @@
         self.decide(now, event, out);
     }
 
-    /// Tools read this line; -1 stands for what was not reported.
+    /// Logs a health check; -1 stands for a value that was not reported. Tools parse this line, so its text stays
+    /// as it is.
     fn log_health_check(&self, now: Micros, result: &HealthCheckResult) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -160,8 +162,9 @@
         );
     }
 
-    /// Whether enough of the ready engines have answered a health check: only then are requests placed as well as by
-    /// a process that has run for long. Without health checks it is so from the start.
+    /// Returns whether enough of the ready engines have answered a health check. Before that, the scheduler
+    /// selects engines less well than in a process that has been running for a while. If health checks are
+    /// disabled, this is always true.
     pub fn engines_checked(&self) -> bool {
         if !self.front.settings.limits.health_checks {
             return true;
--- a/src/core/execution_guard/history.rs
+++ b/src/core/execution_guard/history.rs
@@ -1,42 +1,44 @@
-//! The attempts of one request so far.
+//! The history of one request's attempts.
 
 use super::executions::Execution;
 use crate::clock::Micros;
 use crate::decision::Outcome;
 
-/// Stands for an attempt of a request before this one, with its name or key.
+/// Stands for the number of an attempt of an earlier request with the same identity. No attempt of this request
+/// has it.
 const BEFORE_THE_FIRST: u32 = u32::MAX;
 
-/// An attempt that is not known to have not been executed.
+/// An attempt that was possibly executed.
 #[derive(Debug, Clone, Copy)]
 struct PossiblyExecuted {
-    /// The attempt's number.
+    /// The attempt's number among those of the request, or [`BEFORE_THE_FIRST`].
     number: u32,
     started_at: Micros,
 }
 
-/// The attempts of one request so far.
+/// The history of one request's attempts.
 #[derive(Debug, Default)]
 pub(super) struct AttemptHistory {
-    /// How many were started; the number of the next.
+    /// The number of attempts so far, including denied ones; also the number of the next attempt.
     pub(super) started: u32,
-    /// How many engines may still execute.
+    /// The number of attempts in flight.
     pub(super) in_flight: u32,
-    /// The request has its answer, or its client is gone.
+    /// Whether the request has its final answer, or its client disconnected.
     pub(super) is_closed: bool,
-    /// The first attempt that the request may have been executed by.
+    /// The first attempt that possibly executed the request.
     possibly_executed: Option<PossiblyExecuted>,
 }
 
 impl AttemptHistory {
-    /// The history of a request that has come before, and was possibly executed then.
+    /// Returns the history of a new request. `execution` is the first possibly executed attempt of earlier
+    /// requests with the same identity, if there is one.
     pub(super) fn after(execution: Option<Execution>) -> AttemptHistory {
         let possibly_executed = execution
             .map(|first| PossiblyExecuted { number: BEFORE_THE_FIRST, started_at: first.started_at });
         AttemptHistory { possibly_executed, ..AttemptHistory::default() }
     }
 
-    /// Counts a new attempt, from now on possibly executed, and gives its number.
+    /// Counts a new attempt, which is in flight and possibly executed from now on. Returns its number.
     pub(super) fn start(&mut self, now: Micros) -> u32 {
         let number = self.skip_number();
         self.in_flight += 1;
@@ -44,25 +46,26 @@
         number
     }
 
-    /// Gives the number of an attempt that is not started after all.
+    /// Allocates the number of an attempt, without counting it as in flight.
     pub(super) fn skip_number(&mut self) -> u32 {
         let number = self.started;
         self.started += 1;
         number
     }
 
-    /// Takes over how an attempt ended.
+    /// Records an attempt's outcome. If it shows that the attempt was never executed, the attempt is no longer the
+    /// first possibly executed one.
     pub(super) fn conclude(&mut self, number: u32, outcome: Outcome) {
         let was_never_executed = |first: &PossiblyExecuted| outcome.never_ran() && first.number == number;
         self.possibly_executed = self.possibly_executed.filter(|first| !was_never_executed(first));
     }
 
-    /// When the first attempt started that the request may have been executed by.
+    /// Returns when the first possibly executed attempt started; `None` if the request was never executed.
     pub(super) fn possibly_executed_at(&self) -> Option<Micros> {
         self.possibly_executed.map(|first| first.started_at)
     }
 
-    /// Whether nothing refers to the request any more.
+    /// Returns whether the request is closed and has no attempt in flight, so that the history is no longer needed.
     pub(super) fn is_over(&self) -> bool {
         self.is_closed && self.in_flight == 0
     }
--- a/src/core/execution_guard/mod.rs
+++ b/src/core/execution_guard/mod.rs
@@ -1,12 +1,53 @@
-//! The one place that decides whether a request may be executed now: be handed to the decision module, have an attempt
-//! started, and have that attempt written to its engine ([`SendPermit`]).
+//! Decides whether a request may be executed now. It guards against two failures: a statement that is executed on two
+//! engines at the same time, and a statement that is executed twice although it may be executed only once.
 //!
-//! An attempt is in flight from its start until its engine has dropped it, whatever has become of its request
-//! meanwhile. While one is in flight, nothing else starts under the same name or the same idempotency key: a client
-//! that resends a request keeps its name, and one that retries keeps its key.
+//! # Identities
 //!
-//! The decision module applies the same rules to what it knows. What it asks for against them is denied, and counted
-//! as a [`Violation`]: these counts must stay 0.
+//! A request is identified by its client request id and, if the client sent one, by its idempotency key
+//! ([`Identity`]). A client that resends a request after a lost connection uses the same client request id again.
+//! A client that retries a request as a new one uses the same idempotency key again. Each of these is a new
+//! request with an id of its own in this process, but its statement has the same effect. The rules below therefore
+//! apply to identities, not only to request ids.
+//!
+//! # Checks
+//!
+//! A request passes three checks, in this order:
+//!
+//! 1. [`ExecutionGuard::admit`], before the request is submitted to the scheduler. While another request or an
+//!    attempt uses one of its identities, the request is *deferred* ([`Withheld`]): the scheduler does not know
+//!    it. It is released when nothing uses that identity any more, and is then checked again.
+//! 2. [`ExecutionGuard::may_start`], before the scheduler starts an attempt of the request. [`Violation`] lists
+//!    the rules.
+//! 3. [`SendPermit::remaining`], immediately before a connection writes the first byte of the attempt to its engine.
+//!
+//! # States of an attempt
+//!
+//! - *In flight*: from [`ExecutionGuard::start`] until [`ExecutionGuard::attempt_over`]. Its engine may be
+//!   executing it. This does not depend on the state of its request: the request may be closed in the meantime.
+//!   While an attempt is in flight, no other attempt starts under any of its identities.
+//! - *Ended*: its engine can no longer execute it, because the engine answered, discarded it, or never received it. A
+//!   cancelled or lost attempt whose end the engine does not confirm counts as ended 120 s later
+//!   (`UNCONFIRMED_RETENTION` in the module `attempts`).
+//! - *Possibly executed*: from its start on, unless its outcome shows that the engine never executed it. This
+//!   state outlasts the end, and decides whether another attempt may start. In a class with [`Effect::Once`] none
+//!   may start after a possibly executed attempt. In a class with [`Effect::Keyed`] one may start while engines
+//!   still recognise the idempotency key, and so do not execute the statement again. With [`Effect::Repeatable`]
+//!   it does not matter.
+//!
+//! The outcome ([`ExecutionGuard::concluded`]) is recorded independently of the end. It may precede the end: a
+//! cancelled or lost attempt of a closed request gets its outcome immediately, and stays in flight until its
+//! engine has discarded it.
+//!
+//! # What is stored
+//!
+//! - [`Activity`] by identity: what uses the identity now. Removed as soon as nothing does.
+//! - [`AttemptHistory`] by request: its attempts. Removed when the request is closed and none is in flight.
+//! - [`Execution`] by identity: the first possibly executed attempt of earlier requests. Expires by age,
+//!   and is evicted when there are too many.
+//!
+//! The scheduler applies the same rules to the requests that it knows. The guard denies and counts each attempt
+//! that the scheduler starts against them. These counts ([`ExecutionGuard::violations`]) are 0 unless the
+//! scheduler has a fault.
 
 mod executions;
 mod history;
@@ -23,58 +64,63 @@
 use history::AttemptHistory;
 use std::collections::{BTreeMap, HashMap};
 
-/// By what a client's request is recognised as the same.
+/// An identifier under which requests count as the same for execution.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Identity {
+    /// The client request id: the same for a request that a client resends.
     Name(String),
+    /// The idempotency key: the same for a request that a client retries.
     Key(String),
 }
 
 impl Identity {
+    /// Returns the one or two identities of a request.
     fn all_of(request: &IncomingRequest) -> impl Iterator<Item = Identity> {
         let key = request.idempotency_key.clone().map(Identity::Key);
         std::iter::once(Identity::Name(request.name.clone())).chain(key)
     }
 }
 
-/// What is executed, or may be, under one identity.
+/// What uses one identity now, and which requests wait for it.
 #[derive(Debug, Default)]
 struct Activity {
-    /// The request that the decision module has.
+    /// The open request with this identity that was submitted to the scheduler.
     request: Option<u64>,
-    /// Attempts in flight.
+    /// Attempts in flight with this identity, including those of closed requests.
     attempts: Vec<AttemptId>,
-    /// Requests that wait for the end of these.
+    /// Ids of deferred requests. They are released when no request and no attempt uses the identity.
     withheld: Vec<u64>,
 }
 
 impl Activity {
+    /// Returns whether neither a submitted request nor an attempt in flight uses the identity.
     fn is_over(&self) -> bool {
         self.request.is_none() && self.attempts.is_empty()
     }
 }
 
-/// Why a request is not handed to the decision module yet: these attempts are in flight under its name or key, or
-/// another request with its key is open.
+/// The request is deferred: it must not be submitted to the scheduler yet, because one of its identities is in use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Withheld {
+    /// The attempts in flight with that identity; empty if only a submitted request uses it.
     pub(super) attempts: Vec<AttemptId>,
 }
 
-/// Why an attempt may not start. Each is a fault of whoever asked for it.
+/// The rule that denies an attempt. Each violation is a fault of the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Violation {
-    /// Its request is answered, or its client is gone.
+    /// The request has its final answer, or its client disconnected.
     RequestClosed,
-    /// Another attempt of its request is in flight.
+    /// Another attempt of the request is in flight.
     AttemptInFlight,
-    /// Its request is not to be executed twice, and possibly was executed.
+    /// The request must be executed at most once ([`Effect::Once`]), and an earlier attempt possibly executed it.
     PossiblyExecuted,
-    /// Engines no longer recognise it as a repetition.
+    /// An earlier attempt possibly executed the request, and its idempotency key's deduplication window ends too
+    /// soon: engines might not recognise the attempt as a repetition.
     OutsideDeduplicationWindow,
-    /// Its engine is draining, or removed.
+    /// The engine is draining, removed or unknown.
     EngineNotReady,
-    /// Its request's time is over.
+    /// The request's deadline, or the timeout for the attempt, has passed.
     DeadlinePassed,
 }
 
@@ -88,7 +134,7 @@
         Violation::DeadlinePassed,
     ];
 
-    /// Its name in metrics and the log.
+    /// Returns the rule's name in metrics and the log.
     pub(super) fn name(self) -> &'static str {
         match self {
             Violation::RequestClosed => "request_closed",
@@ -101,44 +147,55 @@
     }
 }
 
-/// What is known of an attempt that is to start.
+/// An attempt that the scheduler wants to start, with the facts that the rules depend on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Start {
+    /// The request id.
     pub(super) request: u64,
+    /// The engine's number.
     pub(super) engine: u64,
     pub(super) now: Micros,
+    /// The request's deadline, or the end of the attempt's timeout if that is earlier.
     pub(super) deadline: Micros,
+    /// What a repeated execution does, by the request's class.
     pub(super) effect: Effect,
-    /// A repetition begins this long before the end of the window.
+    /// The minimum time between the start of a repetition and the end of the deduplication window.
     pub(super) window_margin: Micros,
     pub(super) engine_is_ready: bool,
-    /// Where its engine is.
+    /// The engine's zone.
     pub(super) zone: ZoneId,
+    /// The engine's cell; `None` if unknown.
     pub(super) cell: Option<CellId>,
 }
 
-/// An attempt in flight.
+/// The engine and identities of an attempt in flight.
 #[derive(Debug)]
 struct InFlight {
     engine: u64,
     identities: Vec<Identity>,
 }
 
-/// The attempts in flight, and who waits for their ends.
+/// Decides whether requests and attempts may start. The module documentation describes its rules and states.
 #[derive(Debug, Default)]
 pub(super) struct ExecutionGuard {
     in_flight: HashMap<AttemptId, InFlight>,
+    /// Of identities that are in use.
     activities: HashMap<Identity, Activity>,
-    /// By request; of those that are open or have attempts in flight.
+    /// By request id; of requests that were submitted to the scheduler, and are open or have an attempt in flight.
     histories: HashMap<u64, AttemptHistory>,
-    /// Of classes that are not to be executed twice without a look at this.
+    /// Possibly executed attempts of recent requests, except those of classes that may be repeated freely.
     executions: Executions,
     violations: BTreeMap<Violation, u64>,
 }
 
 impl ExecutionGuard {
-    /// Hands a request over to the decision module, with the execution that its name or key has had, if any. It is
-    /// withheld where something with its name or key may be executed still, and given back once that is over.
+    /// Checks whether a request may be submitted to the scheduler now. If so, the request uses its identities from
+    /// now on, and the result is the first possibly executed attempt under any of them, or `None` if there is
+    /// none.
+    ///
+    /// The error means that one of the identities is in use. The request is then deferred: its id is returned by
+    /// the call of [`ExecutionGuard::request_closed`] or [`ExecutionGuard::attempt_over`] that ends the use, and
+    /// the caller calls this method again.
     pub(super) fn admit(
         &mut self,
         id: u64,
@@ -160,7 +217,8 @@
         Ok(first)
     }
 
-    /// A request has its answer, or its client is gone. Gives the requests that waited for that.
+    /// Records that a request is closed: it has its final answer, or its client disconnected. Returns the ids of the
+    /// deferred requests that this releases.
     pub(super) fn request_closed(&mut self, id: u64, request: &IncomingRequest) -> Vec<u64> {
         for identity in Identity::all_of(request) {
             if let Some(activity) = self.activities.get_mut(&identity) {
@@ -175,7 +233,7 @@
         self.take_released(Identity::all_of(request))
     }
 
-    /// Whether an attempt of an open request may start.
+    /// Checks whether an attempt may start. Counts and logs a violation.
     pub(super) fn may_start(&mut self, start: &Start) -> Result<(), Violation> {
         let checked = self.check_start(start);
         if let Err(violation) = checked {
@@ -184,6 +242,7 @@
         checked
     }
 
+    /// Applies the rules to an attempt that is to start, without counting.
     fn check_start(&self, start: &Start) -> Result<(), Violation> {
         let history = self.histories.get(&start.request).filter(|history| !history.is_closed);
         let Some(history) = history else { return Err(Violation::RequestClosed) };
@@ -205,14 +264,16 @@
         }
     }
 
-    /// Until when engines recognise a further attempt as a repetition; none where that does not matter.
+    /// Returns until when an attempt may start so that engines recognise it as a repetition; `None` if that does
+    /// not matter, because the class is not keyed or no earlier attempt possibly executed the request.
     fn deduplicated_until(&self, start: &Start) -> Option<Micros> {
         let Effect::Keyed { window_ms, .. } = start.effect else { return None };
         let first_at = self.histories.get(&start.request)?.possibly_executed_at()?;
         Some(first_at + Micros::from_ms(window_ms) - start.window_margin)
     }
 
-    /// An attempt starts, which [`ExecutionGuard::may_start`] has allowed. Gives its id, and the permit to write it.
+    /// Records the start of an attempt that [`ExecutionGuard::may_start`] has allowed. From now on it is in flight
+    /// and possibly executed. Returns its id and the permit to write it to its engine.
     pub(super) fn start(&mut self, start: &Start, request: &IncomingRequest) -> (AttemptId, SendPermit) {
         let permit = SendPermit::new(start.deadline, self.deduplicated_until(start));
         let history = self.histories.entry(start.request).or_default();
@@ -229,20 +290,24 @@
         (attempt, permit)
     }
 
-    /// An attempt that may not start takes a number all the same: the decision module counts it.
+    /// Returns an id for an attempt that is denied. The denied attempt needs a number, because the scheduler
+    /// counts it.
     pub(super) fn skip_number(&mut self, request: u64) -> AttemptId {
         let history = self.histories.entry(request).or_default();
         AttemptId { request, number: history.skip_number() }
     }
 
-    /// The decision module is notified of an attempt's end.
+    /// Records the outcome of an attempt, of which the scheduler is notified. The outcome may show that the
+    /// attempt was never executed. The attempt stays in flight until [`ExecutionGuard::attempt_over`].
     pub(super) fn concluded(&mut self, attempt: AttemptId, outcome: Outcome) {
         if let Some(history) = self.histories.get_mut(&attempt.request) {
             history.conclude(attempt.number, outcome);
         }
     }
 
-    /// The engine has dropped an attempt, or it never ran. Gives the requests that waited for that.
+    /// Records that an attempt has ended: its engine answered, discarded it, or never received it. `never_ran`
+    /// says that the engine did not execute it at all. Returns the ids of the deferred requests that this
+    /// releases.
     pub(super) fn attempt_over(&mut self, attempt: AttemptId, never_ran: bool) -> Vec<u64> {
         let Some(InFlight { identities, .. }) = self.in_flight.remove(&attempt) else { return Vec::new() };
         for identity in &identities {
@@ -260,7 +325,8 @@
         self.take_released(identities.into_iter())
     }
 
-    /// Forgets what is over, and gives the requests that waited for it.
+    /// Removes the state of identities that are no longer in use, and returns the ids of the requests that were
+    /// deferred because of them.
     fn take_released(&mut self, identities: impl Iterator<Item = Identity>) -> Vec<u64> {
         let mut released = Vec::new();
         for identity in identities {
@@ -273,35 +339,36 @@
         released
     }
 
+    /// Removes the history of a closed request without attempts in flight.
     fn forget_history(&mut self, request: u64) {
         if self.histories.get(&request).is_some_and(AttemptHistory::is_over) {
             self.histories.remove(&request);
         }
     }
 
-    /// The numbers of a request's attempts so far.
+    /// Returns the numbers of a request's attempts so far, including denied ones.
     pub(super) fn attempt_numbers(&self, request: u64) -> std::ops::Range<u32> {
         0..self.histories.get(&request).map_or(0, |history| history.started)
     }
 
-    /// Counts a violation: also of a rule that is checked elsewhere.
+    /// Counts and logs a violation. The caller may have checked the rule itself.
     pub(super) fn count(&mut self, violation: Violation) {
         *self.violations.entry(violation).or_default() += 1;
-        log::error!(rule = violation.name(); "an attempt that must not start was asked for, and is denied");
+        log::error!(rule = violation.name(); "attempt denied by the execution guard");
     }
 
-    /// How often each rule was violated.
+    /// Returns how often each rule was violated, by the rule's name.
     pub(super) fn violations(&self) -> BTreeMap<&'static str, u64> {
         let counts = Violation::ALL.iter();
         counts.map(|one| (one.name(), self.violations.get(one).copied().unwrap_or(0))).collect()
     }
 
-    /// The engine that has an attempt in flight.
+    /// Returns the number of the engine of an attempt in flight; `None` if the attempt is not in flight.
     pub(super) fn engine_of(&self, attempt: AttemptId) -> Option<u64> {
         self.in_flight.get(&attempt).map(|in_flight| in_flight.engine)
     }
 
-    /// Attempts that engines may still execute.
+    /// Returns the number of attempts in flight, including those of closed requests.
     pub(super) fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
--- a/src/core/execution_guard/send_permit.rs
+++ b/src/core/execution_guard/send_permit.rs
@@ -1,33 +1,39 @@
 //! The permit to write an attempt to its engine.
+//!
+//! Time passes between the start of an attempt and its first byte on the wire, and the attempt may become invalid
+//! in the meantime. The permit carries the conditions to the connection, which checks them last.
 
 use crate::clock::Micros;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The permit to write an attempt to its engine. The connection checks it right before the first byte: the attempt may
-/// have waited behind a connection that was established late, and a command to cancel it waits there too, while what
-/// is revoked here is seen at once.
+/// The permit to write an attempt to its engine. The connection checks it immediately before it writes the first
+/// byte, because the attempt may have waited for the connection to be established. A cancel command waits in the
+/// same queue, whereas a revocation of the permit takes effect immediately. Clones share the revocation.
+///
+/// The default permit has its deadline at 0, so it permits nothing.
 #[derive(Debug, Clone, Default)]
 pub struct SendPermit {
     revoked: Arc<AtomicBool>,
-    /// When the client no longer waits.
+    /// From this time on the attempt must not be written, because the client no longer waits for its result.
     deadline: Micros,
-    /// From then on engines would no longer recognise the attempt as a repetition of one that was possibly executed.
+    /// From this time on engines might not recognise the attempt as a repetition of a possibly executed one.
+    /// `None` if no earlier attempt was possibly executed, or if a repetition does no harm.
     deduplicated_until: Option<Micros>,
 }
 
 impl SendPermit {
-    /// A permit for a request with this deadline.
+    /// Returns a permit that is valid until the earlier of the two times.
     pub fn new(deadline: Micros, deduplicated_until: Option<Micros>) -> SendPermit {
         SendPermit { revoked: Arc::default(), deadline, deduplicated_until }
     }
 
-    /// Nothing of the attempt is to be written from now on.
+    /// Revokes the permit: the attempt is not written from now on. Has no effect if it was written already.
     pub fn revoke(&self) {
         self.revoked.store(true, Ordering::Relaxed);
     }
 
-    /// How long the client still waits, where the attempt may be written now.
+    /// Returns the time until the deadline if the attempt may be written now, `None` otherwise.
     pub fn remaining(&self, now: Micros) -> Option<Micros> {
         let remaining = self.deadline - now;
         let is_too_late = remaining.0 <= 0 || self.deduplicated_until.is_some_and(|until| now >= until);
--- a/src/core/execution_guard/tests.rs
+++ b/src/core/execution_guard/tests.rs
@@ -1,4 +1,4 @@
-//! The guard's rules, without a core.
+//! Tests of the execution guard's rules, without a core.
 
 use super::*;
 use crate::decision::DedupScope;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A guard with request 1, of which an attempt is in flight.
+/// Returns a guard with request 1, and the one attempt of it, which is in flight.
 fn guard(effect: Effect) -> (ExecutionGuard, AttemptId) {
     let mut guard = ExecutionGuard::default();
     guard.admit(1, &request("a", Some("key"))).expect("nothing is in flight");
@@ -72,7 +72,7 @@
     assert!(guard.admit(2, &request("b", Some("key"))).is_err());
     guard.request_closed(2, &request("b", Some("key")));
     assert_eq!(guard.attempt_over(attempt, false), Vec::<u64>::new());
-    assert!(guard.activities.is_empty() && guard.histories.is_empty(), "nothing is left behind");
+    assert!(guard.activities.is_empty() && guard.histories.is_empty(), "the guard still stores state of closed requests");
 }
 
 #[rstest]
@@ -126,7 +126,8 @@
     assert_eq!(permit.remaining(Micros(200)), None);
 }
 
-/// Guards against a second execution for a client that comes again: by the same id, or by the same key.
+/// Guards against a second execution of a statement that a client resends with the same client request id, or retries
+/// with the same idempotency key.
 #[rstest]
 #[case::once("a", None, Effect::Once, 10.0, Some(Violation::PossiblyExecuted))]
 #[case::in_the_window("b", Some("key"), KEYED, 990.0, None)]
--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -1,4 +1,5 @@
-//! The learned state that one process hands over to the next: by names, which both know, not by numbers.
+//! Exports and restores the learned state that a process passes to its successor. Classes and engines are
+//! identified by name, because their numbers may differ between the two processes.
 
 use super::Core;
 use super::engines::engine_number;
@@ -10,25 +11,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most classes, and the most engines, that are handed over: an entry has a few hundred bytes.
+/// The maximum number of classes, and of engines, that are exported. An entry has a few hundred bytes.
 const MAX_ENTRIES: usize = 512;
 
-/// Learned state. Keys that a version does not know are ignored, and those that are missing have their initial
-/// values.
+/// Learned state that is passed between processes, possibly of different versions. Unknown keys are ignored, and
+/// missing keys have their initial values.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
-    /// Rates of the whole manager.
+    /// Rates measured over the whole manager.
     #[serde(rename = "pace")]
     pub rates: LearnedRates,
-    /// By the class's name.
+    /// Learned values of classes, by the class's name.
     pub classes: BTreeMap<String, LearnedClass>,
-    /// By the engine's name.
+    /// Learned values of engines, by the engine's name.
     pub engines: BTreeMap<String, LearnedEngine>,
 }
 
 impl Core {
-    /// What this process has learned.
+    /// Exports the learned state of this process.
     pub fn handover_state(&self) -> HandoverState {
         let learned = self.gateway.learned_state();
         let classes = self.front.classes.iter().zip(learned.classes);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Restores what another process had learned `age` ago.
+    /// Restores state that another process exported `age` ago.
     pub(super) fn restore(&mut self, state: &HandoverState, age: Micros) {
         let classes = self.front.classes.iter().map(|name| state.classes.get(name).cloned());
         let engines = state.engines.iter();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,15 @@
-//! The service without any wire, clock or I/O: events go in with their time, commands come out.
+//! The state machine of the service, without I/O and without a clock. [`Core::handle`] takes one event and its time,
+//! and returns the commands that the caller executes.
 //!
-//! A request passes these stages in order: `validation` checks it, `admission` admits or rejects it and hands it
-//! to the decision module, `actions` carries out what that module decides, `execution_guard` says whether something
-//! may be executed now, `attempts` starts, cancels and ends attempts, `attempt_events` handles what engines report of them, and `accounting` gives the one final answer
-//! and counts it.
+//! A request passes these stages in order:
+//!
+//! 1. `validation` checks it.
+//! 2. `admission` admits or rejects it, and submits it to the scheduler (the `decision` module).
+//! 3. `actions` applies the scheduler's decisions.
+//! 4. `execution_guard` checks whether the request may be executed now.
+//! 5. `attempts` starts, cancels and ends attempts.
+//! 6. `attempt_events` handles what engines report of attempts.
+//! 7. `accounting` sends the one final answer and counts it.
 
 mod accounting;
 mod actions;
@@ -40,34 +46,41 @@
 
 /// The state of one workload manager.
 ///
-/// Invariants: each open request has its name in `open_names`; an attempt is in `attempts` from its start until the
-/// decision module is notified of its end.
+/// Invariants:
+/// - `open_names` has the client request id of each open request.
+/// - `attempts` has an attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub struct Core {
     gateway: Gateway,
     front: Front,
     max_open: usize,
     roster: Roster,
-    /// By slot of the roster.
+    /// Indexed by the tenant's slot in the roster.
     tenant_shares: Vec<TenantShare>,
-    /// Tenants are managed in a store: one that is not there is unknown, also where there are none at all.
+    /// Whether tenants are managed in a store. If so, a tenant that the store does not have is unknown, even while
+    /// the store has no tenants at all.
     has_tenant_store: bool,
+    /// The open requests by id.
     requests: HashMap<u64, OpenRequest>,
-    /// The clients' names of the open requests.
+    /// The client request ids of the open requests.
     open_names: HashSet<String>,
     attempts: HashMap<AttemptId, Attempt>,
     guard: ExecutionGuard,
+    /// By engine number, the hash of the name.
     engines: HashMap<u64, KnownEngine>,
     timers: Timers,
-    /// Empty between two events; it keeps its memory.
+    /// Reused for the scheduler's actions, so that an event allocates no new buffer. Empty between events.
     action_buffer: Vec<Action>,
+    /// Set during graceful shutdown.
     rejects_new_requests: bool,
+    /// The time at which the process ends, once a shutdown has begun. No request has a later deadline.
     shutdown_by: Option<Micros>,
     accounting: Accounting,
 }
 
 impl Core {
-    /// A core with the tenants of its settings, without engines and requests.
+    /// Returns a core with the tenants of the settings, without engines or requests. `max_open` bounds the open
+    /// requests; `seed` seeds the scheduler's random numbers.
     pub fn new(front: Front, max_open: usize, seed: u64, now: Micros) -> Core {
         Core {
             roster: tenants::roster(&front),
@@ -89,13 +102,13 @@
         }
     }
 
-    /// The same core, but with tenants from a store: only those of [`Input::Tenants`] exist.
+    /// Returns the core with tenants managed in a store. Only tenants received by [`Input::Tenants`] exist then.
     pub fn with_tenant_store(mut self) -> Core {
         self.has_tenant_store = true;
         self
     }
 
-    /// Handles one event, and appends what is to be done about it to `out`, in order.
+    /// Handles one event. Appends the resulting commands to `out`, in the order in which they must be executed.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::RequestReceived(incoming) => self.request_received(now, incoming, out),
@@ -117,17 +130,17 @@
         }
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// Returns when the caller must send [`Input::Tick`] next; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// The number of requests without an answer.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Notifies the decision module of an event, and carries out what it decides.
+    /// Passes an event to the scheduler, and applies the actions that it returns.
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         self.gateway.handle(now.as_ms(), event, &mut actions);
--- a/src/core/open_request.rs
+++ b/src/core/open_request.rs
@@ -1,16 +1,17 @@
-//! A request that has no answer yet.
+//! Open requests and their states.
 
 use super::IncomingRequest;
 use crate::clock::Micros;
 use sanddyke_tenancy::Slot;
 
-/// A request that has no answer yet. It leaves the core's table with its answer, so there can be no second one.
+/// An admitted request without a final answer. The answer removes it from the core's table, so that there is no
+/// second answer.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     pub(super) incoming: IncomingRequest,
-    /// The position of its class in the settings.
+    /// The index of the request's class in the settings.
     pub(super) class: usize,
-    /// Its tenant's slot, once it is admitted; none where requests carry no tenants.
+    /// The slot of the request's tenant in the roster, set on admission; `None` for requests without a tenant.
     pub(super) tenant_slot: Option<Slot>,
     pub(super) received_at: Micros,
     pub(super) deadline: Micros,
@@ -18,12 +19,13 @@
     pub(super) state: RequestState,
 }
 
-/// The state of an open request.
+/// The state of an open request. The log shows the variants' names in its field `state`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Something with its name or idempotency key may still be executed: the decision module does not know it yet.
+    /// Deferred: another request or attempt uses its client request id or idempotency key. It is not yet submitted
+    /// to the scheduler.
     Withheld,
-    /// The decision module has queued it.
+    /// Submitted to the scheduler, and no attempt is in flight.
     Queued,
     /// The attempt of this number is in flight.
     Running(u32),
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -1,11 +1,11 @@
-//! Shows the state: a line for the log, and reports for the administration API and the metrics.
+//! Reports the state of the service: a line for the log, and reports for the administration API and the metrics.
 
 use super::{AttemptId, Core, EngineReport, OpenRequest, Report, RequestReport, RequestState, TenantReport};
 use crate::clock::Micros;
 use sanddyke_tenancy::{Slot, TenantId};
 use std::collections::HashMap;
 
-/// The open requests of one class.
+/// The number of open requests of one class.
 #[derive(Debug, Clone, Copy, Default)]
 struct OpenCounts {
     queued: usize,
@@ -13,7 +13,7 @@
 }
 
 impl Core {
-    /// A line for the log: open requests by class, queued and running, and ended attempts by outcome.
+    /// Returns a line for the log: open requests by class, queued and running, and ended attempts by outcome.
     pub fn state_line(&self) -> String {
         let mut counts = vec![OpenCounts::default(); self.front.classes.len()];
         for open in self.requests.values() {
@@ -31,7 +31,7 @@
         format!("open (queued+running): {}; attempts ended: {}", classes.join(", "), attempts.join(", "))
     }
 
-    /// The state of the whole service. It walks all engines, requests and tenants.
+    /// Returns the state of the whole service. The cost is linear in the number of engines, requests and tenants.
     pub fn report(&self, now: Micros) -> Report {
         Report {
             engines: self.engine_reports(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The state of some tenants.
+    /// Returns the state of these tenants; ids that are not in the roster are omitted.
     pub fn usage(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
         let slots = ids.iter().filter_map(|id| self.roster.slot_of(*id));
         let reports = slots.filter_map(|slot| self.tenant_report(slot));
@@ -82,8 +82,8 @@
         requests
     }
 
-    /// The state of a request as the administration API has it: `held`, `on ENGINE`, or `out` where the engine is
-    /// no longer known.
+    /// Returns the state of a request as the administration API shows it: `held` while it is queued or deferred,
+    /// `on ENGINE` while an attempt runs there, or `out` if that engine is no longer known.
     fn describe_state(&self, request: u64, open: &OpenRequest) -> String {
         let RequestState::Running(number) = open.state else { return "held".to_owned() };
         let attempt = self.attempts.get(&AttemptId { request, number });
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of the settings or the store, and their shares.
+//! The tenants from the settings or the store, and their shares.
 
 use super::{Command, Core, TenantUpdate};
 use crate::clock::Micros;
@@ -11,21 +11,21 @@
 pub(super) struct TenantShare {
     /// The effective share; 0 while the tenant is suspended.
     pub(super) effective: f64,
-    /// The share that the decision module uses: of a suspended tenant, the one from before, so that its queued
-    /// requests keep their turns.
+    /// The share that the scheduler uses. For a suspended tenant it is the last share above 0, so that requests
+    /// that are already queued keep their order.
     in_gateway: f64,
-    /// The id of its group.
+    /// The id of the tenant's group; `None` if it is in no group.
     group: Option<u64>,
 }
 
 impl TenantShare {
-    /// The share of a tenant of the settings.
+    /// Returns the share of a tenant from the settings.
     pub(super) fn new(settings: &TenantSettings) -> TenantShare {
         TenantShare { effective: settings.share, in_gateway: settings.share, group: None }
     }
 }
 
-/// The roster of the settings' tenants; their ids count from 1.
+/// Returns the roster of the tenants from the settings. Their ids count from 1.
 pub(super) fn roster(front: &Front) -> Roster {
     let mut roster = Roster::default();
     for (index, name) in front.tenants.iter().enumerate() {
@@ -46,8 +46,8 @@
 }
 
 impl Core {
-    /// Takes over a change of a tenant. The decision module is notified of a removal only once no request and no
-    /// attempt refers to the tenant's slot: until then it serves what is in progress.
+    /// Applies a change of a tenant. The scheduler is notified of a removal only once no request and no attempt
+    /// refers to the tenant's slot, so that requests in progress are completed.
     pub(super) fn update_tenant(&mut self, now: Micros, update: TenantUpdate, out: &mut Vec<Command>) {
         match update {
             TenantUpdate::Set { tenant, share, group } => {
@@ -84,7 +84,7 @@
         self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), settings: Some(settings) }, out);
     }
 
-    /// Drops a removed tenant whose slot the roster has released.
+    /// Deletes a removed tenant whose slot the roster has released; does nothing if `slot` is `None`.
     pub(super) fn forget_tenant(&mut self, now: Micros, slot: Option<Slot>, out: &mut Vec<Command>) {
         let Some(slot) = slot else { return };
         self.accounting.forget(slot);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The core's handling of attempts, without a socket.
+//! Tests of the core's handling of attempts, without sockets.
 
 use super::*;
 use crate::decision::{AttemptNote, EngineState};
@@ -52,8 +52,8 @@
     commands.iter().filter(|command| matches!(command, Command::StartAttempt { .. })).count()
 }
 
-/// Guards against two executions at once: an engine that is paused has not read the cancellation, so the next attempt
-/// waits until it has.
+/// Guards against two concurrent executions of a request. A paused engine has not read the cancellation of the first
+/// attempt, so the next attempt must wait until it has.
 #[test]
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
@@ -68,7 +68,7 @@
     assert_eq!(launches(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
 }
 
-/// A request has one answer: what its attempts report after that is dropped.
+/// Guards against a second answer to a request. Reports of its attempts after the final answer have no effect.
 #[test]
 fn a_second_end_of_an_attempt_answers_nothing() {
     let (mut core, _) = core();
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,30 +1,32 @@
-//! Timers: what is due when.
+//! The timers of the core.
 
 use super::AttemptId;
 use crate::clock::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What happens when a timer fires. A timer whose request or attempt has ended does nothing.
+/// The action of a timer. Timers are never cancelled: one whose request or attempt is no longer in the table does
+/// nothing when it fires.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decision module set it, with this token.
+    /// A timer of the scheduler, with the token that the scheduler chose.
     Gateway(u64),
-    /// The request's time is over.
+    /// The deadline of the request with this id passes.
     RequestDeadline(u64),
-    /// The attempt's time is over.
+    /// The timeout of the attempt passes.
     AttemptTimeout(AttemptId),
-    /// The attempt is to end, and its request is closed: nobody waits for the engine.
+    /// The attempt was cancelled or lost, and its request is closed, so its outcome is recorded without waiting
+    /// for the engine.
     AttemptAbandoned(AttemptId),
-    /// The engine has not shown for long whether it has dropped the attempt.
+    /// The engine has not confirmed the end of a cancelled or lost attempt in time. The attempt counts as ended.
     AttemptForgotten(AttemptId),
-    /// The request may be handed to the decision module.
+    /// The deferred request with this id may be submitted to the scheduler.
     Released(u64),
-    /// The attempt could not be sent.
+    /// The execution guard denied the attempt, so it was never sent.
     AttemptNotSent(AttemptId),
 }
 
-/// Ordered by time, then by when it was set.
+/// A set timer. Entries are ordered by the due time, then by the order in which they were set.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     at: Micros,
@@ -32,27 +34,27 @@
     timer: Timer,
 }
 
-/// The timers that are set. Timers of one time fire in the order in which they were set.
+/// The set timers. Timers with the same due time fire in the order in which they were set.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     queue: BinaryHeap<Reverse<Entry>>,
-    /// How many were ever set.
+    /// The number of timers set so far.
     sequence: u64,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`.
     pub(super) fn set(&mut self, at: Micros, timer: Timer) {
         self.sequence += 1;
         self.queue.push(Reverse(Entry { at, sequence: self.sequence, timer }));
     }
 
-    /// When the next one is due.
+    /// Returns the due time of the next timer; `None` if none is set.
     pub(super) fn next(&self) -> Option<Micros> {
         self.queue.peek().map(|Reverse(entry)| entry.at)
     }
 
-    /// Takes out the first one that is due.
+    /// Removes and returns the first timer that is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         if self.next()? > now {
             return None;
--- a/src/core/types/attempt.rs
+++ b/src/core/types/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt to execute a request on an engine: what is sent, and how it ends.
+//! An attempt to execute a request on an engine: the call that is sent, and the events that report on it.
 
 use super::Table;
 use crate::core::SendPermit;
@@ -9,9 +9,9 @@
 /// Identifies an attempt in this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The id of its request.
+    /// The request id.
     pub request: u64,
-    /// Its number among the attempts of that request, from 0.
+    /// The number among the attempts of this request, from 0.
     pub number: u32,
 }
 
@@ -21,62 +21,62 @@
     }
 }
 
-/// What an engine is sent.
+/// The content of an attempt, which a connection writes to the engine.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Whether it may be written now, and how long the client waits for its result then.
+    /// Permits the connection to write the call, and bounds how long the client waits for the result.
     pub permit: SendPermit,
-    /// The client's name for the request.
+    /// The client request id.
     pub name: String,
-    /// Its class.
+    /// The name of the request's class.
     pub class: String,
-    /// Its idempotency key, in classes that need one.
+    /// The idempotency key, if the client sent one.
     pub idempotency_key: Option<String>,
-    /// The statement.
+    /// The SQL statement.
     pub statement: Arc<str>,
-    /// Its priority, 0 to 3.
+    /// The priority, 0 to 3.
     pub priority: u8,
 }
 
-/// Every way in which a connection, or what was sent on it, can end.
+/// How a connection, or an attempt or health check on it, ended. The log shows these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The engine answered: served.
+    /// The engine answered with a result.
     Answered,
     /// The engine answered with an error.
     AnsweredError,
-    /// The engine was full and did not execute it.
+    /// The engine answered that it has no capacity, and did not execute the attempt.
     AnsweredFull,
-    /// The engine answered that the request's time is over and did not execute it.
+    /// The engine answered that the deadline has passed, and did not execute the attempt.
     AnsweredOver,
-    /// The connection was refused.
+    /// The engine refused the connection.
     ConnectRefused,
-    /// The connection was not established in time, or there was no descriptor for it.
+    /// The connection was not established within the timeout, or no file descriptor was available for it.
     ConnectTimeout,
-    /// The connection was established but ended before this was written to it.
+    /// The connection was established, but ended before the attempt was written to it.
     NeverWritten,
     /// The engine closed the connection before it answered.
     Closed,
-    /// The manager closed the connection, for the sake of another request or because it was idle.
+    /// The manager closed the connection because another request on it required that, or because it was idle.
     ClosedHere,
     /// The connection was reset before the engine answered.
     Reset,
-    /// The network failed under the connection, which says nothing of the engine.
+    /// The network failed. This is no evidence of a fault of the engine.
     Broken,
-    /// The engine's bytes can't be parsed.
+    /// The engine's response can't be parsed.
     Malformed,
-    /// The engine sent nothing for too long.
+    /// The engine sent nothing within the time allowed.
     Silent,
-    /// The engine sent reports on other attempts, but no more on this one.
+    /// The engine still sent progress notes on other attempts, but none on this one.
     RequestSilent,
-    /// No answer within the timeout.
+    /// The engine did not answer within the timeout.
     TimedOut,
-    /// The manager cancelled it.
+    /// The manager cancelled the attempt.
     Cancelled,
 }
 
 impl ConnectionEnd {
-    /// The outcome as the decision module counts it. This is the one place where ends become outcomes.
+    /// Maps the end to the outcome that the scheduler counts. No other code does this mapping.
     pub fn outcome(self) -> Outcome {
         match self {
             ConnectionEnd::Answered => Outcome::Served,
@@ -86,13 +86,13 @@
             ConnectionEnd::ConnectRefused | ConnectionEnd::ConnectTimeout | ConnectionEnd::NeverWritten => {
                 Outcome::NoConnection
             }
-            // It was written, so it was possibly executed.
+            // The attempt was written, so it was possibly executed.
             ConnectionEnd::Closed
             | ConnectionEnd::ClosedHere
             | ConnectionEnd::Reset
             | ConnectionEnd::Broken
             | ConnectionEnd::Silent => Outcome::ConnectionLost,
-            // The engine reads and answers: the fault is the connection's, not the engine's.
+            // The engine reads and answers, so the fault is the connection's and not the engine's.
             ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::Spoilt,
             ConnectionEnd::TimedOut => Outcome::TimedOut,
             ConnectionEnd::Cancelled => Outcome::Cancelled,
@@ -100,31 +100,31 @@
     }
 }
 
-/// What an engine, or the connection to it, reports of an attempt.
+/// What an engine or its connection reports of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
-    /// It is being executed.
+    /// The engine is executing the attempt, and sent a progress note.
     Note(AttemptNote),
-    /// It ended with a result.
+    /// The attempt ended with a result.
     Served {
         /// The complete result.
         table: Table,
-        /// The resources that it used, where reported.
+        /// The resources that the attempt used; `None` if the engine does not report them.
         usage: Option<Usage>,
-        /// The engine's load, where reported.
+        /// The engine's load report; `None` if the engine sent none.
         report: Option<LoadReport>,
     },
-    /// It will have no result, but the engine may still execute it: its end follows once the engine has dropped it,
-    /// if that ever shows.
+    /// The attempt will have no result, but the engine may be executing it still. [`AttemptEvent::Ended`] follows
+    /// once the engine is known to have discarded it, which may never happen.
     Lost {
-        /// Why.
+        /// The cause of the loss.
         end: ConnectionEnd,
     },
-    /// It ended without a result: it never began, or the engine no longer executes it.
+    /// The attempt ended without a result. Either the engine never received it, or it no longer executes it.
     Ended {
-        /// How it ended.
+        /// How the attempt ended.
         end: ConnectionEnd,
-        /// The engine's load, where reported.
+        /// The engine's load report; `None` if the engine sent none.
         report: Option<LoadReport>,
     },
 }
--- a/src/core/types/command.rs
+++ b/src/core/types/command.rs
@@ -1,65 +1,66 @@
-//! What the core asks of its surroundings.
+//! Commands: the core's output, which the service executes.
 
 use super::{Answer, AttemptId, Call};
 use crate::decision::EngineState;
 use std::net::SocketAddr;
 
-/// What is to be done about an input. Commands are carried out in order.
+/// An effect of an input. The service executes commands in order.
 #[derive(Debug)]
 pub enum Command {
-    /// Send a request's final answer.
+    /// Send a request's final answer to its client.
     Answer {
-        /// The id of the request.
+        /// The request id.
         request: u64,
-        /// The answer.
+        /// The final answer.
         answer: Answer,
     },
-    /// Start an attempt.
+    /// Write an attempt to an engine.
     StartAttempt {
-        /// The attempt.
+        /// The id of the new attempt.
         attempt: AttemptId,
         /// The engine's number.
         engine: u64,
-        /// What to send.
+        /// The content to write.
         call: Call,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The attempt.
+        /// The id of an attempt in flight.
         attempt: AttemptId,
         /// The engine's number.
         engine: u64,
-        /// Whether to report once the engine has read the cancellation: the request may then go to another engine.
+        /// Whether to report when the engine has read the cancellation. A request waits for that before its next
+        /// attempt starts.
         confirm: bool,
     },
     /// Change the priority of an attempt.
     SetPriority {
-        /// The attempt.
+        /// The id of an attempt in flight.
         attempt: AttemptId,
         /// The engine's number.
         engine: u64,
-        /// The priority, 0 to 3.
+        /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Check an engine's health.
+    /// Send a health check to an engine.
     HealthCheck {
         /// The engine's number.
         engine: u64,
     },
-    /// An engine is new in the list or has changed.
+    /// Add an engine, or apply its changed address or state.
     UpdateEngine {
-        /// Its number.
+        /// The engine's number.
         engine: u64,
-        /// Its name.
+        /// The engine's name.
         name: String,
-        /// Where it listens.
+        /// The address on which the engine listens.
         address: SocketAddr,
-        /// Its state.
+        /// The engine's state in the list.
         state: EngineState,
     },
-    /// An engine is no longer listed and has no attempt in flight: its connections can be closed.
+    /// Close the connections to an engine that is no longer listed and has no attempt in flight.
     RemoveEngine {
-        /// Its number.
+        /// The engine's number.
         engine: u64,
     },
     /// Write a line to the log.
--- a/src/core/types/engine.rs
+++ b/src/core/types/engine.rs
@@ -1,4 +1,4 @@
-//! Engines as discovery lists them.
+//! Engines as service discovery lists them.
 
 use super::ConnectionEnd;
 use crate::clock::Micros;
@@ -8,32 +8,32 @@
 /// An entry of the engine list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Its name; the same after a restart of its process.
+    /// The engine's name. It stays the same when the engine's process restarts.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of the engine's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The kind of machine, by its name in the settings.
     pub kind: String,
-    /// Its cell: engines of one cell share which idempotency keys they have seen.
+    /// The engine's cell; `None` if unknown. Engines of one cell share the idempotency keys that they have received.
     pub cell: Option<u64>,
-    /// Its state.
+    /// Whether the engine is ready, draining or removed.
     pub state: EngineState,
-    /// Its weight.
+    /// The engine's weight relative to the other engines.
     pub weight: f64,
-    /// When it last started, where that is known.
+    /// When the engine's process last started; `None` if unknown.
     pub started_at: Option<Micros>,
 }
 
 /// An update of the engine list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineListUpdate {
-    /// The complete list from the configuration, at the start.
+    /// The complete list from the configuration, applied at program start.
     Initial(Vec<Engine>),
-    /// The complete list: engines that it does not name are removed.
+    /// The complete list. Engines that it does not name are removed.
     Complete(Vec<Engine>),
-    /// Entries that have changed.
+    /// Only the entries that have changed.
     Changed(Vec<Engine>),
 }
 
@@ -42,10 +42,10 @@
 pub struct HealthCheckResult {
     /// The engine's number.
     pub engine: u64,
-    /// How it ended.
+    /// How the health check ended.
     pub end: ConnectionEnd,
-    /// The engine's load, where reported.
+    /// The engine's load report; `None` if the engine sent none.
     pub report: Option<LoadReport>,
-    /// How long it took.
+    /// The health-check latency.
     pub elapsed: Micros,
 }
--- a/src/core/types/input.rs
+++ b/src/core/types/input.rs
@@ -1,4 +1,4 @@
-//! Events that the core handles.
+//! Inputs: the events that the core handles.
 
 use super::{AttemptEvent, AttemptId, EngineListUpdate, HealthCheckResult, IncomingRequest, TenantUpdate};
 use crate::clock::Micros;
@@ -9,36 +9,36 @@
 pub enum Input {
     /// A frontend received a request.
     RequestReceived(IncomingRequest),
-    /// The client of this request no longer waits.
+    /// The client of the request with this id disconnected.
     ClientDisconnected(u64),
-    /// An operator cancels this request.
+    /// An operator cancels the request with this id.
     CancelRequested(u64),
     /// The engine list has changed.
     Engines(EngineListUpdate),
-    /// Tenants have changed, all by one change of the registry.
+    /// Tenants have changed. All updates stem from one change of the registry.
     Tenants(Vec<TenantUpdate>),
-    /// An engine reports on an attempt, or the attempt has ended.
+    /// An engine or its connection reports on an attempt.
     Attempt {
-        /// The attempt.
+        /// The id of the attempt.
         attempt: AttemptId,
-        /// What happened to it.
+        /// The reported event.
         event: AttemptEvent,
     },
     /// A health check has ended.
     HealthChecked(HealthCheckResult),
-    /// Restore what another process of this manager has learned.
+    /// Restore the learned state of another process of this manager.
     RestoreState {
-        /// What it has learned.
+        /// The state that the other process exported.
         state: Box<HandoverState>,
-        /// The time since then.
+        /// The time since the export.
         age: Micros,
     },
-    /// Another process of this manager has so many of the connections that clients may have.
+    /// The number of client connections that another process of this manager has. They count against the same limit.
     PeerProcessConnections(usize),
-    /// Time has passed: due timers fire.
+    /// Fire all timers that are due.
     Tick,
-    /// New requests are rejected from now on: the program is about to end.
+    /// Reject new requests from now on, because a graceful shutdown has begun.
     RejectNew,
-    /// The program ends by then: no request, open or new, has a later deadline.
+    /// The program ends by this time. Later deadlines of open and new requests are moved to it.
     ShutdownBy(Micros),
 }
--- a/src/core/types/mod.rs
+++ b/src/core/types/mod.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and comes out of it: types that no wire shows in.
+//! Inputs and outputs of the core. These types are independent of the wire protocols.
 
 mod attempt;
 mod command;
--- a/src/core/types/report.rs
+++ b/src/core/types/report.rs
@@ -1,4 +1,4 @@
-//! The state of the service for the administration API and the metrics.
+//! The state of the service, as the administration API and the metrics show it.
 
 use crate::core::AnswerCounts;
 use sanddyke_tenancy::{State, TenantId};
@@ -8,50 +8,50 @@
 /// The state of the whole service.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The engines, by name.
+    /// The engines, sorted by name.
     pub engines: Vec<EngineReport>,
-    /// The open requests, by id.
+    /// The open requests, sorted by id.
     pub requests: Vec<RequestReport>,
-    /// Answers so far, by tenant and class.
+    /// Answers since the start of the process, by tenant and class.
     #[serde(rename = "tallies")]
     pub answers: Vec<AnswerCounts>,
-    /// Ended attempts, by outcome.
+    /// Attempts with a recorded outcome since the start of the process, by outcome.
     pub attempts: BTreeMap<&'static str, u64>,
-    /// The tenants.
+    /// The tenants, in order of their slots.
     pub tenants: Vec<TenantReport>,
-    /// Attempts that engines may still execute, also those of requests that are over.
+    /// Attempts in flight, including those of closed requests.
     #[serde(skip)]
     pub attempts_in_flight: usize,
-    /// How often a request was withheld because something with its name or key might still be executed.
+    /// How often a request was deferred because its client request id or idempotency key was in use.
     #[serde(skip)]
     pub withheld: u64,
-    /// Attempts that were asked for and denied, by the rule against them.
+    /// Attempts that the execution guard denied, by the violated rule.
     #[serde(skip)]
     pub violations: BTreeMap<&'static str, u64>,
-    /// Requests that were rejected because their tenant does not exist.
+    /// Requests that were answered as invalid because their tenant does not exist.
     pub unknown_tenants: u64,
-    /// Whether new requests are rejected because the program is about to end.
+    /// Whether new requests are rejected because a graceful shutdown has begun.
     pub stopping: bool,
 }
 
 /// One tenant.
 #[derive(Debug, Serialize)]
 pub struct TenantReport {
-    /// Its id.
+    /// The tenant's id in the registry.
     pub id: TenantId,
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// Its state.
+    /// The lifecycle state: active, suspended, draining or removed.
     pub state: State,
-    /// Its effective share.
+    /// The effective share of the engines; 0 while the tenant is suspended.
     pub share: f64,
-    /// Its open requests.
+    /// The number of open requests.
     #[serde(rename = "open")]
     pub open_requests: u32,
-    /// Its attempts in flight.
+    /// The number of attempts whose end the scheduler does not know yet.
     #[serde(rename = "attempts")]
     pub attempts_in_flight: u32,
-    /// Requests that its limits rejected, by reason code.
+    /// Requests that the tenant's limits rejected, by reason code.
     #[serde(rename = "refused")]
     pub rejected: BTreeMap<&'static str, u64>,
 }
@@ -59,15 +59,15 @@
 /// One engine.
 #[derive(Debug, Serialize)]
 pub struct EngineReport {
-    /// Its name.
+    /// The engine's name.
     pub name: String,
-    /// Its zone.
+    /// The name of the engine's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The kind of machine.
     pub kind: String,
-    /// Its state in the list.
+    /// The engine's state in the endpoint list.
     pub state: String,
-    /// Attempts of this manager that are in flight there.
+    /// Attempts of this manager on the engine whose end the scheduler does not know yet.
     #[serde(rename = "attempts_out")]
     pub attempts_in_flight: usize,
 }
@@ -75,19 +75,20 @@
 /// One open request.
 #[derive(Debug, Serialize)]
 pub struct RequestReport {
-    /// Its id.
+    /// The request id.
     pub id: u64,
-    /// The client's name for it.
+    /// The client request id.
     pub name: String,
-    /// Its class.
+    /// The name of the request's class.
     pub class: String,
-    /// Its tenant.
+    /// The tenant's name; `None` if the request has none.
     pub tenant: Option<String>,
-    /// Time since it was received.
+    /// Time since the request was received.
     pub age_ms: f64,
-    /// Time until its deadline.
+    /// Time until the request's deadline; negative after it.
     #[serde(rename = "left_ms")]
     pub remaining_ms: f64,
-    /// `held` while it is queued, or where it runs.
+    /// `held` while the request is queued or deferred, `on ENGINE` while an attempt runs there, `out` if that
+    /// engine is no longer known.
     pub state: String,
 }
--- a/src/core/types/request.rs
+++ b/src/core/types/request.rs
@@ -5,66 +5,69 @@
 use sanddyke_tenancy::Reason;
 use std::sync::Arc;
 
-/// A row of a result: text by column; a missing value is `None`.
+/// A row of a result: the text of each column, `None` for NULL.
 pub type Row = Vec<Option<String>>;
 
 /// A complete result.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Table {
-    /// Names of the columns, where the engine sent them.
+    /// Column names; empty if the engine sent none.
     pub columns: Vec<String>,
-    /// The rows, in order.
+    /// The rows, in the order in which the engine sent them.
     pub rows: Vec<Row>,
 }
 
 impl Table {
-    /// Bytes of its text, without the names of the columns.
+    /// Returns the size of the values in bytes, without the column names.
     pub fn bytes(&self) -> usize {
         self.rows.iter().flatten().flatten().map(String::len).sum()
     }
 }
 
-/// A request, as a frontend received it.
+/// A request as a frontend received it.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
-    /// Its id in this process; never used twice. The service assigns it.
+    /// The request id, unique in this process. The service assigns it.
     pub id: u64,
-    /// The client's name for it, sent to engines unchanged.
+    /// The client request id: the client's own identifier of the request. Engines receive it unchanged, and a client
+    /// that resends a request uses it again.
     pub name: String,
-    /// Its class, by name.
+    /// The name of the request's class in the settings.
     pub class: String,
-    /// Its tenant, by name.
+    /// The tenant's name; `None` if the client sent none.
     pub tenant: Option<String>,
-    /// The client's idempotency key.
+    /// The client's idempotency key. Engines use it to recognise a repetition. A client that retries a request as
+    /// a new one uses the same key.
     pub idempotency_key: Option<String>,
-    /// The statement.
+    /// The SQL statement.
     pub statement: Arc<str>,
-    /// How long its client waits for the answer from now on.
+    /// How long the client waits for the answer, from the time of receipt.
     pub time_budget: Micros,
 }
 
 /// The final answer to a request. Each request has exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// It was executed, and this is the complete result.
+    /// The request was executed, and this is the complete result.
     Served(Table),
-    /// It was rejected and never executed: a retry is harmless.
+    /// The request was rejected and never executed, so a retry can't execute it twice.
     Rejected {
-        /// When a retry is worthwhile, from now; 0 where there is no advice.
+        /// The time after which the client should retry; 0 if unknown.
         retry_after: Micros,
-        /// The tenant's limit that rejected it; none where the whole manager is overloaded.
+        /// The tenant limit that was exceeded; `None` if no tenant limit is the cause, for example when the
+        /// manager is overloaded.
         reason: Option<Reason>,
     },
-    /// It failed, and may have been executed. The reason is given where a tenant's limit made it fail.
+    /// The request failed, and was possibly executed. The reason is set if a tenant limit is the cause.
     Failed(Option<Reason>),
-    /// An operator cancelled it.
+    /// An operator cancelled the request.
     Cancelled,
-    /// It can't be used, and nothing was done about it.
+    /// The request is not valid, and was not admitted.
     Invalid(Invalid),
 }
 
 impl Answer {
-    /// Its name in the log.
+    /// Returns the answer's name in the log.
     pub fn kind(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
--- a/src/core/types/tenant.rs
+++ b/src/core/types/tenant.rs
@@ -1,4 +1,4 @@
-//! Changes of tenants while the program runs.
+//! Changes of tenants at run time.
 
 use sanddyke_tenancy::{Tenant, TenantId};
 
@@ -7,20 +7,20 @@
 pub enum TenantUpdate {
     /// The tenant was created or changed.
     Set {
-        /// The tenant as it is now.
+        /// The tenant after the change.
         tenant: Box<Tenant>,
-        /// Its effective share.
+        /// The tenant's effective share of the engines.
         share: f64,
-        /// The id of its group.
+        /// The id of the tenant's group; `None` if it is in no group.
         group: Option<u64>,
     },
-    /// Its effective share has changed because others were created, changed or removed.
+    /// A tenant's effective share has changed because other tenants were created, changed or removed.
     Share {
-        /// The tenant.
+        /// The tenant's id in the registry.
         id: TenantId,
-        /// Its effective share.
+        /// The new effective share.
         share: f64,
     },
-    /// The tenant was removed: new requests are rejected, and those in progress go on.
+    /// The tenant was removed. New requests are rejected; requests in progress are completed.
     Removed(TenantId),
 }
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -1,50 +1,51 @@
-//! Checks a request before the decision module or an engine gets it.
+//! Checks a request before it is submitted to the scheduler or sent to an engine.
 
 use super::{Core, IncomingRequest, OpenRequest, RequestState};
 use crate::clock::Micros;
 use crate::decision::Effect;
 use thiserror::Error;
 
-/// The longest statement that is accepted.
+/// The maximum length of a statement.
 pub const MAX_STATEMENT_BYTES: usize = 256 * 1024;
-/// The longest name or idempotency key that is accepted.
+/// The maximum length of a client request id or idempotency key.
 const MAX_NAME_BYTES: usize = 128;
-/// The longest time budget that is accepted, an hour: a longer one is a client's mistake.
+/// The maximum time budget, 1 h. A longer one is a mistake of the client.
 const MAX_TIME_BUDGET: Micros = Micros(3_600_000_000);
 /// The priority of a request until the decision module sets another.
 const INITIAL_PRIORITY: u8 = 1;
 
-/// Why a request can't be used.
+/// Why a request is not valid. The client receives the text.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Invalid {
-    /// There is no class of this name.
+    /// The settings have no class with this name.
     #[error("unknown class {0:?}")]
     UnknownClass(String),
-    /// There is no tenant of this name.
+    /// There is no tenant with this name.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(String),
-    /// Requests of this class need an idempotency key.
+    /// Requests of this class need an idempotency key, and the client sent none.
     #[error("a request of class {0:?} needs an idempotency key")]
     MissingIdempotencyKey(String),
-    /// It has no time left, or more than an hour.
+    /// The time budget is not above 0, or exceeds one hour.
     #[error("the time budget must be above 0, and an hour at most")]
     TimeBudget,
-    /// Another request of its name is open.
+    /// Another open request has the same client request id.
     #[error("a request of this id is open")]
     Duplicate,
-    /// A name, key or statement that can't be sent to engines.
+    /// The client request id, idempotency key or statement can't be sent to engines. The value says which.
     #[error("{0} is empty, too long, or has characters that can't be passed on")]
     Text(&'static str),
 }
 
-/// Whether engines can be sent this as a name or key.
+/// Returns whether this text can be sent to engines as a client request id or idempotency key. Commas and equals
+/// signs are separators on the wire.
 fn is_sendable_name(text: &str) -> bool {
     let is_sendable = |c: char| c.is_ascii_graphic() && c != ',' && c != '=';
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_sendable)
 }
 
 impl Core {
-    /// The request as it is admitted, or why it can't be used.
+    /// Returns the request with its class and deadline, or why it is not valid.
     pub(super) fn validate(&self, now: Micros, incoming: IncomingRequest) -> Result<OpenRequest, Invalid> {
         let class = self.check(&incoming)?;
         let class_deadline = Micros::from_ms(self.front.settings.classes[class].deadline_ms);
@@ -63,7 +64,7 @@
         })
     }
 
-    /// Checks a request, and gives the position of its class.
+    /// Checks a request, and returns the index of its class.
     fn check(&self, incoming: &IncomingRequest) -> Result<usize, Invalid> {
         let class = self.front.classes.iter().position(|name| *name == incoming.class);
         let class = class.ok_or_else(|| Invalid::UnknownClass(incoming.class.clone()))?;
--- a/tests/attempts_in_flight.rs
+++ b/tests/attempts_in_flight.rs
@@ -1,5 +1,6 @@
-//! A request has at most one attempt in flight: on an engine from its last byte read until its end is written, or the
-//! engine has read the stop or the close. `docs/incidents/0001-retry-beside-a-running-attempt.md` has the reason.
+//! Tests that a request has at most one attempt in flight. On an engine, an attempt is in flight from the time at
+//! which the engine has read its last byte until the engine has written its end, or has read its cancellation or
+//! the close of the connection. `docs/incidents/0001-retry-beside-a-running-attempt.md` has the reason.
 
 mod common;
 
@@ -10,18 +11,22 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Engines report progress at this interval; the program gives an attempt up after three without a report.
+/// The interval at which engines send progress notes. The program treats an attempt as lost after three intervals
+/// without one.
 const PROGRESS_INTERVAL_MS: u64 = 500;
-/// A pause of an engine that begins before the program gives its attempt up, and lasts beyond that; it ends before
-/// clients are sent away (0.5 s after the attempt was given up).
+/// The time between the start of an attempt and the pause of its engine. The program treats the attempt as lost
+/// only later.
 const BEFORE_GIVE_UP: Duration = Duration::from_millis(1100);
+/// The length of the pause. It lasts until after the attempt is lost, but ends before the clients receive an
+/// answer, which happens 0.5 s after the loss.
 const BEYOND_GIVE_UP: Duration = Duration::from_millis(650);
-/// Engines that are new in the list get requests once they have been checked.
+/// The time after which engines that are new in the list receive requests. They must answer a health check first.
 const NEW_ENGINES_READY: Duration = Duration::from_millis(1400);
-/// A request that can't be retried is answered within this time: three reports are missing, then the engine has half a
-/// second to read the close. The rest is for a busy machine.
+/// The time within which a request that can't be retried is answered: three progress notes are missing, then the
+/// engine has
+/// 0.5 s to read the close. The rest is a margin for a busy machine.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(3500);
-/// How long clients wait.
+/// The time budget of the clients' requests.
 const TIME_BUDGET_MS: u64 = 4900;
 
 fn with_progress_reports() -> Value {
@@ -30,7 +35,7 @@
     json!({ "settings": settings })
 }
 
-/// Three engines, and a program in front of them that knows the first only.
+/// Three engines, and a program whose engine list has only the first.
 struct Service {
     program: Program,
     engines: Vec<Engine>,
@@ -41,7 +46,7 @@
         Service::on((0..3).map(|_| engines::line_protocol()).collect(), overrides)
     }
 
-    /// One on engines that speak TDS.
+    /// Starts the program and three engines that use TDS.
     fn start_on_tds() -> Service {
         let mut overrides = with_progress_reports();
         overrides["engines"] = json!({"wire": "tds", "user": "u"});
@@ -53,7 +58,7 @@
         Service { program, engines }
     }
 
-    /// Sends a request with each of these statements, and waits until all are on the first engine.
+    /// Sends one request with each of these statements, and waits until the first engine has received all of them.
     fn send_to_first(&self, class: &str, statements: &[&str]) -> Vec<TcpStream> {
         let numbered = statements.iter().enumerate();
         let send = |(number, statement): (usize, &&str)| {
@@ -64,7 +69,8 @@
         clients
     }
 
-    /// Lists the other engines as ready and the first as draining, so that retries go to the others.
+    /// Updates the engine list: the first engine is draining and the others are ready, so that retries go to the
+    /// others.
     fn drain_first(&self) {
         let numbered = self.engines.iter().enumerate();
         let mut endpoints: Vec<Value> =
@@ -74,7 +80,7 @@
         self.program.reload("known", json!({"rev": 2, "notices": list}));
     }
 
-    /// How many requests the other engines have read.
+    /// Returns how many requests the other engines have read.
     fn elsewhere(&self) -> usize {
         self.engines[1..].iter().map(|engine| engine.count("SELECT")).sum()
     }
@@ -84,8 +90,9 @@
     format!("{number:02}")
 }
 
-/// Guards against two attempts at once where an engine that is silent about a request, or about all, has not read its
-/// stop or the close yet.
+/// Guards against two concurrent attempts of a request. The first engine sends no progress notes on one request,
+/// or on all, so the attempt is lost; it is paused and has not read the cancellation or the close of the
+/// connection yet.
 #[rstest]
 #[case::about_some(&["SELECT slow", "SELECT slow", "SELECT slow", "SELECT chatty"])]
 #[case::about_all(&["SELECT slow", "SELECT slow", "SELECT slow", "SELECT slow"])]
@@ -98,15 +105,15 @@
     std::thread::sleep(BEFORE_GIVE_UP);
     service.engines[0].pause(true);
     std::thread::sleep(BEYOND_GIVE_UP);
-    assert_eq!(service.elsewhere(), 0, "a second attempt began, and the engine has read no stop");
+    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the cancellation");
     service.engines[0].pause(false);
     wait_until("requests are retried", || service.elsewhere() > 0);
     drop(clients);
 }
 
-/// Guards against a request that is retried beside an attempt on an engine that hangs, and against one whose client
-/// waits to its deadline for nothing. Its client may repeat a request of a repeatable class (503) and not one that may
-/// have been executed (500).
+/// Guards against a retry while an attempt is in flight on an engine that hangs, and against a client that waits
+/// until its deadline without need. The client may repeat a request of a repeatable class (503), but not one that
+/// was possibly executed (500).
 #[rstest]
 #[case("lookup", 503)]
 #[case("post", 500)]
@@ -121,7 +128,8 @@
     assert_eq!(service.elsewhere(), 0);
 }
 
-/// Guards against two attempts with one idempotency key: they wait for the engine, as a client's retry has the same key.
+/// Guards against two concurrent attempts with one idempotency key. The retry waits for the hung engine, because a
+/// client's own retry would have the same key.
 #[test]
 fn a_request_with_a_key_waits_until_the_hung_engine_has_read_the_close() {
     let service = Service::start(with_progress_reports());
@@ -130,14 +138,14 @@
     service.engines[0].pause(true);
     service.drain_first();
     std::thread::sleep(ANSWERED_WITHIN);
-    assert_eq!(service.elsewhere(), 0, "a second attempt began, and the engine has not read the close");
+    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the close of the connection");
     service.engines[0].pause(false);
     wait_until("it is retried", || service.elsewhere() == 1);
     drop(client);
 }
 
-/// Guards against two attempts at once where a client resends a request, or retries one with the same key, while the
-/// engine has not read the stop of the attempt before.
+/// Guards against two concurrent attempts when a client resends a request, or retries it with the same idempotency
+/// key, and the paused engine has not read the cancellation of the earlier attempt yet.
 #[rstest]
 #[case::resent("report", "r", "r", None)]
 #[case::retried("load", "r", "s", Some("key"))]
@@ -156,14 +164,14 @@
     std::thread::sleep(NEW_ENGINES_READY);
     let again = service.program.send(second, class, TIME_BUDGET_MS, key, "SELECT slow");
     std::thread::sleep(NEW_ENGINES_READY);
-    assert_eq!(service.elsewhere(), 0, "a second attempt began, and the engine has not read the stop");
+    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the cancellation");
     service.engines[0].pause(false);
     wait_until("it is sent", || service.elsewhere() == 1);
     drop(again);
 }
 
-/// Guards against an answer that an engine repeats late, and that is taken for the answer to the retry: a third attempt
-/// began beside the second.
+/// Guards against a late, repeated answer of an engine that is mistaken for the answer to the retry. The third
+/// attempt then started while the second was in flight.
 #[test]
 fn a_repeated_answer_is_not_taken_for_that_of_the_retry() {
     let engine = engines::line_protocol();
@@ -175,7 +183,8 @@
     drop(client);
 }
 
-/// Guards against two attempts at once on engines that speak TDS: each session carries one request, and is closed.
+/// Guards against two concurrent attempts of a request on engines that use TDS. A session carries one request, and
+/// the program closes it when the attempt is lost.
 #[test]
 fn a_request_given_up_on_tds_is_not_retried_before_its_engine_has_read_the_close() {
     let service = Service::start_on_tds();
@@ -184,7 +193,7 @@
     std::thread::sleep(BEFORE_GIVE_UP);
     service.engines[0].pause(true);
     std::thread::sleep(BEYOND_GIVE_UP);
-    assert_eq!(service.elsewhere(), 0, "a second attempt began, and the engine has not read the close");
+    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the close of the connection");
     service.engines[0].pause(false);
     wait_until("requests are retried", || service.elsewhere() > 0);
     drop(clients);
