--- a/benches/core.rs
+++ b/benches/core.rs
@@ -139,7 +139,7 @@
             self.next += 1;
             let arrival = IncomingRequest {
                 id: self.next,
-                name: format!("r{}", self.next),
+                client_request_id: format!("r{}", self.next),
                 class: if self.next.is_multiple_of(2) { "lookup" } else { "report" }.to_owned(),
                 tenant: Some(format!("t{}", self.next as usize % self.scenario.sending)),
                 idempotency_key: None,
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -106,7 +106,7 @@
     page.metric("sanddyke_attempts_possibly_executing", Kind::Gauge);
     page.value("sanddyke_attempts_possibly_executing", report.attempts_in_flight);
     page.metric("sanddyke_requests_withheld_total", Kind::Counter);
-    page.value("sanddyke_requests_withheld_total", report.withheld);
+    page.value("sanddyke_requests_withheld_total", report.deferred);
     page.metric("sanddyke_violations_total", Kind::Counter);
     for (rule, count) in &report.violations {
         page.series("sanddyke_violations_total", &[("rule", rule)], count);
--- a/src/admin/v1/service.rs
+++ b/src/admin/v1/service.rs
@@ -34,7 +34,7 @@
     pub(super) async fn cancel_request(&self, caller: &Caller, name: &str) -> Answer {
         let report = self.handle.inspect().await?;
         let missing = || not_found("open request");
-        let open = report.requests.iter().find(|open| open.name == name).ok_or_else(missing)?;
+        let open = report.requests.iter().find(|open| open.client_request_id == name).ok_or_else(missing)?;
         match self.tenant_id(open.tenant.as_deref().unwrap_or_default()).await {
             Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
             Some(id) => caller.require(Permission::RunTenant(id))?,
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -48,7 +48,7 @@
     /// Attempts with a recorded outcome, by the name of the outcome.
     pub attempts: BTreeMap<&'static str, u64>,
     /// How often a request was deferred because its client request id or idempotency key was in use.
-    pub withheld: u64,
+    pub deferred: u64,
 }
 
 impl Accounting {
@@ -128,7 +128,7 @@
         let Some(open) = self.requests.remove(&request) else { return };
         self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
         log::debug!(
-            request, name = open.incoming.name.as_str(), class = open.incoming.class.as_str(),
+            request, name = open.incoming.client_request_id.as_str(), class = open.incoming.class.as_str(),
             answer = answer.kind(), age_ms = (now - open.received_at).as_ms(),
             remaining_ms = (open.deadline - now).as_ms(), state:? = open.state;
             "request answered"
@@ -140,8 +140,12 @@
     /// Releases the resources of a request that was removed from the table. Attempts that are not written yet are
     /// never written, because their permits are revoked.
     pub(super) fn close(&mut self, now: Micros, request: u64, open: &OpenRequest, out: &mut Vec<Command>) {
-        self.open_names.remove(&open.incoming.name);
-        debug_assert_eq!(self.open_names.len(), self.requests.len(), "each open request has exactly one client request id in the set");
+        self.open_names.remove(&open.incoming.client_request_id);
+        debug_assert_eq!(
+            self.open_names.len(),
+            self.requests.len(),
+            "each open request has exactly one client request id in the set"
+        );
         for number in self.guard.attempt_numbers(request) {
             let id = AttemptId { request, number };
             if let Some(attempt) = self.attempts.get(&id) {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -39,7 +39,7 @@
             return;
         }
         self.timers.set(open.deadline, Timer::RequestDeadline(request));
-        self.open_names.insert(open.incoming.name.clone());
+        self.open_names.insert(open.incoming.client_request_id.clone());
         self.requests.insert(request, open);
         self.hand_over(now, request, out);
     }
@@ -51,7 +51,7 @@
         let admitted = self.guard.admit(request, &open.incoming);
         log::debug!(
             request,
-            name = open.incoming.name.as_str(),
+            name = open.incoming.client_request_id.as_str(),
             class = open.incoming.class.as_str(),
             key = open.incoming.idempotency_key.as_deref().unwrap_or("-"),
             withheld = admitted.is_err(),
@@ -62,7 +62,7 @@
             Ok(execution) => execution,
             Err(Withheld { attempts }) => {
                 open.state = RequestState::Withheld;
-                self.accounting.withheld += 1;
+                self.accounting.deferred += 1;
                 self.confirm_cancellations(&attempts, out);
                 return;
             }
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -18,13 +18,13 @@
         match &event {
             AttemptEvent::Ended { end, .. } => self.attempt_over(now, attempt, end.outcome().never_ran()),
             AttemptEvent::Served { .. } => self.attempt_over(now, attempt, false),
-            AttemptEvent::Note(_) | AttemptEvent::Lost { .. } => {}
+            AttemptEvent::ProgressNote(_) | AttemptEvent::Lost { .. } => {}
         }
         let Some(running) = self.attempts.get(&attempt) else { return };
         let ends_as = running.ends_as;
         match event {
-            AttemptEvent::Note(_) if ends_as.is_some() => {}
-            AttemptEvent::Note(note) => {
+            AttemptEvent::ProgressNote(_) if ends_as.is_some() => {}
+            AttemptEvent::ProgressNote(note) => {
                 let request = RequestId(attempt.request);
                 self.decide(now, Event::AttemptNote { request, attempt: attempt.number, note }, out);
             }
@@ -57,7 +57,7 @@
         if let Some(open) = self.requests.remove(&request) {
             self.accounting.count_disconnected(&self.front, &self.roster, &open);
             log::debug!(
-                request, name = open.incoming.name.as_str(), age_ms = (now - open.received_at).as_ms(),
+                request, name = open.incoming.client_request_id.as_str(), age_ms = (now - open.received_at).as_ms(),
                 state:? = open.state;
                 "client disconnected"
             );
@@ -84,7 +84,9 @@
             let answer = Answer::Rejected { retry_after: Micros(0), reason: None };
             self.answer(now, request, answer, out);
         } else {
-            out.push(Command::Log(format!("request {request} failed: its deadline passed and the scheduler had not answered it")));
+            out.push(Command::Log(format!(
+                "request {request} failed: its deadline passed and the scheduler had not answered it"
+            )));
             self.answer(now, request, Answer::Failed(None), out);
             self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -102,7 +102,7 @@
         open.state = RequestState::Running(attempt.number);
         log::debug!(
             request:% = attempt,
-            name = open.incoming.name.as_str(),
+            name = open.incoming.client_request_id.as_str(),
             class = open.incoming.class.as_str(),
             engine = self.engines.get(&engine).map_or("?", |known| known.name.as_str()),
             remaining_ms = (deadline - now).as_ms();
@@ -238,9 +238,9 @@
         let engine = self.engines.get(&ended.engine).map_or("?", |engine| &engine.name);
         let open = self.requests.get(&attempt.request);
         let class = open.map_or("-", |open| &open.incoming.class);
-        let name = open.map_or("-", |open| &open.incoming.name);
+        let client_request_id = open.map_or("-", |open| &open.incoming.client_request_id);
         log::debug!(
-            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={name}",
+            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={client_request_id}",
             ended.sent_at.0,
             (now - ended.sent_at).0
         );
@@ -251,7 +251,7 @@
 fn call(open: &OpenRequest, permit: SendPermit) -> Call {
     Call {
         permit,
-        name: open.incoming.name.clone(),
+        client_request_id: open.incoming.client_request_id.clone(),
         class: open.incoming.class.clone(),
         idempotency_key: open.incoming.idempotency_key.clone(),
         statement: open.incoming.statement.clone(),
--- a/src/core/execution_guard/mod.rs
+++ b/src/core/execution_guard/mod.rs
@@ -77,7 +77,7 @@
     /// Returns the one or two identities of a request.
     fn all_of(request: &IncomingRequest) -> impl Iterator<Item = Identity> {
         let key = request.idempotency_key.clone().map(Identity::Key);
-        std::iter::once(Identity::Name(request.name.clone())).chain(key)
+        std::iter::once(Identity::Name(request.client_request_id.clone())).chain(key)
     }
 }
 
--- a/src/core/execution_guard/tests.rs
+++ b/src/core/execution_guard/tests.rs
@@ -6,10 +6,10 @@
 
 const KEYED: Effect = Effect::Keyed { scope: DedupScope::All, window_ms: 1000.0 };
 
-fn request(name: &str, key: Option<&str>) -> IncomingRequest {
+fn request(client_request_id: &str, key: Option<&str>) -> IncomingRequest {
     IncomingRequest {
         id: 0,
-        name: name.to_owned(),
+        client_request_id: client_request_id.to_owned(),
         class: "load".to_owned(),
         tenant: None,
         idempotency_key: key.map(str::to_owned),
@@ -46,15 +46,15 @@
 #[case("a", None)]
 #[case("b", Some("key"))]
 fn a_request_with_the_name_or_key_of_an_attempt_in_flight_is_withheld(
-    #[case] name: &str,
+    #[case] client_request_id: &str,
     #[case] key: Option<&str>,
 ) {
     let (mut guard, attempt) = guard(KEYED);
     guard.request_closed(1, &request("a", Some("key")));
-    let withheld = guard.admit(2, &request(name, key));
+    let withheld = guard.admit(2, &request(client_request_id, key));
     assert_eq!(withheld, Err(Withheld { attempts: vec![attempt] }));
     assert_eq!(guard.attempt_over(attempt, false), vec![2]);
-    assert!(guard.admit(2, &request(name, key)).is_ok());
+    assert!(guard.admit(2, &request(client_request_id, key)).is_ok());
 }
 
 #[test]
@@ -72,7 +72,10 @@
     assert!(guard.admit(2, &request("b", Some("key"))).is_err());
     guard.request_closed(2, &request("b", Some("key")));
     assert_eq!(guard.attempt_over(attempt, false), Vec::<u64>::new());
-    assert!(guard.activities.is_empty() && guard.histories.is_empty(), "the guard still stores state of closed requests");
+    assert!(
+        guard.activities.is_empty() && guard.histories.is_empty(),
+        "the guard still stores state of closed requests"
+    );
 }
 
 #[rstest]
@@ -134,7 +137,7 @@
 #[case::after_the_window("b", Some("key"), KEYED, 996.0, Some(Violation::OutsideDeduplicationWindow))]
 #[case::another("b", Some("other"), Effect::Once, 10.0, None)]
 fn a_request_that_comes_again_goes_by_its_first_execution(
-    #[case] name: &str,
+    #[case] client_request_id: &str,
     #[case] key: Option<&str>,
     #[case] effect: Effect,
     #[case] now_ms: f64,
@@ -143,7 +146,7 @@
     let (mut guard, attempt) = guard(effect);
     guard.request_closed(1, &request("a", Some("key")));
     guard.attempt_over(attempt, false);
-    let execution = guard.admit(2, &request(name, key)).expect("nothing is in flight");
+    let execution = guard.admit(2, &request(client_request_id, key)).expect("nothing is in flight");
     assert_eq!(execution.is_some(), key != Some("other"));
     assert_eq!(guard.may_start(&start(2, now_ms, effect)).err(), expected);
 }
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -40,7 +40,7 @@
             attempts: self.accounting.attempts.clone(),
             tenants: self.roster.tenants().filter_map(|(slot, _)| self.tenant_report(slot)).collect(),
             attempts_in_flight: self.guard.in_flight(),
-            withheld: self.accounting.withheld,
+            deferred: self.accounting.deferred,
             violations: self.guard.violations(),
             unknown_tenants: self.roster.unknown_tenants(),
             stopping: self.rejects_new_requests,
@@ -70,7 +70,7 @@
     fn request_reports(&self, now: Micros) -> Vec<RequestReport> {
         let requests = self.requests.iter().map(|(id, open)| RequestReport {
             id: *id,
-            name: open.incoming.name.clone(),
+            client_request_id: open.incoming.client_request_id.clone(),
             class: open.incoming.class.clone(),
             tenant: open.incoming.tenant.clone(),
             age_ms: (now - open.received_at).as_ms(),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -29,7 +29,7 @@
     );
     let incoming = IncomingRequest {
         id: 1,
-        name: "r".to_owned(),
+        client_request_id: "r".to_owned(),
         class: "lookup".to_owned(),
         tenant: None,
         idempotency_key: None,
@@ -58,7 +58,7 @@
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
     assert_eq!(launches(&out), 1);
-    let hopeless = AttemptEvent::Note(AttemptNote::Progress(0.001));
+    let hopeless = AttemptEvent::ProgressNote(AttemptNote::Progress(0.001));
     let out = attempt_event(&mut core, 1_000_000, 0, hopeless);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
--- a/src/core/types/attempt.rs
+++ b/src/core/types/attempt.rs
@@ -27,7 +27,7 @@
     /// Permits the connection to write the call, and bounds how long the client waits for the result.
     pub permit: SendPermit,
     /// The client request id.
-    pub name: String,
+    pub client_request_id: String,
     /// The name of the request's class.
     pub class: String,
     /// The idempotency key, if the client sent one.
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
     /// The engine is executing the attempt, and sent a progress note.
-    Note(AttemptNote),
+    ProgressNote(AttemptNote),
     /// The attempt ended with a result.
     Served {
         /// The complete result.
--- a/src/core/types/report.rs
+++ b/src/core/types/report.rs
@@ -24,7 +24,7 @@
     pub attempts_in_flight: usize,
     /// How often a request was deferred because its client request id or idempotency key was in use.
     #[serde(skip)]
-    pub withheld: u64,
+    pub deferred: u64,
     /// Attempts that the execution guard denied, by the violated rule.
     #[serde(skip)]
     pub violations: BTreeMap<&'static str, u64>,
@@ -78,7 +78,8 @@
     /// The request id.
     pub id: u64,
     /// The client request id.
-    pub name: String,
+    #[serde(rename = "name")]
+    pub client_request_id: String,
     /// The name of the request's class.
     pub class: String,
     /// The tenant's name; `None` if the request has none.
--- a/src/core/types/request.rs
+++ b/src/core/types/request.rs
@@ -31,7 +31,7 @@
     pub id: u64,
     /// The client request id: the client's own identifier of the request. Engines receive it unchanged, and a client
     /// that resends a request uses it again.
-    pub name: String,
+    pub client_request_id: String,
     /// The name of the request's class in the settings.
     pub class: String,
     /// The tenant's name; `None` if the client sent none.
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -74,7 +74,7 @@
             Some(key) if !is_sendable_name(key) => return Err(Invalid::Text("the idempotency key")),
             _ => {}
         }
-        if !is_sendable_name(&incoming.name) {
+        if !is_sendable_name(&incoming.client_request_id) {
             return Err(Invalid::Text("the request's id"));
         }
         if incoming.statement.trim().is_empty() || incoming.statement.len() > MAX_STATEMENT_BYTES {
@@ -83,7 +83,7 @@
         if incoming.time_budget.0 <= 0 || incoming.time_budget > MAX_TIME_BUDGET {
             return Err(Invalid::TimeBudget);
         }
-        if self.open_names.contains(&incoming.name) {
+        if self.open_names.contains(&incoming.client_request_id) {
             return Err(Invalid::Duplicate);
         }
         Ok(class)
--- a/src/frontend/http/connection.rs
+++ b/src/frontend/http/connection.rs
@@ -104,7 +104,7 @@
 
     /// Submits a request and waits for its answer; `None` if the client closed the connection first.
     pub(super) async fn submit(&mut self, frontend: &Http, request: IncomingRequest) -> Option<Response> {
-        let name = request.name.clone();
+        let name = request.client_request_id.clone();
         let Ok(mut submitted) = frontend.service.submit(request).await else {
             return Some(frontend.response(&name, Answer::Failed(None)));
         };
--- a/src/frontend/http/routes.rs
+++ b/src/frontend/http/routes.rs
@@ -60,7 +60,7 @@
     let statement = statement.map_err(|_| unusable(400, "the statement must be UTF-8"))?;
     Ok(IncomingRequest {
         id: 0,
-        name: name.to_owned(),
+        client_request_id: name.to_owned(),
         class: class.to_owned(),
         tenant: optional_field(request, "X-Merchant")?.map(str::to_owned),
         idempotency_key: optional_field(request, "X-Txn-Key")?.map(str::to_owned),
--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -116,7 +116,7 @@
         };
         Ok(IncomingRequest {
             id: 0,
-            name: self.next_name(),
+            client_request_id: self.next_name(),
             class: hint("class").unwrap_or(&self.default_class).to_owned(),
             tenant: Some(tenant.to_owned()).filter(|tenant| !tenant.is_empty()),
             idempotency_key: hint("key").map(str::to_owned),
--- a/src/upstream/line_protocol/connection/commands.rs
+++ b/src/upstream/line_protocol/connection/commands.rs
@@ -59,7 +59,7 @@
     fn begin(&mut self, attempt: AttemptId, call: Call, now: Micros, remaining: Micros) {
         let patience = parse::remaining_ms(remaining.to_duration());
         let key = call.idempotency_key.map(|key| format!(",op={key}")).unwrap_or_default();
-        let Call { name, class, priority, statement, .. } = call;
+        let Call { client_request_id: name, class, priority, statement, .. } = call;
         let length = statement.len();
         self.output.begin(
             name.clone(),
--- a/src/upstream/line_protocol/connection/responses.rs
+++ b/src/upstream/line_protocol/connection/responses.rs
@@ -50,7 +50,7 @@
             ResponseKind::Ok | ResponseKind::Page => self.page(response).await,
             ResponseKind::Status => {
                 if let Some(note) = response.fields.note {
-                    self.context.news(attempt, AttemptEvent::Note(note)).await?;
+                    self.context.news(attempt, AttemptEvent::ProgressNote(note)).await?;
                 }
                 Ok(())
             }
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -70,7 +70,7 @@
 /// The name of the request that a command starts an attempt of.
 fn request_name(command: &EndpointCommand) -> Option<&str> {
     match command {
-        EndpointCommand::Start { call, .. } => Some(&call.name),
+        EndpointCommand::Start { call, .. } => Some(&call.client_request_id),
         _ => None,
     }
 }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -207,7 +207,7 @@
                 // An engine that runs a request reports on it all the time. Whether the engine itself hangs is for the
                 // health checks to find, which have connections of their own.
                 () = tokio::time::sleep_until(silent_at.into()), if limits.reports_progress => {
-                    log::warn!("a TDS engine says no more of request {}: given up there", self.call.name);
+                    log::warn!("a TDS engine says no more of request {}: given up there", self.call.client_request_id);
                     return Finish::Broken(ConnectionEnd::RequestSilent);
                 }
             };
@@ -233,7 +233,7 @@
             Token::Row(row) => self.row(row)?,
             Token::Info { number: INFO_PROGRESS, text } => match progress(&text) {
                 Some(Progress::Note(note)) => {
-                    let notified = self.context.news(self.id, AttemptEvent::Note(note)).await;
+                    let notified = self.context.news(self.id, AttemptEvent::ProgressNote(note)).await;
                     notified.map_err(|ServiceEnded| ConnectionEnd::Cancelled)?;
                 }
                 Some(Progress::Usage(usage)) => self.usage = Some(usage),
@@ -275,7 +275,7 @@
     let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
         "/*id='{}',class='{}',priority='{}',ttl_ms='{}'{key}*/ {}",
-        call.name,
+        call.client_request_id,
         call.class,
         call.priority,
         (remaining.0 / 1000).max(1),
--- a/tests/attempts_in_flight.rs
+++ b/tests/attempts_in_flight.rs
@@ -138,7 +138,11 @@
     service.engines[0].pause(true);
     service.drain_first();
     std::thread::sleep(ANSWERED_WITHIN);
-    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the close of the connection");
+    assert_eq!(
+        service.elsewhere(),
+        0,
+        "a second attempt started before the engine read the close of the connection"
+    );
     service.engines[0].pause(false);
     wait_until("it is retried", || service.elsewhere() == 1);
     drop(client);
@@ -193,7 +197,11 @@
     std::thread::sleep(BEFORE_GIVE_UP);
     service.engines[0].pause(true);
     std::thread::sleep(BEYOND_GIVE_UP);
-    assert_eq!(service.elsewhere(), 0, "a second attempt started before the engine read the close of the connection");
+    assert_eq!(
+        service.elsewhere(),
+        0,
+        "a second attempt started before the engine read the close of the connection"
+    );
     service.engines[0].pause(false);
     wait_until("requests are retried", || service.elsewhere() > 0);
     drop(clients);
