--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -52,8 +52,8 @@
 }
 
 impl Accounting {
-    /// Removes the counts of a removed tenant, because its slot is assigned again.
-    pub(super) fn forget(&mut self, slot: Slot) {
+    /// Removes the counts of a removed tenant, because the roster may assign its slot to another tenant.
+    pub(super) fn remove_tenant(&mut self, slot: Slot) {
         let tenant_slot = Some(slot);
         let first = AnswerKey { tenant_slot, class: 0 };
         let last = AnswerKey { tenant_slot, class: usize::MAX };
@@ -71,13 +71,13 @@
     /// Counts a request by its final answer.
     pub(super) fn count_answer(
         &mut self,
-        front: &Front,
+        service_settings: &Front,
         roster: &Roster,
         open: &OpenRequest,
         answer: &Answer,
         now: Micros,
     ) {
-        let counts = self.counts_of(front, roster, open);
+        let counts = self.counts_of(service_settings, roster, open);
         match answer {
             Answer::Served(_) => {
                 counts.served += 1;
@@ -90,16 +90,26 @@
     }
 
     /// Counts a request whose client disconnected before its answer.
-    pub(super) fn count_disconnected(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) {
-        self.counts_of(front, roster, open).disconnected += 1;
+    pub(super) fn count_disconnected(
+        &mut self,
+        service_settings: &Front,
+        roster: &Roster,
+        open: &OpenRequest,
+    ) {
+        self.counts_of(service_settings, roster, open).disconnected += 1;
     }
 
-    fn counts_of(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) -> &mut AnswerCounts {
+    fn counts_of(
+        &mut self,
+        service_settings: &Front,
+        roster: &Roster,
+        open: &OpenRequest,
+    ) -> &mut AnswerCounts {
         let key = AnswerKey { tenant_slot: open.tenant_slot, class: open.class };
         self.answers.entry(key).or_insert_with(|| {
             let tenant = open.tenant_slot.and_then(|slot| roster.tenant(slot));
             AnswerCounts {
-                class: front.classes[open.class].clone(),
+                class: service_settings.classes[open.class].clone(),
                 tenant: tenant.map_or(String::new(), |tenant| tenant.name.clone()),
                 ..AnswerCounts::default()
             }
@@ -126,7 +136,7 @@
     /// Sends a request's final answer. Removes the request from the table, so that a second answer has no effect.
     pub(super) fn answer(&mut self, now: Micros, request: u64, answer: Answer, out: &mut Vec<Command>) {
         let Some(open) = self.requests.remove(&request) else { return };
-        self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
+        self.accounting.count_answer(&self.service_settings, &self.roster, &open, &answer, now);
         log::debug!(
             request, name = open.incoming.client_request_id.as_str(), class = open.incoming.class.as_str(),
             answer = answer.kind(), age_ms = (now - open.received_at).as_ms(),
@@ -140,9 +150,9 @@
     /// Releases the resources of a request that was removed from the table. Attempts that are not written yet are
     /// never written, because their permits are revoked.
     pub(super) fn close(&mut self, now: Micros, request: u64, open: &OpenRequest, out: &mut Vec<Command>) {
-        self.open_names.remove(&open.incoming.client_request_id);
+        self.open_client_request_ids.remove(&open.incoming.client_request_id);
         debug_assert_eq!(
-            self.open_names.len(),
+            self.open_client_request_ids.len(),
             self.requests.len(),
             "each open request has exactly one client request id in the set"
         );
@@ -150,16 +160,16 @@
             let id = AttemptId { request, number };
             if let Some(attempt) = self.attempts.get(&id) {
                 attempt.permit.revoke();
-                if attempt.ends_as.is_some() {
+                if attempt.pending_outcome.is_some() {
                     self.timers.set(now, Timer::AttemptAbandoned(id));
                 }
             }
         }
         for released in self.guard.request_closed(request, &open.incoming) {
-            self.timers.set(now, Timer::Released(released));
+            self.timers.set(now, Timer::DeferredRequestReleased(released));
         }
         let released_slot =
             open.tenant_slot.and_then(|slot| self.roster.request_closed(slot, (now - open.received_at).0));
-        self.forget_tenant(now, released_slot, out);
+        self.delete_released_tenant(now, released_slot, out);
     }
 }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -10,7 +10,7 @@
 const MIN_TIMER_DELAY: Micros = Micros(1);
 
 impl Core {
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
+    pub(super) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send { request, engine, timeout_ms } => {
                 self.start_attempt(now, request.0, engine.0, Micros::from_ms(timeout_ms), out);
@@ -30,7 +30,7 @@
             Action::HealthCheck(engine) => out.push(Command::HealthCheck { engine: engine.0 }),
             Action::Timer { token, after_ms } => {
                 let delay = Micros::from_ms(after_ms).max(MIN_TIMER_DELAY);
-                self.timers.set(now + delay, Timer::Gateway(token));
+                self.timers.set(now + delay, Timer::Scheduler(token));
             }
             Action::Subscribe => {} // service discovery polls the name service independently of this action
             Action::Log(message) => out.push(Command::Log(message.to_string())),
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,6 +1,6 @@
 //! Rejects a valid request, or admits it and submits it to the scheduler.
 
-use super::execution_guard::Withheld;
+use super::execution_guard::Deferred;
 use super::{Answer, AttemptId, Command, Core, IncomingRequest, Invalid, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{ClassId, Event, PriorExecution, Request, RequestId, TenantId};
@@ -28,9 +28,9 @@
 
     fn admit(&mut self, now: Micros, mut open: OpenRequest, out: &mut Vec<Command>) {
         let request = open.incoming.id;
-        if self.rejects_new_requests || self.requests.len() >= self.max_open {
+        if self.rejects_new_requests || self.requests.len() >= self.max_open_requests {
             let answer = Answer::Rejected { retry_after: RETRY_AFTER_OVERLOAD, reason: None };
-            self.accounting.count_answer(&self.front, &self.roster, &open, &answer, now);
+            self.accounting.count_answer(&self.service_settings, &self.roster, &open, &answer, now);
             out.push(Command::Answer { request, answer });
             return;
         }
@@ -39,16 +39,16 @@
             return;
         }
         self.timers.set(open.deadline, Timer::RequestDeadline(request));
-        self.open_names.insert(open.incoming.client_request_id.clone());
+        self.open_client_request_ids.insert(open.incoming.client_request_id.clone());
         self.requests.insert(request, open);
-        self.hand_over(now, request, out);
+        self.submit_to_scheduler(now, request, out);
     }
 
     /// Submits an admitted request to the scheduler, or defers it if its client request id or idempotency key is
     /// in use.
-    pub(super) fn hand_over(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
+    pub(super) fn submit_to_scheduler(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         let Some(open) = self.requests.get_mut(&request) else { return };
-        let admitted = self.guard.admit(request, &open.incoming);
+        let admitted = self.guard.register(request, &open.incoming);
         log::debug!(
             request,
             name = open.incoming.client_request_id.as_str(),
@@ -60,7 +60,7 @@
         );
         let execution = match admitted {
             Ok(execution) => execution,
-            Err(Withheld { attempts }) => {
+            Err(Deferred { attempts }) => {
                 open.state = RequestState::Withheld;
                 self.accounting.deferred += 1;
                 self.confirm_cancellations(&attempts, out);
@@ -83,7 +83,7 @@
                 cell: first.cell,
             }),
         });
-        self.decide(now, event, out);
+        self.notify_scheduler(now, event, out);
     }
 
     /// Requests that engines confirm the cancellation of these attempts of closed requests, because a deferred
@@ -106,7 +106,7 @@
             return Ok(());
         }
         let name = open.incoming.tenant.as_deref().unwrap_or("");
-        let class = &self.front.classes[open.class];
+        let class = &self.service_settings.classes[open.class];
         let admission = AdmissionRequest { class, statement_bytes: open.incoming.statement.len() };
         match self.roster.admit(now.0, name, &admission) {
             Ok(slot) => {
@@ -123,7 +123,7 @@
                 open.tenant_slot = self.roster.slot(name);
                 let retry_after = Micros(rejection.retry_after_us);
                 let answer = Answer::Rejected { retry_after, reason: Some(rejection.reason) };
-                self.accounting.count_answer(&self.front, &self.roster, open, &answer, now);
+                self.accounting.count_answer(&self.service_settings, &self.roster, open, &answer, now);
                 Err(answer)
             }
         }
@@ -137,14 +137,14 @@
             open.deadline = at;
             self.timers.set(at, Timer::RequestDeadline(*request));
         }
-        self.decide(now, Event::ShutdownBy(at.as_ms()), out);
+        self.notify_scheduler(now, Event::ShutdownBy(at.as_ms()), out);
     }
 
     /// Reduces the limit of open requests by the connections of another process of this manager, because the
     /// connections of both processes count against one limit. At least one open request stays possible.
     pub(super) fn peer_process_connections(&mut self, connections: usize) {
-        let limit = self.front.settings.limits.max_open_requests;
+        let limit = self.service_settings.settings.limits.max_open_requests;
         let remaining = limit.map(|limit| limit.saturating_sub(connections).max(1));
-        self.gateway.set_max_open_requests(remaining);
+        self.scheduler.set_max_open_requests(remaining);
     }
 }
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -16,17 +16,21 @@
         out: &mut Vec<Command>,
     ) {
         match &event {
-            AttemptEvent::Ended { end, .. } => self.attempt_over(now, attempt, end.outcome().never_ran()),
-            AttemptEvent::Served { .. } => self.attempt_over(now, attempt, false),
+            AttemptEvent::Ended { end, .. } => self.attempt_ended(now, attempt, end.outcome().never_ran()),
+            AttemptEvent::Served { .. } => self.attempt_ended(now, attempt, false),
             AttemptEvent::ProgressNote(_) | AttemptEvent::Lost { .. } => {}
         }
         let Some(running) = self.attempts.get(&attempt) else { return };
-        let ends_as = running.ends_as;
+        let pending_outcome = running.pending_outcome;
         match event {
-            AttemptEvent::ProgressNote(_) if ends_as.is_some() => {}
+            AttemptEvent::ProgressNote(_) if pending_outcome.is_some() => {}
             AttemptEvent::ProgressNote(note) => {
                 let request = RequestId(attempt.request);
-                self.decide(now, Event::AttemptNote { request, attempt: attempt.number, note }, out);
+                self.notify_scheduler(
+                    now,
+                    Event::AttemptNote { request, attempt: attempt.number, note },
+                    out,
+                );
             }
             AttemptEvent::Served { table, usage, report } => {
                 let answer = self.answer_with(attempt.request, table);
@@ -35,7 +39,7 @@
             }
             AttemptEvent::Lost { end } => self.attempt_lost(now, attempt, end.outcome(), out),
             AttemptEvent::Ended { end, report } => {
-                let outcome = ends_as.unwrap_or(end.outcome());
+                let outcome = pending_outcome.unwrap_or(end.outcome());
                 self.end_attempt(now, attempt, AttemptResult { outcome, usage: None, report }, out);
             }
         }
@@ -55,14 +59,14 @@
     /// Closes a request whose client disconnected.
     pub(super) fn client_disconnected(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if let Some(open) = self.requests.remove(&request) {
-            self.accounting.count_disconnected(&self.front, &self.roster, &open);
+            self.accounting.count_disconnected(&self.service_settings, &self.roster, &open);
             log::debug!(
                 request, name = open.incoming.client_request_id.as_str(), age_ms = (now - open.received_at).as_ms(),
                 state:? = open.state;
                 "client disconnected"
             );
             self.close(now, request, &open, out);
-            self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
+            self.notify_scheduler(now, Event::ClientDisconnected(RequestId(request)), out);
         }
     }
 
@@ -70,7 +74,7 @@
     pub(super) fn cancel_request(&mut self, now: Micros, request: u64, out: &mut Vec<Command>) {
         if self.requests.contains_key(&request) {
             self.answer(now, request, Answer::Cancelled, out);
-            self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
+            self.notify_scheduler(now, Event::ClientDisconnected(RequestId(request)), out);
         }
     }
 
@@ -88,7 +92,7 @@
                 "request {request} failed: its deadline passed and the scheduler had not answered it"
             )));
             self.answer(now, request, Answer::Failed(None), out);
-            self.decide(now, Event::ClientDisconnected(RequestId(request)), out);
+            self.notify_scheduler(now, Event::ClientDisconnected(RequestId(request)), out);
         }
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! Starts, cancels and ends attempts.
 
-use super::execution_guard::{SendPermit, Start, Violation};
+use super::execution_guard::{ProposedAttempt, SendPermit, Violation};
 use super::{AttemptId, Call, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{AttemptEnd, EngineState, Event, LoadReport, Outcome, RequestId, Usage};
@@ -16,10 +16,10 @@
 pub(super) struct Attempt {
     pub(super) engine: u64,
     tenant_slot: Option<Slot>,
-    sent_at: Micros,
+    started_at: Micros,
     pub(super) permit: SendPermit,
     /// Set when the attempt is cancelled or lost: the outcome to record once the engine has discarded the attempt.
-    pub(super) ends_as: Option<Outcome>,
+    pub(super) pending_outcome: Option<Outcome>,
 }
 
 /// The outcome of an attempt, and what the engine reported with it.
@@ -58,27 +58,27 @@
             "the scheduler started an attempt of request {request}, which is closed"
         );
         let Some(open) = self.requests.get_mut(&request) else {
-            self.guard.count(Violation::RequestClosed);
+            self.guard.count_violation(Violation::RequestClosed);
             return;
         };
-        let settings = &self.front.settings;
+        let settings = &self.service_settings.settings;
         let deadline = if timeout.0 > 0 { open.deadline.min(now + timeout) } else { open.deadline };
         let known = self.engines.get(&engine);
-        let start = Start {
+        let proposed = ProposedAttempt {
             request,
             engine,
             now,
             deadline,
             effect: settings.classes[open.class].effect,
-            window_margin: Micros::from_ms(settings.step_ms),
+            deduplication_margin: Micros::from_ms(settings.step_ms),
             engine_is_ready: known.is_some_and(|known| known.state == EngineState::Ready),
             zone: known.map(|known| known.zone_id).unwrap_or_default(),
             cell: known.and_then(|known| known.cell),
         };
-        let allowed = self.guard.may_start(&start);
+        let allowed = self.guard.may_start(&proposed);
         let (attempt, permit) = match allowed {
-            Ok(()) => self.guard.start(&start, &open.incoming),
-            Err(_) => (self.guard.skip_number(request), SendPermit::default()),
+            Ok(()) => self.guard.start(&proposed, &open.incoming),
+            Err(_) => (self.guard.allocate_denied_attempt(request), SendPermit::default()),
         };
         if let Some(slot) = open.tenant_slot {
             self.roster.attempt_started(slot);
@@ -86,9 +86,9 @@
         let running = Attempt {
             engine,
             tenant_slot: open.tenant_slot,
-            sent_at: now,
+            started_at: now,
             permit: permit.clone(),
-            ends_as: None,
+            pending_outcome: None,
         };
         self.attempts.insert(attempt, running);
         if let Some(known) = self.engines.get_mut(&engine) {
@@ -126,10 +126,10 @@
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        if running.ends_as.is_some() {
+        if running.pending_outcome.is_some() {
             return;
         }
-        running.ends_as = Some(outcome);
+        running.pending_outcome = Some(outcome);
         running.permit.revoke();
         let confirm = self.requests.contains_key(&attempt.request);
         log::debug!(
@@ -140,7 +140,7 @@
             "attempt cancelled"
         );
         out.push(Command::CancelAttempt { attempt, engine: running.engine, confirm });
-        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::AttemptForgotten(attempt));
+        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::UnconfirmedAttemptExpired(attempt));
         if !confirm {
             self.timers.set(now, Timer::AttemptAbandoned(attempt));
         }
@@ -157,18 +157,18 @@
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        let outcome = *running.ends_as.get_or_insert(outcome);
+        let outcome = *running.pending_outcome.get_or_insert(outcome);
         running.permit.revoke();
-        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::AttemptForgotten(attempt));
+        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::UnconfirmedAttemptExpired(attempt));
         log::debug!(request:% = attempt, reason:? = outcome; "attempt lost");
         let request = RequestId(attempt.request);
-        self.decide(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
+        self.notify_scheduler(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
     }
 
     /// Ends a cancelled or lost attempt of a closed request without waiting for its engine. For the execution
     /// guard the attempt stays in flight until the engine has discarded it.
     pub(super) fn abandon_attempt(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
-        let outcome = self.attempts.get(&attempt).and_then(|running| running.ends_as);
+        let outcome = self.attempts.get(&attempt).and_then(|running| running.pending_outcome);
         if let Some(outcome) = outcome {
             self.end_attempt(now, attempt, AttemptResult::without_report(outcome), out);
         }
@@ -176,9 +176,9 @@
 
     /// Records that an engine has answered or discarded an attempt, or never received it, and schedules the
     /// release of the requests that were deferred until then.
-    pub(super) fn attempt_over(&mut self, now: Micros, attempt: AttemptId, never_ran: bool) {
-        for released in self.guard.attempt_over(attempt, never_ran) {
-            self.timers.set(now, Timer::Released(released));
+    pub(super) fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, never_executed: bool) {
+        for released in self.guard.attempt_ended(attempt, never_executed) {
+            self.timers.set(now, Timer::DeferredRequestReleased(released));
         }
     }
 
@@ -211,7 +211,7 @@
         self.accounting.count_attempt(outcome);
         self.log_attempt(now, attempt, &ended, outcome);
         let settled = !self.requests.contains_key(&attempt.request);
-        self.guard.concluded(attempt, outcome);
+        self.guard.record_outcome(attempt, outcome);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
             engine.attempts_in_flight -= 1;
         }
@@ -220,14 +220,14 @@
             request: RequestId(attempt.request),
             attempt: attempt.number,
             outcome,
-            elapsed_ms: (now - ended.sent_at).as_ms(),
+            elapsed_ms: (now - ended.started_at).as_ms(),
             settled,
             usage,
             report,
         });
-        self.decide(now, event, out);
-        self.remove_if_gone(ended.engine, out);
-        self.forget_tenant(now, released_slot, out);
+        self.notify_scheduler(now, event, out);
+        self.delete_if_unused(ended.engine, out);
+        self.delete_released_tenant(now, released_slot, out);
     }
 
     /// Logs an attempt's end. Tools parse this line, so its text stays as it is.
@@ -241,8 +241,8 @@
         let client_request_id = open.map_or("-", |open| &open.incoming.client_request_id);
         log::debug!(
             "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={client_request_id}",
-            ended.sent_at.0,
-            (now - ended.sent_at).0
+            ended.started_at.0,
+            (now - ended.started_at).0
         );
     }
 }
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -25,7 +25,7 @@
     pub(super) state: EngineState,
     pub(super) attempts_in_flight: usize,
     /// Whether the engine has answered a health check of this process.
-    has_answered: bool,
+    has_answered_health_check: bool,
 }
 
 /// Returns an engine's number: the 64-bit FNV-1a hash of its name. All managers compute the same number,
@@ -40,39 +40,37 @@
     pub(super) fn update_engines(&mut self, now: Micros, update: EngineListUpdate, out: &mut Vec<Command>) {
         let event = match update {
             EngineListUpdate::Initial(engines) => {
-                EngineListEvent::Restored(self.take_over_engines(engines, out))
+                EngineListEvent::Restored(self.record_engines(engines, out))
             }
             EngineListUpdate::Complete(engines) => {
-                EngineListEvent::Replace(self.take_over_engines(engines, out))
-            }
-            EngineListUpdate::Changed(engines) => {
-                EngineListEvent::Update(self.take_over_engines(engines, out))
+                EngineListEvent::Replace(self.record_engines(engines, out))
             }
+            EngineListUpdate::Changed(engines) => EngineListEvent::Update(self.record_engines(engines, out)),
         };
         if let EngineListEvent::Replace(entries) | EngineListEvent::Restored(entries) = &event {
             self.mark_unlisted_as_removed(entries);
         }
-        self.cancel_unwritten_attempts();
-        self.decide(now, Event::EngineList(event), out);
+        self.revoke_permits_on_unready_engines();
+        self.notify_scheduler(now, Event::EngineList(event), out);
         let engines: Vec<u64> = self.engines.keys().copied().collect();
         for engine in engines {
-            self.remove_if_gone(engine, out);
+            self.delete_if_unused(engine, out);
         }
     }
 
     /// Records engines in the table, and returns their entries for the scheduler.
-    fn take_over_engines(&mut self, engines: Vec<Engine>, out: &mut Vec<Command>) -> Vec<EngineEntry> {
+    fn record_engines(&mut self, engines: Vec<Engine>, out: &mut Vec<Command>) -> Vec<EngineEntry> {
         let mut entries = Vec::with_capacity(engines.len());
         for engine in engines {
             let id = engine_number(&engine.name);
             let cell = engine.cell.map(CellId);
-            let zone_id = ZoneId(number(&mut self.front.zones, &engine.zone));
+            let zone_id = ZoneId(number(&mut self.service_settings.zones, &engine.zone));
             entries.push(EngineEntry {
                 id: EngineId(id),
                 started_at: engine.started_at.map(Micros::as_ms),
                 cell,
                 state: engine.state,
-                kind: KindId(number(&mut self.front.kinds, &engine.kind)),
+                kind: KindId(number(&mut self.service_settings.kinds, &engine.kind)),
                 weight: engine.weight,
                 zone: zone_id,
             });
@@ -91,7 +89,7 @@
                 cell,
                 state: engine.state,
                 attempts_in_flight: before.map_or(0, |known| known.attempts_in_flight),
-                has_answered: before.is_some_and(|known| known.has_answered),
+                has_answered_health_check: before.is_some_and(|known| known.has_answered_health_check),
             };
             self.engines.insert(id, known);
         }
@@ -110,7 +108,7 @@
 
     /// Revokes the permits of attempts on engines that are not ready. An attempt may still be queued, for example
     /// behind a connection that is being established, and such an engine accepts no new attempts.
-    fn cancel_unwritten_attempts(&self) {
+    fn revoke_permits_on_unready_engines(&self) {
         for attempt in self.attempts.values() {
             let engine = self.engines.get(&attempt.engine);
             if !engine.is_some_and(|engine| engine.state == EngineState::Ready) {
@@ -121,10 +119,10 @@
 
     /// Deletes a removed engine from the table if it has no attempts. Otherwise the table would grow, because new
     /// engines are listed continually.
-    pub(super) fn remove_if_gone(&mut self, engine: u64, out: &mut Vec<Command>) {
-        let is_gone =
+    pub(super) fn delete_if_unused(&mut self, engine: u64, out: &mut Vec<Command>) {
+        let is_unused =
             |known: &KnownEngine| known.state == EngineState::Removed && known.attempts_in_flight == 0;
-        if self.engines.get(&engine).is_some_and(is_gone) {
+        if self.engines.get(&engine).is_some_and(is_unused) {
             self.engines.remove(&engine);
             out.push(Command::RemoveEngine { engine });
         }
@@ -134,7 +132,7 @@
     pub(super) fn health_checked(&mut self, now: Micros, result: &HealthCheckResult, out: &mut Vec<Command>) {
         self.log_health_check(now, result);
         if let Some(known) = self.engines.get_mut(&result.engine) {
-            known.has_answered |= result.end == ConnectionEnd::Answered;
+            known.has_answered_health_check |= result.end == ConnectionEnd::Answered;
         }
         let event = Event::HealthChecked {
             engine: EngineId(result.engine),
@@ -142,7 +140,7 @@
             elapsed_ms: result.elapsed.as_ms(),
             report: result.report,
         };
-        self.decide(now, event, out);
+        self.notify_scheduler(now, event, out);
     }
 
     /// Logs a health check; -1 stands for a value that was not reported. Tools parse this line, so its text stays
@@ -166,12 +164,12 @@
     /// selects engines less well than in a process that has been running for a while. If health checks are
     /// disabled, this is always true.
     pub fn engines_checked(&self) -> bool {
-        if !self.front.settings.limits.health_checks {
+        if !self.service_settings.settings.limits.health_checks {
             return true;
         }
         let ready = self.engines.values().filter(|engine| engine.state == EngineState::Ready);
         let ready_count = ready.clone().count();
-        let answered_count = ready.filter(|engine| engine.has_answered).count();
+        let answered_count = ready.filter(|engine| engine.has_answered_health_check).count();
         answered_count * 4 >= ready_count * REQUIRED_CHECKED_QUARTERS
     }
 }
--- a/src/core/learned_state.rs
+++ b/src/core/learned_state.rs
@@ -31,8 +31,8 @@
 impl Core {
     /// Exports the learned state of this process.
     pub fn handover_state(&self) -> HandoverState {
-        let learned = self.gateway.learned_state();
-        let classes = self.front.classes.iter().zip(learned.classes);
+        let learned = self.scheduler.learned_state();
+        let classes = self.service_settings.classes.iter().zip(learned.classes);
         let named_classes = classes.filter_map(|(name, class)| Some((name.clone(), class?)));
         let named_engines = learned.engines.into_iter().filter_map(|entry| {
             let known = self.engines.get(&entry.id.0)?;
@@ -47,7 +47,7 @@
 
     /// Restores state that another process exported `age` ago.
     pub(super) fn restore(&mut self, state: &HandoverState, age: Micros) {
-        let classes = self.front.classes.iter().map(|name| state.classes.get(name).cloned());
+        let classes = self.service_settings.classes.iter().map(|name| state.classes.get(name).cloned());
         let engines = state.engines.iter();
         let numbered_engines = engines.map(|(name, engine)| LearnedEngineEntry {
             id: EngineId(engine_number(name)),
@@ -58,6 +58,6 @@
             classes: classes.collect(),
             engines: numbered_engines.collect(),
         };
-        self.gateway.restore(&learned, age.as_ms());
+        self.scheduler.restore(&learned, age.as_ms());
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -47,13 +47,14 @@
 /// The state of one workload manager.
 ///
 /// Invariants:
-/// - `open_names` has the client request id of each open request.
+/// - `open_client_request_ids` has the client request id of each open request.
 /// - `attempts` has an attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub struct Core {
-    gateway: Gateway,
-    front: Front,
-    max_open: usize,
+    scheduler: Gateway,
+    service_settings: Front,
+    /// The limit of open requests. Further requests are rejected.
+    max_open_requests: usize,
     roster: Roster,
     /// Indexed by the tenant's slot in the roster.
     tenant_shares: Vec<TenantShare>,
@@ -63,7 +64,7 @@
     /// The open requests by id.
     requests: HashMap<u64, OpenRequest>,
     /// The client request ids of the open requests.
-    open_names: HashSet<String>,
+    open_client_request_ids: HashSet<String>,
     attempts: HashMap<AttemptId, Attempt>,
     guard: ExecutionGuard,
     /// By engine number, the hash of the name.
@@ -79,19 +80,19 @@
 }
 
 impl Core {
-    /// Returns a core with the tenants of the settings, without engines or requests. `max_open` bounds the open
-    /// requests; `seed` seeds the scheduler's random numbers.
-    pub fn new(front: Front, max_open: usize, seed: u64, now: Micros) -> Core {
+    /// Returns a core with the tenants of the settings, without engines or requests. `max_open_requests` bounds
+    /// the open requests; `seed` seeds the scheduler's random numbers.
+    pub fn new(service_settings: Front, max_open_requests: usize, seed: u64, now: Micros) -> Core {
         Core {
-            roster: tenants::roster(&front),
-            tenant_shares: front.settings.tenants.iter().map(TenantShare::new).collect(),
+            roster: tenants::roster(&service_settings),
+            tenant_shares: service_settings.settings.tenants.iter().map(TenantShare::new).collect(),
             has_tenant_store: false,
-            gateway: Gateway::new(front.settings.clone(), seed, now.as_ms()),
+            scheduler: Gateway::new(service_settings.settings.clone(), seed, now.as_ms()),
             accounting: Accounting::default(),
-            front,
-            max_open,
+            service_settings,
+            max_open_requests,
             requests: HashMap::new(),
-            open_names: HashSet::new(),
+            open_client_request_ids: HashSet::new(),
             attempts: HashMap::new(),
             guard: ExecutionGuard::default(),
             engines: HashMap::new(),
@@ -141,11 +142,11 @@
     }
 
     /// Passes an event to the scheduler, and applies the actions that it returns.
-    fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
+    fn notify_scheduler(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.action_buffer);
-        self.gateway.handle(now.as_ms(), event, &mut actions);
+        self.scheduler.handle(now.as_ms(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, out);
+            self.apply_action(now, action, out);
         }
         self.action_buffer = actions;
     }
@@ -153,12 +154,12 @@
     fn fire_due_timers(&mut self, now: Micros, out: &mut Vec<Command>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Gateway(token) => self.decide(now, Event::Timer(token), out),
+                Timer::Scheduler(token) => self.notify_scheduler(now, Event::Timer(token), out),
                 Timer::RequestDeadline(request) => self.deadline_passed(now, request, out),
                 Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
                 Timer::AttemptAbandoned(attempt) => self.abandon_attempt(now, attempt, out),
-                Timer::AttemptForgotten(attempt) => self.attempt_over(now, attempt, false),
-                Timer::Released(request) => self.hand_over(now, request, out),
+                Timer::UnconfirmedAttemptExpired(attempt) => self.attempt_ended(now, attempt, false),
+                Timer::DeferredRequestReleased(request) => self.submit_to_scheduler(now, request, out),
                 Timer::AttemptNotSent(attempt) => self.attempt_not_sent(now, attempt, out),
             }
         }
--- a/src/core/open_request.rs
+++ b/src/core/open_request.rs
@@ -19,11 +19,11 @@
     pub(super) state: RequestState,
 }
 
-/// The state of an open request. The log shows the variants' names in its field `state`.
+/// The state of an open request. The log's field `state` shows these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Deferred: another request or attempt uses its client request id or idempotency key. It is not yet submitted
-    /// to the scheduler.
+    /// Deferred: admitted, but not yet submitted to the scheduler, because another request or attempt uses its client
+    /// request id or idempotency key.
     Withheld,
     /// Submitted to the scheduler, and no attempt is in flight.
     Queued,
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -15,7 +15,7 @@
 impl Core {
     /// Returns a line for the log: open requests by class, queued and running, and ended attempts by outcome.
     pub fn state_line(&self) -> String {
-        let mut counts = vec![OpenCounts::default(); self.front.classes.len()];
+        let mut counts = vec![OpenCounts::default(); self.service_settings.classes.len()];
         for open in self.requests.values() {
             let class = &mut counts[open.class];
             match open.state {
@@ -23,7 +23,7 @@
                 RequestState::Running(_) => class.running += 1,
             }
         }
-        let classes = self.front.classes.iter().zip(counts);
+        let classes = self.service_settings.classes.iter().zip(counts);
         let classes: Vec<String> =
             classes.map(|(name, count)| format!("{name} {}+{}", count.queued, count.running)).collect();
         let attempts = self.accounting.attempts.iter();
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -13,7 +13,7 @@
     pub(super) effective: f64,
     /// The share that the scheduler uses. For a suspended tenant it is the last share above 0, so that requests
     /// that are already queued keep their order.
-    in_gateway: f64,
+    scheduler_share: f64,
     /// The id of the tenant's group; `None` if it is in no group.
     group: Option<u64>,
 }
@@ -21,15 +21,15 @@
 impl TenantShare {
     /// Returns the share of a tenant from the settings.
     pub(super) fn new(settings: &TenantSettings) -> TenantShare {
-        TenantShare { effective: settings.share, in_gateway: settings.share, group: None }
+        TenantShare { effective: settings.share, scheduler_share: settings.share, group: None }
     }
 }
 
 /// Returns the roster of the tenants from the settings. Their ids count from 1.
-pub(super) fn roster(front: &Front) -> Roster {
+pub(super) fn roster(service_settings: &Front) -> Roster {
     let mut roster = Roster::default();
-    for (index, name) in front.tenants.iter().enumerate() {
-        let settings = front.settings.tenants[index];
+    for (index, name) in service_settings.tenants.iter().enumerate() {
+        let settings = service_settings.settings.tenants[index];
         roster.set(&Tenant {
             id: TenantId(index as u64 + 1),
             name: name.clone(),
@@ -64,7 +64,7 @@
             }
             TenantUpdate::Removed(id) => {
                 let released_slot = self.roster.remove(id);
-                self.forget_tenant(now, released_slot, out);
+                self.delete_released_tenant(now, released_slot, out);
             }
         }
     }
@@ -74,21 +74,25 @@
         let Some(tenant) = self.roster.tenant(slot) else { return };
         share.effective = effective;
         if effective > 0.0 {
-            share.in_gateway = effective;
+            share.scheduler_share = effective;
         }
         let settings = TenantSettings {
-            share: share.in_gateway,
+            share: share.scheduler_share,
             quota_per_s: tenant.spec.quota_rps,
             group: share.group,
         };
-        self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), settings: Some(settings) }, out);
+        self.notify_scheduler(
+            now,
+            Event::Tenant { tenant: crate::TenantId(slot), settings: Some(settings) },
+            out,
+        );
     }
 
     /// Deletes a removed tenant whose slot the roster has released; does nothing if `slot` is `None`.
-    pub(super) fn forget_tenant(&mut self, now: Micros, slot: Option<Slot>, out: &mut Vec<Command>) {
+    pub(super) fn delete_released_tenant(&mut self, now: Micros, slot: Option<Slot>, out: &mut Vec<Command>) {
         let Some(slot) = slot else { return };
-        self.accounting.forget(slot);
+        self.accounting.remove_tenant(slot);
         self.tenant_shares[slot] = TenantShare::default();
-        self.decide(now, Event::Tenant { tenant: crate::TenantId(slot), settings: None }, out);
+        self.notify_scheduler(now, Event::Tenant { tenant: crate::TenantId(slot), settings: None }, out);
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -9,8 +9,8 @@
         "idempotency":"repeatable","name":"lookup","targetMs":1000,"worth":1}],"discovery":"pushed",
         "models":["std"],"replicasOfMe":1,"report":{},"safety":{"coldFrom":0.33,"overloadFactor":2,
         "tipAfterMs":2000,"warmUpMs":15000},"stepMs":5,"familyInfo":{"kindCores":[8],"tellsEveryMs":500}}"#;
-    let front = crate::settings::parse(env).expect("good settings");
-    let mut core = Core::new(front, 100, 1, Micros(0));
+    let service_settings = crate::settings::parse(env).expect("good settings");
+    let mut core = Core::new(service_settings, 100, 1, Micros(0));
     let engine = |name: &str| Engine {
         name: name.to_owned(),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
@@ -48,7 +48,7 @@
     out
 }
 
-fn launches(commands: &[Command]) -> usize {
+fn started_attempts(commands: &[Command]) -> usize {
     commands.iter().filter(|command| matches!(command, Command::StartAttempt { .. })).count()
 }
 
@@ -57,15 +57,15 @@
 #[test]
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
-    assert_eq!(launches(&out), 1);
-    let hopeless = AttemptEvent::ProgressNote(AttemptNote::Progress(0.001));
-    let out = attempt_event(&mut core, 1_000_000, 0, hopeless);
+    assert_eq!(started_attempts(&out), 1);
+    let slow_progress = AttemptEvent::ProgressNote(AttemptNote::Progress(0.001));
+    let out = attempt_event(&mut core, 1_000_000, 0, slow_progress);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
     core.handle(Micros(1_500_000), Input::Tick, &mut out);
-    assert_eq!(launches(&out), 0, "{out:?}");
+    assert_eq!(started_attempts(&out), 0, "{out:?}");
     let end = AttemptEvent::Ended { end: ConnectionEnd::Cancelled, report: None };
-    assert_eq!(launches(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
+    assert_eq!(started_attempts(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
 }
 
 /// Guards against a second answer to a request. Reports of its attempts after the final answer have no effect.
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer of the scheduler, with the token that the scheduler chose.
-    Gateway(u64),
+    Scheduler(u64),
     /// The deadline of the request with this id passes.
     RequestDeadline(u64),
     /// The timeout of the attempt passes.
@@ -19,9 +19,9 @@
     /// for the engine.
     AttemptAbandoned(AttemptId),
     /// The engine has not confirmed the end of a cancelled or lost attempt in time. The attempt counts as ended.
-    AttemptForgotten(AttemptId),
+    UnconfirmedAttemptExpired(AttemptId),
     /// The deferred request with this id may be submitted to the scheduler.
-    Released(u64),
+    DeferredRequestReleased(u64),
     /// The execution guard denied the attempt, so it was never sent.
     AttemptNotSent(AttemptId),
 }
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -8,10 +8,10 @@
 /// The maximum length of a statement.
 pub const MAX_STATEMENT_BYTES: usize = 256 * 1024;
 /// The maximum length of a client request id or idempotency key.
-const MAX_NAME_BYTES: usize = 128;
+const MAX_IDENTIFIER_BYTES: usize = 128;
 /// The maximum time budget, 1 h. A longer one is a mistake of the client.
 const MAX_TIME_BUDGET: Micros = Micros(3_600_000_000);
-/// The priority of a request until the decision module sets another.
+/// The priority of a request until the scheduler sets another.
 const INITIAL_PRIORITY: u8 = 1;
 
 /// Why a request is not valid. The client receives the text.
@@ -39,16 +39,16 @@
 
 /// Returns whether this text can be sent to engines as a client request id or idempotency key. Commas and equals
 /// signs are separators on the wire.
-fn is_sendable_name(text: &str) -> bool {
+fn is_sendable_identifier(text: &str) -> bool {
     let is_sendable = |c: char| c.is_ascii_graphic() && c != ',' && c != '=';
-    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_sendable)
+    !text.is_empty() && text.len() <= MAX_IDENTIFIER_BYTES && text.chars().all(is_sendable)
 }
 
 impl Core {
     /// Returns the request with its class and deadline, or why it is not valid.
     pub(super) fn validate(&self, now: Micros, incoming: IncomingRequest) -> Result<OpenRequest, Invalid> {
         let class = self.check(&incoming)?;
-        let class_deadline = Micros::from_ms(self.front.settings.classes[class].deadline_ms);
+        let class_deadline = Micros::from_ms(self.service_settings.settings.classes[class].deadline_ms);
         let mut deadline = now + incoming.time_budget.min(class_deadline);
         if let Some(shutdown_by) = self.shutdown_by {
             deadline = deadline.min(shutdown_by);
@@ -66,15 +66,15 @@
 
     /// Checks a request, and returns the index of its class.
     fn check(&self, incoming: &IncomingRequest) -> Result<usize, Invalid> {
-        let class = self.front.classes.iter().position(|name| *name == incoming.class);
+        let class = self.service_settings.classes.iter().position(|name| *name == incoming.class);
         let class = class.ok_or_else(|| Invalid::UnknownClass(incoming.class.clone()))?;
-        let needs_key = matches!(self.front.settings.classes[class].effect, Effect::Keyed { .. });
+        let needs_key = matches!(self.service_settings.settings.classes[class].effect, Effect::Keyed { .. });
         match &incoming.idempotency_key {
             None if needs_key => return Err(Invalid::MissingIdempotencyKey(incoming.class.clone())),
-            Some(key) if !is_sendable_name(key) => return Err(Invalid::Text("the idempotency key")),
+            Some(key) if !is_sendable_identifier(key) => return Err(Invalid::Text("the idempotency key")),
             _ => {}
         }
-        if !is_sendable_name(&incoming.client_request_id) {
+        if !is_sendable_identifier(&incoming.client_request_id) {
             return Err(Invalid::Text("the request's id"));
         }
         if incoming.statement.trim().is_empty() || incoming.statement.len() > MAX_STATEMENT_BYTES {
@@ -83,7 +83,7 @@
         if incoming.time_budget.0 <= 0 || incoming.time_budget > MAX_TIME_BUDGET {
             return Err(Invalid::TimeBudget);
         }
-        if self.open_names.contains(&incoming.client_request_id) {
+        if self.open_client_request_ids.contains(&incoming.client_request_id) {
             return Err(Invalid::Duplicate);
         }
         Ok(class)
