--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the state of these tenants; ids that are not in the roster are omitted.
-    pub fn usage(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
+    pub fn tenant_reports(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
         let slots = ids.iter().filter_map(|id| self.roster.slot_of(*id));
         let reports = slots.filter_map(|slot| self.tenant_report(slot));
         reports.map(|report| (report.id, report)).collect()
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -86,7 +86,7 @@
     fn reply(&self, now: Micros, query: Query) {
         match query {
             Query::Report(reply) => drop(reply.send(self.core.report(now))),
-            Query::Usage { tenants, reply } => drop(reply.send(self.core.usage(&tenants))),
+            Query::Usage { tenants, reply } => drop(reply.send(self.core.tenant_reports(&tenants))),
             Query::OpenRequests(reply) => drop(reply.send(self.core.open_requests())),
             Query::EnginesChecked(reply) => drop(reply.send(self.core.engines_checked())),
             Query::HandoverState(reply) => drop(reply.send(self.core.handover_state())),
