--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine of the service, without I/O and without a clock. [`Core::handle`] takes one event and its time,
-//! and returns the commands that the caller executes.
+//! The state machine of the service, without I/O and without a clock. [`Core::handle`] takes one event and its
+//! time, and appends the resulting commands to a list, which the caller executes.
 //!
 //! A request passes these stages in order:
 //!
