--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,28 +1,28 @@
 //! Starts, cancels and ends attempts.
 
-use super::execution_guard::{SendPermit, Start, Violation};
+use super::execution_guard::{ProposedAttempt, SendPermit, Violation};
 use super::{AttemptId, Call, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
 use crate::decision::{AttemptEnd, EngineState, Event, LoadReport, Outcome, RequestId, Usage};
 use sanddyke_tenancy::Slot;
 
-/// After this long without a sign from its engine, an attempt no longer holds others with its name or key back: longer
-/// than engines hang, and than clients retry.
+/// An attempt that was cancelled or lost, and whose end the engine has not confirmed, counts as ended after this
+/// time. Requests with its client request id or idempotency key are deferred until then. The time is longer than
+/// engines hang and longer than clients retry.
 const UNCONFIRMED_RETENTION: Micros = Micros(120_000_000);
 
-/// An attempt whose end the decision module does not know yet.
+/// An attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) engine: u64,
     tenant_slot: Option<Slot>,
-    sent_at: Micros,
+    started_at: Micros,
     pub(super) permit: SendPermit,
-    /// The outcome that the decision module is notified of once the engine has dropped the attempt; set when the
-    /// attempt is cancelled or lost.
-    pub(super) ends_as: Option<Outcome>,
+    /// Set when the attempt is cancelled or lost: the outcome to record once the engine has discarded the attempt.
+    pub(super) pending_outcome: Option<Outcome>,
 }
 
-/// How an attempt ended, and what its engine reported with the end.
+/// The outcome of an attempt, and what the engine reported with it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
@@ -31,19 +31,20 @@
 }
 
 impl AttemptResult {
-    /// The end of an attempt that was served.
+    /// The result of a served attempt.
     pub(super) fn served(usage: Option<Usage>, report: Option<LoadReport>) -> AttemptResult {
         AttemptResult { outcome: Outcome::Served, usage, report }
     }
 
-    /// An end of which the engine reported nothing.
+    /// An outcome with which the engine reported nothing.
     fn without_report(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, usage: None, report: None }
     }
 }
 
 impl Core {
-    /// Starts an attempt of an open request on an engine, unless the guard denies it.
+    /// Starts an attempt of an open request on an engine, unless the execution guard denies it. `timeout` bounds
+    /// the attempt; 0 means that only the request's deadline does.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -54,30 +55,30 @@
     ) {
         debug_assert!(
             self.requests.contains_key(&request),
-            "an attempt of request {request}, which is closed"
+            "the scheduler started an attempt of request {request}, which is closed"
         );
         let Some(open) = self.requests.get_mut(&request) else {
-            self.guard.count(Violation::RequestClosed);
+            self.guard.count_violation(Violation::RequestClosed);
             return;
         };
-        let settings = &self.front.settings;
+        let settings = &self.service_settings.settings;
         let deadline = if timeout.0 > 0 { open.deadline.min(now + timeout) } else { open.deadline };
         let known = self.engines.get(&engine);
-        let start = Start {
+        let proposed = ProposedAttempt {
             request,
             engine,
             now,
             deadline,
             effect: settings.classes[open.class].effect,
-            window_margin: Micros::from_ms(settings.step_ms),
+            deduplication_margin: Micros::from_ms(settings.step_ms),
             engine_is_ready: known.is_some_and(|known| known.state == EngineState::Ready),
             zone: known.map(|known| known.zone_id).unwrap_or_default(),
             cell: known.and_then(|known| known.cell),
         };
-        let allowed = self.guard.may_start(&start);
+        let allowed = self.guard.may_start(&proposed);
         let (attempt, permit) = match allowed {
-            Ok(()) => self.guard.start(&start, &open.incoming),
-            Err(_) => (self.guard.skip_number(request), SendPermit::default()),
+            Ok(()) => self.guard.start(&proposed, &open.incoming),
+            Err(_) => (self.guard.allocate_denied_attempt(request), SendPermit::default()),
         };
         if let Some(slot) = open.tenant_slot {
             self.roster.attempt_started(slot);
@@ -85,9 +86,9 @@
         let running = Attempt {
             engine,
             tenant_slot: open.tenant_slot,
-            sent_at: now,
+            started_at: now,
             permit: permit.clone(),
-            ends_as: None,
+            pending_outcome: None,
         };
         self.attempts.insert(attempt, running);
         if let Some(known) = self.engines.get_mut(&engine) {
@@ -101,7 +102,7 @@
         open.state = RequestState::Running(attempt.number);
         log::debug!(
             request:% = attempt,
-            name = open.incoming.name.as_str(),
+            name = open.incoming.client_request_id.as_str(),
             class = open.incoming.class.as_str(),
             engine = self.engines.get(&engine).map_or("?", |known| known.name.as_str()),
             remaining_ms = (deadline - now).as_ms();
@@ -112,9 +113,11 @@
         out.push(Command::StartAttempt { attempt, engine, call });
     }
 
-    /// Cancels an attempt. Where its request is still open, the decision module is notified only once the engine has
-    /// dropped it: an engine that is paused reads nothing, and an attempt sent meanwhile would be executed beside the
-    /// first.
+    /// Cancels an attempt.
+    ///
+    /// While the request is open, the scheduler is notified of the end only once the engine has discarded the
+    /// attempt. A paused engine does not read the cancellation, so another attempt started in the meantime would
+    /// be executed concurrently with this one.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -123,10 +126,10 @@
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        if running.ends_as.is_some() {
+        if running.pending_outcome.is_some() {
             return;
         }
-        running.ends_as = Some(outcome);
+        running.pending_outcome = Some(outcome);
         running.permit.revoke();
         let confirm = self.requests.contains_key(&attempt.request);
         log::debug!(
@@ -137,14 +140,15 @@
             "attempt cancelled"
         );
         out.push(Command::CancelAttempt { attempt, engine: running.engine, confirm });
-        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::AttemptForgotten(attempt));
+        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::UnconfirmedAttemptExpired(attempt));
         if !confirm {
             self.timers.set(now, Timer::AttemptAbandoned(attempt));
         }
     }
 
-    /// An attempt will have no result, and its engine may still execute it: the decision module learns that at once,
-    /// and of its end once the engine has dropped it, or its request is over.
+    /// Handles the loss of an attempt: it will have no result, but its engine may be executing it still. The
+    /// scheduler is notified of the loss immediately, and of the end once the engine has discarded the attempt or
+    /// the request is closed.
     pub(super) fn attempt_lost(
         &mut self,
         now: Micros,
@@ -153,40 +157,43 @@
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        let outcome = *running.ends_as.get_or_insert(outcome);
+        let outcome = *running.pending_outcome.get_or_insert(outcome);
         running.permit.revoke();
-        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::AttemptForgotten(attempt));
+        self.timers.set(now + UNCONFIRMED_RETENTION, Timer::UnconfirmedAttemptExpired(attempt));
         log::debug!(request:% = attempt, reason:? = outcome; "attempt lost");
         let request = RequestId(attempt.request);
-        self.decide(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
+        self.notify_scheduler(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
     }
 
-    /// An attempt is to end, and nobody waits for its engine any more.
+    /// Ends a cancelled or lost attempt of a closed request without waiting for its engine. For the execution
+    /// guard the attempt stays in flight until the engine has discarded it.
     pub(super) fn abandon_attempt(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
-        let outcome = self.attempts.get(&attempt).and_then(|running| running.ends_as);
+        let outcome = self.attempts.get(&attempt).and_then(|running| running.pending_outcome);
         if let Some(outcome) = outcome {
             self.end_attempt(now, attempt, AttemptResult::without_report(outcome), out);
         }
     }
 
-    /// An engine has dropped an attempt, or never had it.
-    pub(super) fn attempt_over(&mut self, now: Micros, attempt: AttemptId, never_ran: bool) {
-        for released in self.guard.attempt_over(attempt, never_ran) {
-            self.timers.set(now, Timer::Released(released));
+    /// Records that an engine has answered or discarded an attempt, or never received it, and schedules the
+    /// release of the requests that were deferred until then.
+    pub(super) fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, never_executed: bool) {
+        for released in self.guard.attempt_ended(attempt, never_executed) {
+            self.timers.set(now, Timer::DeferredRequestReleased(released));
         }
     }
 
-    /// An attempt has no result in time.
+    /// Cancels an attempt that has no result within its timeout.
     pub(super) fn attempt_timed_out(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
         self.cancel_attempt(now, attempt, Outcome::TimedOut, out);
     }
 
-    /// An attempt could not be sent.
+    /// Ends an attempt that the execution guard denied, and that was therefore never sent.
     pub(super) fn attempt_not_sent(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Command>) {
         self.end_attempt(now, attempt, AttemptResult::without_report(Outcome::NotSent), out);
     }
 
-    /// Ends an attempt: the one place where it leaves the table and the decision module is notified of its end.
+    /// Removes an attempt from the table, records its outcome, and notifies the scheduler of its end. No other
+    /// code does this.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -204,7 +211,7 @@
         self.accounting.count_attempt(outcome);
         self.log_attempt(now, attempt, &ended, outcome);
         let settled = !self.requests.contains_key(&attempt.request);
-        self.guard.concluded(attempt, outcome);
+        self.guard.record_outcome(attempt, outcome);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
             engine.attempts_in_flight -= 1;
         }
@@ -213,17 +220,17 @@
             request: RequestId(attempt.request),
             attempt: attempt.number,
             outcome,
-            elapsed_ms: (now - ended.sent_at).as_ms(),
+            elapsed_ms: (now - ended.started_at).as_ms(),
             settled,
             usage,
             report,
         });
-        self.decide(now, event, out);
-        self.remove_if_gone(ended.engine, out);
-        self.forget_tenant(now, released_slot, out);
+        self.notify_scheduler(now, event, out);
+        self.delete_if_unused(ended.engine, out);
+        self.delete_released_tenant(now, released_slot, out);
     }
 
-    /// Tools read this line.
+    /// Logs an attempt's end. Tools parse this line, so its text stays as it is.
     fn log_attempt(&self, now: Micros, attempt: AttemptId, ended: &Attempt, outcome: Outcome) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -231,20 +238,20 @@
         let engine = self.engines.get(&ended.engine).map_or("?", |engine| &engine.name);
         let open = self.requests.get(&attempt.request);
         let class = open.map_or("-", |open| &open.incoming.class);
-        let name = open.map_or("-", |open| &open.incoming.name);
+        let client_request_id = open.map_or("-", |open| &open.incoming.client_request_id);
         log::debug!(
-            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={name}",
-            ended.sent_at.0,
-            (now - ended.sent_at).0
+            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={client_request_id}",
+            ended.started_at.0,
+            (now - ended.started_at).0
         );
     }
 }
 
-/// What an engine is sent for a request.
+/// Returns the content of an attempt of this request.
 fn call(open: &OpenRequest, permit: SendPermit) -> Call {
     Call {
         permit,
-        name: open.incoming.name.clone(),
+        client_request_id: open.incoming.client_request_id.clone(),
         class: open.incoming.class.clone(),
         idempotency_key: open.incoming.idempotency_key.clone(),
         statement: open.incoming.statement.clone(),
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -1,4 +1,4 @@
-//! The engines that are listed, or still have attempts in flight.
+//! The table of engines: those in the endpoint list, and removed ones that still have attempts.
 
 use super::{Command, ConnectionEnd, Core, Engine, EngineListUpdate, HealthCheckResult};
 use crate::clock::Micros;
@@ -6,15 +6,15 @@
 use crate::settings::number;
 use std::collections::HashSet;
 
-/// Before a new process is ready, this many quarters of the engines must have answered: one that is cut off must not
-/// keep a new version from its work.
+/// The quarters of the ready engines that must have answered a health check before a new process is ready. It is
+/// not all of them, because one unreachable engine must not block the start of a new version.
 const REQUIRED_CHECKED_QUARTERS: usize = 3;
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// An engine that is listed, or still has attempts in flight.
+/// An engine in the endpoint list, or a removed one that still has attempts.
 #[derive(Debug)]
 pub(super) struct KnownEngine {
     pub(super) name: String,
@@ -24,55 +24,53 @@
     pub(super) cell: Option<CellId>,
     pub(super) state: EngineState,
     pub(super) attempts_in_flight: usize,
-    /// It has answered a health check.
-    has_answered: bool,
+    /// Whether the engine has answered a health check of this process.
+    has_answered_health_check: bool,
 }
 
-/// An engine's number: the FNV-1a hash of its name. All managers give an engine the same number, in whatever order
-/// they learn of engines.
+/// Returns an engine's number: the 64-bit FNV-1a hash of its name. All managers compute the same number,
+/// independently of the order in which they receive the engines.
 pub(super) fn engine_number(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     name.bytes().fold(FNV_OFFSET_BASIS, step)
 }
 
 impl Core {
-    /// Takes over an update of the engine list.
+    /// Applies an update of the engine list.
     pub(super) fn update_engines(&mut self, now: Micros, update: EngineListUpdate, out: &mut Vec<Command>) {
         let event = match update {
             EngineListUpdate::Initial(engines) => {
-                EngineListEvent::Restored(self.take_over_engines(engines, out))
+                EngineListEvent::Restored(self.record_engines(engines, out))
             }
             EngineListUpdate::Complete(engines) => {
-                EngineListEvent::Replace(self.take_over_engines(engines, out))
-            }
-            EngineListUpdate::Changed(engines) => {
-                EngineListEvent::Update(self.take_over_engines(engines, out))
+                EngineListEvent::Replace(self.record_engines(engines, out))
             }
+            EngineListUpdate::Changed(engines) => EngineListEvent::Update(self.record_engines(engines, out)),
         };
         if let EngineListEvent::Replace(entries) | EngineListEvent::Restored(entries) = &event {
             self.mark_unlisted_as_removed(entries);
         }
-        self.cancel_unwritten_attempts();
-        self.decide(now, Event::EngineList(event), out);
+        self.revoke_permits_on_unready_engines();
+        self.notify_scheduler(now, Event::EngineList(event), out);
         let engines: Vec<u64> = self.engines.keys().copied().collect();
         for engine in engines {
-            self.remove_if_gone(engine, out);
+            self.delete_if_unused(engine, out);
         }
     }
 
-    /// Enters engines into the table, and gives their entries for the decision module.
-    fn take_over_engines(&mut self, engines: Vec<Engine>, out: &mut Vec<Command>) -> Vec<EngineEntry> {
+    /// Records engines in the table, and returns their entries for the scheduler.
+    fn record_engines(&mut self, engines: Vec<Engine>, out: &mut Vec<Command>) -> Vec<EngineEntry> {
         let mut entries = Vec::with_capacity(engines.len());
         for engine in engines {
             let id = engine_number(&engine.name);
             let cell = engine.cell.map(CellId);
-            let zone_id = ZoneId(number(&mut self.front.zones, &engine.zone));
+            let zone_id = ZoneId(number(&mut self.service_settings.zones, &engine.zone));
             entries.push(EngineEntry {
                 id: EngineId(id),
                 started_at: engine.started_at.map(Micros::as_ms),
                 cell,
                 state: engine.state,
-                kind: KindId(number(&mut self.front.kinds, &engine.kind)),
+                kind: KindId(number(&mut self.service_settings.kinds, &engine.kind)),
                 weight: engine.weight,
                 zone: zone_id,
             });
@@ -91,14 +89,14 @@
                 cell,
                 state: engine.state,
                 attempts_in_flight: before.map_or(0, |known| known.attempts_in_flight),
-                has_answered: before.is_some_and(|known| known.has_answered),
+                has_answered_health_check: before.is_some_and(|known| known.has_answered_health_check),
             };
             self.engines.insert(id, known);
         }
         entries
     }
 
-    /// A complete list removes the engines that it does not name.
+    /// Marks engines that a complete list does not name as removed.
     fn mark_unlisted_as_removed(&mut self, listed: &[EngineEntry]) {
         let listed: HashSet<u64> = listed.iter().map(|entry| entry.id.0).collect();
         for (id, engine) in &mut self.engines {
@@ -108,9 +106,9 @@
         }
     }
 
-    /// What is queued, for example behind a connection that is being established, is not written to an engine that
-    /// accepts nothing new.
-    fn cancel_unwritten_attempts(&self) {
+    /// Revokes the permits of attempts on engines that are not ready. An attempt may still be queued, for example
+    /// behind a connection that is being established, and such an engine accepts no new attempts.
+    fn revoke_permits_on_unready_engines(&self) {
         for attempt in self.attempts.values() {
             let engine = self.engines.get(&attempt.engine);
             if !engine.is_some_and(|engine| engine.state == EngineState::Ready) {
@@ -119,21 +117,22 @@
         }
     }
 
-    /// Drops an engine that was removed, once no attempt is in flight there. New ones are listed all day long.
-    pub(super) fn remove_if_gone(&mut self, engine: u64, out: &mut Vec<Command>) {
-        let is_gone =
+    /// Deletes a removed engine from the table if it has no attempts. Otherwise the table would grow, because new
+    /// engines are listed continually.
+    pub(super) fn delete_if_unused(&mut self, engine: u64, out: &mut Vec<Command>) {
+        let is_unused =
             |known: &KnownEngine| known.state == EngineState::Removed && known.attempts_in_flight == 0;
-        if self.engines.get(&engine).is_some_and(is_gone) {
+        if self.engines.get(&engine).is_some_and(is_unused) {
             self.engines.remove(&engine);
             out.push(Command::RemoveEngine { engine });
         }
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub(super) fn health_checked(&mut self, now: Micros, result: &HealthCheckResult, out: &mut Vec<Command>) {
         self.log_health_check(now, result);
         if let Some(known) = self.engines.get_mut(&result.engine) {
-            known.has_answered |= result.end == ConnectionEnd::Answered;
+            known.has_answered_health_check |= result.end == ConnectionEnd::Answered;
         }
         let event = Event::HealthChecked {
             engine: EngineId(result.engine),
@@ -141,10 +140,11 @@
             elapsed_ms: result.elapsed.as_ms(),
             report: result.report,
         };
-        self.decide(now, event, out);
+        self.notify_scheduler(now, event, out);
     }
 
-    /// Tools read this line; -1 stands for what was not reported.
+    /// Logs a health check; -1 stands for a value that was not reported. Tools parse this line, so its text stays
+    /// as it is.
     fn log_health_check(&self, now: Micros, result: &HealthCheckResult) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -160,15 +160,16 @@
         );
     }
 
-    /// Whether enough of the ready engines have answered a health check: only then are requests placed as well as by
-    /// a process that has run for long. Without health checks it is so from the start.
+    /// Returns whether enough of the ready engines have answered a health check. Before that, the scheduler
+    /// selects engines less well than in a process that has been running for a while. If health checks are
+    /// disabled, this is always true.
     pub fn engines_checked(&self) -> bool {
-        if !self.front.settings.limits.health_checks {
+        if !self.service_settings.settings.limits.health_checks {
             return true;
         }
         let ready = self.engines.values().filter(|engine| engine.state == EngineState::Ready);
         let ready_count = ready.clone().count();
-        let answered_count = ready.filter(|engine| engine.has_answered).count();
+        let answered_count = ready.filter(|engine| engine.has_answered_health_check).count();
         answered_count * 4 >= ready_count * REQUIRED_CHECKED_QUARTERS
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,15 @@
-//! The service without any wire, clock or I/O: events go in with their time, commands come out.
+//! The state machine of the service, without I/O and without a clock. [`Core::handle`] takes one event and its
+//! time, and appends the resulting commands to a list, which the caller executes.
 //!
-//! A request passes these stages in order: `validation` checks it, `admission` admits or rejects it and hands it
-//! to the decision module, `actions` carries out what that module decides, `execution_guard` says whether something
-//! may be executed now, `attempts` starts, cancels and ends attempts, `attempt_events` handles what engines report of them, and `accounting` gives the one final answer
-//! and counts it.
+//! A request passes these stages in order:
+//!
+//! 1. `validation` checks it.
+//! 2. `admission` admits or rejects it, and submits it to the scheduler (the `decision` module).
+//! 3. `actions` applies the scheduler's decisions.
+//! 4. `execution_guard` checks whether the request may be executed now.
+//! 5. `attempts` starts, cancels and ends attempts.
+//! 6. `attempt_events` handles what engines report of attempts.
+//! 7. `accounting` sends the one final answer and counts it.
 
 mod accounting;
 mod actions;
@@ -40,45 +46,53 @@
 
 /// The state of one workload manager.
 ///
-/// Invariants: each open request has its name in `open_names`; an attempt is in `attempts` from its start until the
-/// decision module is notified of its end.
+/// Invariants:
+/// - `open_client_request_ids` has the client request id of each open request.
+/// - `attempts` has an attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub struct Core {
-    gateway: Gateway,
-    front: Front,
-    max_open: usize,
+    scheduler: Gateway,
+    service_settings: Front,
+    /// The limit of open requests. Further requests are rejected.
+    max_open_requests: usize,
     roster: Roster,
-    /// By slot of the roster.
+    /// Indexed by the tenant's slot in the roster.
     tenant_shares: Vec<TenantShare>,
-    /// Tenants are managed in a store: one that is not there is unknown, also where there are none at all.
+    /// Whether tenants are managed in a store. If so, a tenant that the store does not have is unknown, even while
+    /// the store has no tenants at all.
     has_tenant_store: bool,
+    /// The open requests by id.
     requests: HashMap<u64, OpenRequest>,
-    /// The clients' names of the open requests.
-    open_names: HashSet<String>,
+    /// The client request ids of the open requests.
+    open_client_request_ids: HashSet<String>,
     attempts: HashMap<AttemptId, Attempt>,
     guard: ExecutionGuard,
+    /// By engine number, the hash of the name.
     engines: HashMap<u64, KnownEngine>,
     timers: Timers,
-    /// Empty between two events; it keeps its memory.
+    /// Reused for the scheduler's actions, so that an event allocates no new buffer. Empty between events.
     action_buffer: Vec<Action>,
+    /// Set during graceful shutdown.
     rejects_new_requests: bool,
+    /// The time at which the process ends, once a shutdown has begun. No request has a later deadline.
     shutdown_by: Option<Micros>,
     accounting: Accounting,
 }
 
 impl Core {
-    /// A core with the tenants of its settings, without engines and requests.
-    pub fn new(front: Front, max_open: usize, seed: u64, now: Micros) -> Core {
+    /// Returns a core with the tenants of the settings, without engines or requests. `max_open_requests` bounds
+    /// the open requests; `seed` seeds the scheduler's random numbers.
+    pub fn new(service_settings: Front, max_open_requests: usize, seed: u64, now: Micros) -> Core {
         Core {
-            roster: tenants::roster(&front),
-            tenant_shares: front.settings.tenants.iter().map(TenantShare::new).collect(),
+            roster: tenants::roster(&service_settings),
+            tenant_shares: service_settings.settings.tenants.iter().map(TenantShare::new).collect(),
             has_tenant_store: false,
-            gateway: Gateway::new(front.settings.clone(), seed, now.as_ms()),
+            scheduler: Gateway::new(service_settings.settings.clone(), seed, now.as_ms()),
             accounting: Accounting::default(),
-            front,
-            max_open,
+            service_settings,
+            max_open_requests,
             requests: HashMap::new(),
-            open_names: HashSet::new(),
+            open_client_request_ids: HashSet::new(),
             attempts: HashMap::new(),
             guard: ExecutionGuard::default(),
             engines: HashMap::new(),
@@ -89,13 +103,13 @@
         }
     }
 
-    /// The same core, but with tenants from a store: only those of [`Input::Tenants`] exist.
+    /// Returns the core with tenants managed in a store. Only tenants received by [`Input::Tenants`] exist then.
     pub fn with_tenant_store(mut self) -> Core {
         self.has_tenant_store = true;
         self
     }
 
-    /// Handles one event, and appends what is to be done about it to `out`, in order.
+    /// Handles one event. Appends the resulting commands to `out`, in the order in which they must be executed.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::RequestReceived(incoming) => self.request_received(now, incoming, out),
@@ -117,22 +131,22 @@
         }
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// Returns when the caller must send [`Input::Tick`] next; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// The number of requests without an answer.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Notifies the decision module of an event, and carries out what it decides.
-    fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
+    /// Passes an event to the scheduler, and applies the actions that it returns.
+    fn notify_scheduler(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.action_buffer);
-        self.gateway.handle(now.as_ms(), event, &mut actions);
+        self.scheduler.handle(now.as_ms(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, out);
+            self.apply_action(now, action, out);
         }
         self.action_buffer = actions;
     }
@@ -140,12 +154,12 @@
     fn fire_due_timers(&mut self, now: Micros, out: &mut Vec<Command>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Gateway(token) => self.decide(now, Event::Timer(token), out),
+                Timer::Scheduler(token) => self.notify_scheduler(now, Event::Timer(token), out),
                 Timer::RequestDeadline(request) => self.deadline_passed(now, request, out),
                 Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
                 Timer::AttemptAbandoned(attempt) => self.abandon_attempt(now, attempt, out),
-                Timer::AttemptForgotten(attempt) => self.attempt_over(now, attempt, false),
-                Timer::Released(request) => self.hand_over(now, request, out),
+                Timer::UnconfirmedAttemptExpired(attempt) => self.attempt_ended(now, attempt, false),
+                Timer::DeferredRequestReleased(request) => self.submit_to_scheduler(now, request, out),
                 Timer::AttemptNotSent(attempt) => self.attempt_not_sent(now, attempt, out),
             }
         }
--- a/src/core/reporting.rs
+++ b/src/core/reporting.rs
@@ -1,11 +1,11 @@
-//! Shows the state: a line for the log, and reports for the administration API and the metrics.
+//! Reports the state of the service: a line for the log, and reports for the administration API and the metrics.
 
 use super::{AttemptId, Core, EngineReport, OpenRequest, Report, RequestReport, RequestState, TenantReport};
 use crate::clock::Micros;
 use sanddyke_tenancy::{Slot, TenantId};
 use std::collections::HashMap;
 
-/// The open requests of one class.
+/// The number of open requests of one class.
 #[derive(Debug, Clone, Copy, Default)]
 struct OpenCounts {
     queued: usize,
@@ -13,9 +13,9 @@
 }
 
 impl Core {
-    /// A line for the log: open requests by class, queued and running, and ended attempts by outcome.
+    /// Returns a line for the log: open requests by class, queued and running, and ended attempts by outcome.
     pub fn state_line(&self) -> String {
-        let mut counts = vec![OpenCounts::default(); self.front.classes.len()];
+        let mut counts = vec![OpenCounts::default(); self.service_settings.classes.len()];
         for open in self.requests.values() {
             let class = &mut counts[open.class];
             match open.state {
@@ -23,7 +23,7 @@
                 RequestState::Running(_) => class.running += 1,
             }
         }
-        let classes = self.front.classes.iter().zip(counts);
+        let classes = self.service_settings.classes.iter().zip(counts);
         let classes: Vec<String> =
             classes.map(|(name, count)| format!("{name} {}+{}", count.queued, count.running)).collect();
         let attempts = self.accounting.attempts.iter();
@@ -31,7 +31,7 @@
         format!("open (queued+running): {}; attempts ended: {}", classes.join(", "), attempts.join(", "))
     }
 
-    /// The state of the whole service. It walks all engines, requests and tenants.
+    /// Returns the state of the whole service. The cost is linear in the number of engines, requests and tenants.
     pub fn report(&self, now: Micros) -> Report {
         Report {
             engines: self.engine_reports(),
@@ -40,15 +40,15 @@
             attempts: self.accounting.attempts.clone(),
             tenants: self.roster.tenants().filter_map(|(slot, _)| self.tenant_report(slot)).collect(),
             attempts_in_flight: self.guard.in_flight(),
-            withheld: self.accounting.withheld,
+            deferred: self.accounting.deferred,
             violations: self.guard.violations(),
             unknown_tenants: self.roster.unknown_tenants(),
             stopping: self.rejects_new_requests,
         }
     }
 
-    /// The state of some tenants.
-    pub fn usage(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
+    /// Returns the state of these tenants; ids that are not in the roster are omitted.
+    pub fn tenant_reports(&self, ids: &[TenantId]) -> HashMap<TenantId, TenantReport> {
         let slots = ids.iter().filter_map(|id| self.roster.slot_of(*id));
         let reports = slots.filter_map(|slot| self.tenant_report(slot));
         reports.map(|report| (report.id, report)).collect()
@@ -70,7 +70,7 @@
     fn request_reports(&self, now: Micros) -> Vec<RequestReport> {
         let requests = self.requests.iter().map(|(id, open)| RequestReport {
             id: *id,
-            name: open.incoming.name.clone(),
+            client_request_id: open.incoming.client_request_id.clone(),
             class: open.incoming.class.clone(),
             tenant: open.incoming.tenant.clone(),
             age_ms: (now - open.received_at).as_ms(),
@@ -82,8 +82,8 @@
         requests
     }
 
-    /// The state of a request as the administration API has it: `held`, `on ENGINE`, or `out` where the engine is
-    /// no longer known.
+    /// Returns the state of a request as the administration API shows it: `held` while it is queued or deferred,
+    /// `on ENGINE` while an attempt runs there, or `out` if that engine is no longer known.
     fn describe_state(&self, request: u64, open: &OpenRequest) -> String {
         let RequestState::Running(number) = open.state else { return "held".to_owned() };
         let attempt = self.attempts.get(&AttemptId { request, number });
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The core's handling of attempts, without a socket.
+//! Tests of the core's handling of attempts, without sockets.
 
 use super::*;
 use crate::decision::{AttemptNote, EngineState};
@@ -9,8 +9,8 @@
         "idempotency":"repeatable","name":"lookup","targetMs":1000,"worth":1}],"discovery":"pushed",
         "models":["std"],"replicasOfMe":1,"report":{},"safety":{"coldFrom":0.33,"overloadFactor":2,
         "tipAfterMs":2000,"warmUpMs":15000},"stepMs":5,"familyInfo":{"kindCores":[8],"tellsEveryMs":500}}"#;
-    let front = crate::settings::parse(env).expect("good settings");
-    let mut core = Core::new(front, 100, 1, Micros(0));
+    let service_settings = crate::settings::parse(env).expect("good settings");
+    let mut core = Core::new(service_settings, 100, 1, Micros(0));
     let engine = |name: &str| Engine {
         name: name.to_owned(),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
@@ -29,7 +29,7 @@
     );
     let incoming = IncomingRequest {
         id: 1,
-        name: "r".to_owned(),
+        client_request_id: "r".to_owned(),
         class: "lookup".to_owned(),
         tenant: None,
         idempotency_key: None,
@@ -48,27 +48,27 @@
     out
 }
 
-fn launches(commands: &[Command]) -> usize {
+fn started_attempts(commands: &[Command]) -> usize {
     commands.iter().filter(|command| matches!(command, Command::StartAttempt { .. })).count()
 }
 
-/// Guards against two executions at once: an engine that is paused has not read the cancellation, so the next attempt
-/// waits until it has.
+/// Guards against two concurrent executions of a request. A paused engine has not read the cancellation of the first
+/// attempt, so the next attempt must wait until it has.
 #[test]
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
-    assert_eq!(launches(&out), 1);
-    let hopeless = AttemptEvent::Note(AttemptNote::Progress(0.001));
-    let out = attempt_event(&mut core, 1_000_000, 0, hopeless);
+    assert_eq!(started_attempts(&out), 1);
+    let slow_progress = AttemptEvent::ProgressNote(AttemptNote::Progress(0.001));
+    let out = attempt_event(&mut core, 1_000_000, 0, slow_progress);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
     core.handle(Micros(1_500_000), Input::Tick, &mut out);
-    assert_eq!(launches(&out), 0, "{out:?}");
+    assert_eq!(started_attempts(&out), 0, "{out:?}");
     let end = AttemptEvent::Ended { end: ConnectionEnd::Cancelled, report: None };
-    assert_eq!(launches(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
+    assert_eq!(started_attempts(&attempt_event(&mut core, 1_600_000, 0, end)), 1);
 }
 
-/// A request has one answer: what its attempts report after that is dropped.
+/// Guards against a second answer to a request. Reports of its attempts after the final answer have no effect.
 #[test]
 fn a_second_end_of_an_attempt_answers_nothing() {
     let (mut core, _) = core();
--- a/src/upstream/line_protocol/connection/responses.rs
+++ b/src/upstream/line_protocol/connection/responses.rs
@@ -50,7 +50,7 @@
             ResponseKind::Ok | ResponseKind::Page => self.handle_page(response).await,
             ResponseKind::Status => {
                 if let Some(note) = response.fields.note {
-                    self.context.report_event(attempt, AttemptEvent::Note(note)).await?;
+                    self.context.report_event(attempt, AttemptEvent::ProgressNote(note)).await?;
                 }
                 Ok(())
             }
--- a/src/upstream/line_protocol/mod.rs
+++ b/src/upstream/line_protocol/mod.rs
@@ -72,7 +72,7 @@
 /// Returns the client request id of the attempt that a command starts; `None` for other commands.
 fn client_request_id_of(command: &EndpointCommand) -> Option<&str> {
     match command {
-        EndpointCommand::Start { call, .. } => Some(&call.name),
+        EndpointCommand::Start { call, .. } => Some(&call.client_request_id),
         _ => None,
     }
 }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -209,7 +209,7 @@
                 // connections, detect an engine that hangs.
                 () = tokio::time::sleep_until(silent_at.into()), if limits.engines_report_progress => {
                     log::warn!(
-                        engine = self.context.engine, request:% = self.id, name = self.call.name.as_str();
+                        engine = self.context.engine, request:% = self.id, name = self.call.client_request_id.as_str();
                         "TDS engine sent nothing about a request within the silence timeout: attempt lost"
                     );
                     return BatchEnd::Broken(ConnectionEnd::RequestSilent);
@@ -237,7 +237,7 @@
             Token::Row(row) => self.add_row(row)?,
             Token::Info { number: INFO_REQUEST_PROGRESS, text } => match parse_info(&text) {
                 Some(InfoContent::Note(note)) => {
-                    let notified = self.context.report_event(self.id, AttemptEvent::Note(note)).await;
+                    let notified = self.context.report_event(self.id, AttemptEvent::ProgressNote(note)).await;
                     notified.map_err(|ServiceEnded| ConnectionEnd::Cancelled)?;
                 }
                 Some(InfoContent::Usage(usage)) => self.usage = Some(usage),
@@ -285,7 +285,7 @@
     let key = call.idempotency_key.as_ref().map(|key| format!(",key='{key}'")).unwrap_or_default();
     format!(
         "/*id='{}',class='{}',priority='{}',ttl_ms='{}'{key}*/ {}",
-        call.name,
+        call.client_request_id,
         call.class,
         call.priority,
         (remaining.0 / 1000).max(1),
