--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,26 +1,27 @@
-//! A request arrives: its tenant's token bucket, the estimates of its needs, its rank, its deadline.
+//! Admission of a request: its tenant's token bucket, the estimates of its resource needs, its rank, and its
+//! deadline.
 
 use super::gateway::Gateway;
 use super::requests::{PendingRequest, PossiblyExecuted, QueueRank};
 use super::timers::TimerPurpose;
 use super::types::{Action, ClassSettings, Millis, Request, RequestId};
 
-/// A best-effort request ranks as if due later by this times its work, over the weight of its class relative to the
-/// greatest: expensive requests of little weight go last. Ours.
+/// Factor by which a best-effort request's work delays its rank. The delay is divided by the weight of its
+/// class relative to the greatest weight, so expensive requests of low weight are sent last.
 const RANK_STRETCH: f64 = 2.5;
-/// Minimum of a priority weight that is divided by.
+/// Lower bound of a priority weight used as a divisor.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
-/// Stands for an attempt of the same request before it arrived again.
+/// Number of an attempt of the same request before this arrival.
 const BEFORE_THE_FIRST: u32 = u32::MAX;
 /// Minimum estimate of a request's work (ms of one thread).
 const MIN_WORK_MS: Millis = 1.0;
-/// A request is answered this long before its deadline, besides two steps of event handling (ms).
+/// Time before its deadline at which a request is answered, in addition to two steps of event handling (ms).
 const DEADLINE_MARGIN_MS: Millis = 1.0;
-/// Steps of event handling by which a request is answered before its deadline.
+/// Steps of event handling before its deadline at which a request is answered.
 const DEADLINE_MARGIN_STEPS: f64 = 2.0;
 
 impl Gateway {
-    /// A request arrived: it is queued, or failed where its class is not known.
+    /// A request arrived: queues it, or fails it if its class is unknown.
     pub(super) fn on_request(&mut self, request: Request) {
         if request.class.0 >= self.classes.len() {
             self.actions.push(Action::Fail(request.id));
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Takes a token of the tenant's, and estimates what the request needs.
+    /// Takes a token from the tenant's bucket, and estimates the request's resource needs.
     fn admit(&mut self, request: &Request) -> PendingRequest {
         let class_index = request.class.0;
         let last_tenant = self.tenant_settings.len() - 1;
@@ -75,15 +76,15 @@
         }
     }
 
-    /// How much later than at its arrival a best-effort request ranks (ms).
+    /// Time added to the arrival of a best-effort request to obtain its rank (ms).
     fn rank_delay_ms(&self, class: &ClassSettings, work_ms: Millis) -> Millis {
         let weights = self.settings.classes.iter().map(|class| class.priority_weight);
         let greatest_weight = weights.fold(0.0, f64::max);
         RANK_STRETCH * work_ms * greatest_weight / class.priority_weight.max(MIN_PRIORITY_WEIGHT)
     }
 
-    /// Moves a request's deadline to `at` where that is earlier, and sets its timer. Rule 1: it ends by a timer of
-    /// its own, before its client's time is up, or the gateway's.
+    /// Moves a request's deadline forward to `at` if that is earlier, and sets its timer. Rule 1: a timer
+    /// answers the request before its client gives up or the process is killed.
     fn limit_deadline(&mut self, id: RequestId, at: Millis) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.deadline = request.deadline.min(at);
@@ -93,7 +94,7 @@
         self.set_timer(TimerPurpose::RequestDeadline(id), after_ms);
     }
 
-    /// The gateway will be stopped: no deadline is later.
+    /// The process will be killed at this time: limits all deadlines to it.
     pub(super) fn on_shutdown_by(&mut self, at: Millis) {
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -1,39 +1,40 @@
-//! Alpha: the chance that a free slot goes to the sensitive side. It rises by a factor while a sensitive stream
-//! misses its target for disengagement, and falls by a step while all are well within theirs.
+//! Alpha: the probability that a free slot goes to the sensitive side. It is multiplied by a factor while a
+//! sensitive stream exceeds its disengagement target, and reduced by a step while all sensitive streams are
+//! well within it.
 
 use super::bounds::Bounds;
 use super::gateway::Gateway;
 use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
 use super::types::Millis;
 
-/// Step by which alpha falls, divided by the mean CV: the paper's gamma.
+/// Step by which alpha falls, divided by the mean CV (coefficient of variation): gamma in the paper.
 const GAMMA: f64 = 0.05;
-/// Fraction by which alpha rises: the paper's beta.
+/// Fraction by which alpha rises: beta in the paper.
 const BETA: f64 = 0.25;
-/// Bounds of alpha, so that neither side is ever shut out. Ours.
+/// Bounds of alpha, so that neither side is starved.
 pub(super) const ALPHA_BOUNDS: Bounds = Bounds::new(0.05, 0.95);
-/// Alpha until the first completions tell the fraction of requests that are sensitive. Ours.
+/// Alpha until the first completions show which fraction of the requests is sensitive.
 const INITIAL_ALPHA: f64 = 0.5;
-/// Time between two refits (ms): one for each request, as in the paper, costs too much.
+/// Time between two refits (ms). One refit per request, as in the paper, costs too much.
 const REFIT_INTERVAL_MS: Millis = 500.0;
-/// How far back a stream looks (ms). Ours.
+/// Age of the oldest completion that a stream takes into account (ms).
 const STREAM_WINDOW_MS: Millis = 10_000.0;
 
-/// Alpha, and when it is refitted.
+/// Alpha and the time of its next refit.
 #[derive(Debug, Default)]
 pub(super) struct AlphaController {
-    /// `None` until there are completions of a sensitive class.
+    /// `None` until a request of a sensitive class has completed.
     pub(super) alpha: Option<f64>,
     next_refit_at: Millis,
 }
 
 impl AlphaController {
-    /// The chance that a free slot goes to the sensitive side.
+    /// Probability that a free slot goes to the sensitive side.
     pub(super) fn sensitive_chance(&self) -> f64 {
         self.alpha.unwrap_or(INITIAL_ALPHA)
     }
 
-    /// Whether a refit is due; if so, the next one is an interval away.
+    /// Whether a refit is due. If so, schedules the next one.
     pub(super) fn refit_is_due(&mut self, now: Millis) -> bool {
         let due = now >= self.next_refit_at;
         if due {
@@ -42,7 +43,8 @@
         due
     }
 
-    /// Moves alpha by what a refit has found; it starts at the fraction of requests that are sensitive.
+    /// Adjusts alpha by the result of a refit. Its first value is the fraction of requests that are
+    /// sensitive.
     fn update(&mut self, streams: &StreamSummary) {
         if streams.sensitive_streams > 0.0 {
             let alpha = self.alpha.unwrap_or(streams.sensitive_completions / streams.completions);
@@ -52,7 +54,8 @@
     }
 }
 
-/// Alpha's rule: `worst` and `best` are the greatest and least disengagement of a sensitive stream over the target.
+/// Next value of alpha. `worst` and `best` are the greatest and the least disengagement of a sensitive
+/// stream, as a multiple of the target.
 pub(super) fn next_alpha(alpha: f64, worst: f64, best: f64, mean_cv: f64) -> f64 {
     let next = if worst > THETA {
         alpha * (1.0 + BETA)
@@ -64,20 +67,20 @@
     ALPHA_BOUNDS.clamp(next)
 }
 
-/// What a refit finds over all streams.
+/// Result of a refit over all streams.
 #[derive(Debug)]
 struct StreamSummary {
     /// Completions in the windows of all streams.
     completions: f64,
-    /// Those of sensitive classes.
+    /// Completions of sensitive classes among them.
     sensitive_completions: f64,
-    /// Greatest disengagement of a sensitive stream, over the target.
+    /// Greatest disengagement of a sensitive stream, as a multiple of the target.
     worst: f64,
-    /// Least disengagement of a sensitive stream, over the target.
+    /// Least disengagement of a sensitive stream, as a multiple of the target.
     best: f64,
     /// Sum of the CVs of the sensitive streams.
     cv_sum: f64,
-    /// Sensitive streams with enough completions for a CV.
+    /// Number of sensitive streams with enough completions for a CV.
     sensitive_streams: f64,
 }
 
@@ -95,7 +98,7 @@
 }
 
 impl Gateway {
-    /// Refits the latency budgets and alpha, and what adapts as slowly as they do.
+    /// Recomputes the latency budgets and alpha, and the other values that adapt at the same interval.
     pub(super) fn refit(&mut self) {
         self.forget_idle_tenants();
         let streams = self.refit_streams();
@@ -107,7 +110,7 @@
         self.capacity.adjust_saturation(!self.best_effort_queue.is_empty());
     }
 
-    /// Takes the moments of each stream, and sets its service time and slack by Algorithm 1.
+    /// Recomputes the moments of each stream, and its service time and slack by Algorithm 1 of the paper.
     fn refit_streams(&mut self) -> StreamSummary {
         let mut summary = StreamSummary::default();
         let window_start = self.now - STREAM_WINDOW_MS;
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,13 +1,13 @@
-//! Attempts: sending one, its progress, and its end.
+//! Attempts: sending, progress, and end.
 
 use super::gateway::Gateway;
 use super::requests::{Attempt, AttemptId, PossiblyExecuted};
 use super::types::{Action, AttemptEnd, AttemptNote, Effect, EngineId, Millis, Outcome, RequestId};
 use sanddyke_statistics::Load;
 
-/// An attempt whose remaining time is more than this times what a fresh one takes is cancelled. Ours.
+/// An attempt is cancelled if its remaining time exceeds the time of a fresh attempt by this factor.
 const RUNAWAY_FACTOR: f64 = 5.0;
-/// Progress that is reckoned with at least (fraction).
+/// Lower bound of the progress used in predictions (fraction).
 const MIN_PROGRESS: f64 = 0.001;
 /// Priority of a request beyond its tenant's share.
 const OVER_SHARE_PRIORITY: u8 = 0;
@@ -17,7 +17,7 @@
 const SENSITIVE_PRIORITY: u8 = 3;
 
 impl Gateway {
-    /// Sends a request's next attempt; false where it may not be sent now, or no engine has capacity.
+    /// Sends a request's next attempt. Returns false if it may not be sent now or no engine has capacity.
     pub(super) fn try_send(&mut self, id: RequestId) -> bool {
         let Some(engine) = self.select_engine(id) else { return false };
         self.dequeue(id);
@@ -26,7 +26,7 @@
         true
     }
 
-    /// Sets the priority of a request's attempts where engines honor one. Its memory is left to the engine.
+    /// Sets the priority of a request's attempts if engines honor one. The engine chooses the memory.
     fn set_terms(&mut self, id: RequestId) {
         if !self.settings.engines.priorities {
             return;
@@ -42,7 +42,7 @@
         self.actions.push(Action::SetTerms { request: id, memory_mb: 0.0, priority });
     }
 
-    /// Tracks an attempt and what it adds to its engine's load, and sends it.
+    /// Tracks an attempt and the load that it adds to its engine, and sends it.
     fn start_attempt(&mut self, id: RequestId, to: EngineId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(engine) = self.engines.get_mut(&to) else { return };
@@ -66,7 +66,8 @@
         };
         engine.local_load += load;
         self.local_load += load;
-        // Until the next report: as much again from each gateway that is taken to send by the last one.
+        // Until the next report, the engine is assumed to receive the same load from each concurrent
+        // observer.
         let memory_fraction = request.memory_mb / engine.memory_mb;
         engine.reported.memory_fraction += memory_fraction * self.observers.per_report;
         engine.slow_start.record_send(self.now, self.classes[request.class].statistics.work_ms);
@@ -83,14 +84,14 @@
         self.actions.push(Action::Send { request: id, engine: to, timeout_ms: 0.0 });
     }
 
-    /// A response streams: its request has no deadline any more.
+    /// A response streams: its request no longer has a deadline.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
         }
     }
 
-    /// An attempt ended: takes it off the load, learns from it, and concludes or retries its request.
+    /// An attempt ended: releases its load, updates the statistics, and closes or retries its request.
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(attempt) = self.attempts.remove(&AttemptId { request: id, number: end.attempt }) else {
@@ -112,7 +113,7 @@
         self.leave_ordered_queue(id, attempt.order_key);
     }
 
-    /// Takes an attempt off the load of its engine, and frees the data set that it has locked there.
+    /// Subtracts an attempt from the load of its engine and releases its data-set lock.
     fn release(&mut self, attempt: &Attempt) {
         self.local_load -= attempt.load;
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
@@ -123,12 +124,13 @@
         }
     }
 
-    /// What the end of an attempt means for its request: it is over, is queued again, or is answered unserved.
+    /// Applies the end of an attempt to its request: the request is removed, queued again, or answered
+    /// unserved.
     fn conclude_attempt(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if end.outcome.never_ran() {
-            // It was the attempt in question: nothing has been executed after all.
+            // The possibly executed attempt was this one and it was never executed, so none was.
             request.possibly_executed =
                 request.possibly_executed.filter(|executed| executed.attempt != end.attempt);
         }
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Whether a request may be retried after an attempt with this outcome, as far as can be known now.
+    /// Whether a request may be retried after an attempt with this outcome, as far as is known now.
     pub(super) fn may_retry_after(&self, id: RequestId, outcome: Outcome) -> bool {
         let request = &self.requests[&id];
         let attempts_left = request.attempts_sent < self.settings.limits.max_attempts;
@@ -153,8 +155,9 @@
         outcome != Outcome::NotSent && attempts_left && time_left && self.is_harmless(request, None)
     }
 
-    /// Cancels an attempt that met a bad plan, or a bad engine: what remains at its own pace is far more than a fresh
-    /// attempt takes. A gateway below the minimum cap knows no pace to judge it by.
+    /// Cancels an attempt that has a bad plan or a bad engine: at its present pace the remainder takes far
+    /// longer than a fresh attempt. Not done below the minimum cap, where this manager has too little traffic
+    /// to know the usual pace.
     pub(super) fn on_attempt_note(&mut self, id: AttemptId, note: AttemptNote) {
         let AttemptNote::Progress(progress) = note else { return };
         let Some(attempt) = self.attempts.get(&id) else { return };
@@ -172,7 +175,8 @@
         }
     }
 
-    /// What a fresh attempt takes: by the tenant's stream, and at least by its work and the engines' slowdown (ms).
+    /// Expected time of a fresh attempt (ms): the mean of the tenant's stream, but no less than the work at
+    /// the engines' median slowdown.
     fn fresh_attempt_ms(&self, tenant: usize, class: usize, work_ms: Millis) -> Millis {
         let usual_ms = self.tenants.get(&tenant).map_or(0.0, |tenant| tenant.streams[class].service_ms);
         let alone_ms = work_ms / self.settings.classes[class].threads;
--- a/src/decision/bounds.rs
+++ b/src/decision/bounds.rs
@@ -1,6 +1,6 @@
 //! A closed range of numbers.
 
-/// Bounds of a figure, both of them allowed.
+/// Lower and upper bound of a value, both inclusive.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Bounds {
     pub(super) min: f64,
@@ -8,7 +8,7 @@
 }
 
 impl Bounds {
-    /// Bounds from `min` to `max`, which must not be below it.
+    /// Bounds from `min` to `max`. `max` must not be less than `min`.
     pub(super) const fn new(min: f64, max: f64) -> Bounds {
         Bounds { min, max }
     }
@@ -18,7 +18,7 @@
         value.clamp(self.min, self.max)
     }
 
-    /// The nearest value within the bounds; `None` for infinity and what is not a number.
+    /// The nearest value within the bounds; `None` if `value` is infinite or NaN.
     pub(super) fn clamp_finite(self, value: f64) -> Option<f64> {
         value.is_finite().then(|| self.clamp(value))
     }
--- a/src/decision/capacity.rs
+++ b/src/decision/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity: when an engine counts as saturated, the cap of one gateway on one engine, and memory.
+//! Capacity: the saturation of an engine, the cap of one manager on one engine, and memory.
 
 use super::bounds::Bounds;
 use super::engines::Engine;
@@ -8,54 +8,57 @@
 use super::types::Settings;
 use sanddyke_statistics::Load;
 
-/// Minimum cap of one gateway on one engine (threads): the design page's two. A gateway whose fraction of an engine
-/// is below it is not bound by caps, which would fill the engine many times over, but goes by fresh load reports.
+/// Minimum cap of one manager on one engine (threads): two on the design page. A manager whose fraction of an
+/// engine is below it uses fresh load reports instead of caps, because with so many managers the minimum caps
+/// together would fill the engine many times over.
 const MIN_CAP_THREADS: f64 = 2.0;
-/// Initial threads per core at which an engine counts as saturated. Ours.
+/// Initial threads per core at which an engine counts as saturated.
 const INITIAL_SATURATION: f64 = 1.2;
-/// The same where the fraction is below the minimum cap: of few engines that are not saturated, all gateways would
-/// choose the same.
+/// Initial saturation below the minimum cap. It is higher, because otherwise few engines would be unsaturated
+/// and all managers would choose the same ones.
 const INITIAL_SATURATION_BELOW_MIN_CAP: f64 = 2.0;
-/// Bounds of that figure. Ours.
+/// Bounds of the saturation.
 pub(super) const SATURATION_BOUNDS: Bounds = Bounds::new(1.0, 2.2);
-/// Fraction by which it moves a refit. Ours.
+/// Fraction by which the saturation changes per refit.
 const SATURATION_STEP: f64 = 0.02;
-/// It rises while best-effort answers are stretched less than the lower bound, and falls above the upper. Ours.
+/// The saturation rises while the stretch of best-effort answers is below the lower bound, and falls while it
+/// is above the upper.
 const STRETCH_RANGE: Bounds = Bounds::new(1.4, 1.8);
-/// One answer counts with this stretch at most: a slow engine alone must not lower the saturation of all.
+/// Maximum stretch with which one answer counts, so that a single slow engine does not lower the saturation
+/// of all.
 pub(super) const MAX_STRETCH: f64 = 4.0;
-/// Weight of one answer in the stretch. Ours.
+/// Weight of one answer in the stretch.
 const STRETCH_WEIGHT: f64 = 0.05;
-/// Threads per core that sensitive requests have on top, so that they do not wait for heavy ones. Ours.
+/// Additional threads per core for sensitive requests, so that they do not wait for heavy ones.
 const SENSITIVE_HEADROOM: f64 = 0.4;
-/// Health-check latency excess above which half of the saturation holds. Ours.
+/// Health-check latency excess above which the saturation is halved.
 const BUSY_LATENCY_EXCESS: f64 = 0.3;
-/// Health-check latency excess above which an engine takes nothing. Ours.
+/// Health-check latency excess above which an engine is congested.
 const JAMMED_LATENCY_EXCESS: f64 = 0.6;
-/// Fraction of an engine's memory to fill: above it come spills and paging. Ours.
+/// Fraction of an engine's memory that may be filled. Above it, queries spill and the engine pages.
 const MAX_MEMORY_FRACTION: f64 = 0.85;
-/// Queries below which an engine counts as empty: then any request fits.
+/// An engine with fewer queries than this counts as empty, and any request fits.
 const EMPTY_BELOW_QUERIES: f64 = 1.0;
 
-/// What this gateway takes the capacity of an engine to be.
+/// This manager's estimate of the fleet's capacity.
 #[derive(Debug)]
 pub(super) struct FleetCapacity {
-    /// This gateway's fraction of all traffic.
+    /// This manager's fraction of all traffic.
     pub(super) gateway_fraction: f64,
-    /// Whether its fraction of an engine is below the minimum cap.
+    /// Whether this manager's fraction of an engine is below the minimum cap.
     pub(super) below_min_cap: bool,
     /// Threads per core at which an engine counts as saturated.
     pub(super) saturation_threads_per_core: f64,
-    /// Time of best-effort answers over the time that they would take alone, smoothed.
+    /// Smoothed ratio of the latency of best-effort answers to their latency on an idle engine.
     pub(super) stretch: f64,
     /// Median slowdown of the ready engines.
     pub(super) median_slowdown: f64,
-    /// Engines in the list.
+    /// Number of engines in the list.
     pub(super) listed_engines: usize,
 }
 
 impl FleetCapacity {
-    /// What is known before the first event.
+    /// Initial capacity, from the settings alone.
     pub(super) fn new(settings: &Settings) -> FleetCapacity {
         let gateway_fraction = 1.0 / settings.gateway_count.max(1) as f64;
         let max_cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
@@ -73,12 +76,13 @@
         }
     }
 
-    /// One answer took this times the time that it would have taken alone.
+    /// Records that an answer took this multiple of its latency on an idle engine.
     pub(super) fn record_stretch(&mut self, stretch: f64) {
         self.stretch += STRETCH_WEIGHT * (stretch.min(MAX_STRETCH) - self.stretch);
     }
 
-    /// Moves the saturation a step, by the stretch of answers; it rises only while best-effort requests wait.
+    /// Adjusts the saturation by one step, depending on the stretch. It only rises while best-effort requests
+    /// are queued.
     pub(super) fn adjust_saturation(&mut self, best_effort_waits: bool) {
         let has_capacity = best_effort_waits && self.stretch > 0.0 && self.stretch < STRETCH_RANGE.min;
         let is_crowded = self.stretch > STRETCH_RANGE.max;
@@ -87,14 +91,14 @@
         self.saturation_threads_per_core = SATURATION_BOUNDS.clamp(saturation);
     }
 
-    /// The cap of this gateway on one engine (threads): lower on an engine that is much slowed down.
+    /// The cap of this manager on one engine (threads). It is lower on a congested engine.
     fn cap_threads(&self, engine: &Engine) -> f64 {
         let healthy_cap = engine.cores * self.saturation_threads_per_core * self.gateway_fraction;
         let cap = healthy_cap * (JAMMED_SLOWDOWN / engine.health.slowdown).min(1.0);
         cap.max(MIN_CAP_THREADS)
     }
 
-    /// Whether another request of so many threads is within the cap; the first always is.
+    /// Whether one more request with this many threads is within the cap. The first always is.
     fn is_within_cap(&self, engine: &Engine, threads: f64) -> bool {
         let local_threads = engine.local_load.threads;
         local_threads == 0.0 || local_threads + threads <= self.cap_threads(engine)
@@ -102,7 +106,7 @@
 }
 
 impl Engine {
-    /// Whether another request of this much memory would fill its memory too far.
+    /// Whether one more request with this much memory would fill the engine's memory too far.
     pub(super) fn is_short_of_memory(&self, memory_mb: f64, mean_query: &Load) -> bool {
         let peer_queries = self.reported.peer_queries;
         if self.local_load.queries + peer_queries < EMPTY_BELOW_QUERIES {
@@ -114,25 +118,26 @@
         estimated_mb > MAX_MEMORY_FRACTION * self.memory_mb || reported_fraction > MAX_MEMORY_FRACTION
     }
 
-    /// Whether it takes so long that it gets nothing beyond this gateway's cap.
+    /// Whether the engine is so slow that it is sent nothing beyond this manager's cap.
     fn is_jammed(&self) -> bool {
         self.health.slowdown > JAMMED_SLOWDOWN || self.health.check_latency_excess > JAMMED_LATENCY_EXCESS
     }
 }
 
 impl Gateway {
-    /// Whether an engine has capacity for a request of this class: it is not under pressure, or the request is
-    /// within this gateway's cap there; and it has the memory.
+    /// Whether an engine has capacity for a request of this class: it has the memory, and either it is not
+    /// under pressure or the request is within this manager's cap.
     pub(super) fn has_capacity(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
         let threads = self.settings.classes[request.class].threads;
         let pressed = engine.is_jammed() || self.would_saturate(request.class, engine, mean_query);
         let within_cap = !self.capacity.below_min_cap && self.capacity.is_within_cap(engine, threads);
-        // By the lesser of request and class: this decides for the whole class until the next upkeep.
+        // Uses the lesser memory of request and class, because the result applies to the whole class until
+        // the next upkeep.
         let memory_mb = request.memory_mb.min(self.classes[request.class].statistics.memory_mb);
         (!pressed || within_cap) && !engine.is_short_of_memory(memory_mb, mean_query)
     }
 
-    /// Whether half a request more of this class would saturate the engine.
+    /// Whether half of one more request of this class would saturate the engine.
     fn would_saturate(&self, class: usize, engine: &Engine, mean_query: &Load) -> bool {
         let class = &self.settings.classes[class];
         let threads = engine.local_load.threads + engine.reported.peer_queries * mean_query.threads;
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -1,4 +1,4 @@
-//! What is learned of each class: its needs, its latencies, and how long its clients wait.
+//! Statistics of each class: its resource needs, its latencies, and the patience of its clients.
 
 use super::bounds::Bounds;
 use super::gateway::Gateway;
@@ -10,27 +10,28 @@
 
 /// A class with a latency objective below this is sensitive: "sub-second" on the design page (ms).
 const SENSITIVE_BELOW_MS: Millis = 1000.0;
-/// Completions that a stream looks back on: the design page's 1K.
+/// Maximum number of completions in a stream's window: "1K" on the design page.
 const STREAM_WINDOW_COMPLETIONS: usize = 1000;
-/// CV by which the latency budget of a class is set until completions tell it: that of the exponential law.
+/// CV from which a class's latency budget is computed until there are completions: that of the exponential
+/// distribution.
 const INITIAL_CV: f64 = 1.0;
-/// Answers over which a class's needs are averaged. Ours.
+/// Number of answers over which a class's resource needs are averaged.
 pub(super) const LEARNING_ANSWERS: f64 = 200.0;
-/// Answers over which a class's mean latency is averaged, and from which the best of it is sought. Ours.
+/// Number of answers over which a class's mean latency is averaged, and from which on its minimum is tracked.
 const LATENCY_ANSWERS: f64 = 50.0;
-/// Fraction by which the best mean latency is forgotten a refit. Ours.
+/// Fraction by which the minimum of the mean latency rises per refit, so that old minima expire.
 const BEST_LATENCY_DECAY: f64 = 0.003;
-/// Weight of one disconnected client in its class's patience. Ours.
+/// Weight of one disconnect in the patience of its class.
 const PATIENCE_WEIGHT: f64 = 0.05;
-/// Fraction by which patience grows back a refit: a few that leave early must not shorten it for long. Ours.
+/// Fraction by which patience recovers per refit, so that a few early disconnects do not shorten it for long.
 const PATIENCE_RECOVERY: f64 = 0.03;
-/// Maximum weight of one answer in the bias of hints. Ours.
+/// Maximum weight of one answer in the hint bias.
 const MAX_HINT_BIAS_WEIGHT: f64 = 0.02;
-/// Bounds of the ratio of used to estimated work that one answer counts with. Ours.
+/// Bounds of the ratio of used to estimated work with which one answer counts.
 const WORK_RATIO_BOUNDS: Bounds = Bounds::new(0.2, 5.0);
 
 impl ClassSettings {
-    /// Whether its requests go by due time, rather than in fair rotation.
+    /// Whether its requests are sent in order of due time instead of in fair rotation.
     pub(super) fn is_sensitive(&self) -> bool {
         self.latency_objective_ms < SENSITIVE_BELOW_MS
     }
@@ -46,18 +47,18 @@
 #[derive(Debug)]
 pub(super) struct ClassState {
     pub(super) statistics: ClassStatistics,
-    /// What a tenant's stream of this class begins with.
+    /// Initial value of a tenant's stream of this class.
     pub(super) initial_stream: Stream,
     /// Latency budgets by CV and latency objective.
     pub(super) latency_budgets: Memo,
-    /// Best-effort requests that are queued.
+    /// Number of queued best-effort requests.
     pub(super) queued: usize,
     /// Requests for which no engine had capacity in this round of dispatch.
     pub(super) placement_failures: usize,
 }
 
 impl ClassState {
-    /// The state of a class of which nothing is learned yet: half of its latency objective is service time.
+    /// Initial state of a class. Half of its latency objective is assumed to be service time.
     pub(super) fn new(class: &ClassSettings) -> ClassState {
         let service_ms = class.latency_objective_ms / 2.0;
         let budget_ms = latency_budget(INITIAL_CV, class.latency_objective_ms, class.deadline_ms);
@@ -85,41 +86,41 @@
 /// Running means over a class's answers.
 #[derive(Debug, Default)]
 pub(super) struct ClassStatistics {
-    /// Answers that the means are over, up to [`LEARNING_ANSWERS`].
+    /// Number of answers in the means, up to [`LEARNING_ANSWERS`].
     pub(super) answers: f64,
     /// Work of a request (ms of one thread).
     pub(super) work_ms: Millis,
     /// Memory of a request (MB).
     pub(super) memory_mb: f64,
-    /// Used work over the client's estimate.
+    /// Ratio of the used work to the client's estimate.
     pub(super) hint_bias: f64,
     /// Time from sending an attempt to its answer (ms).
     pub(super) mean_latency_ms: Millis,
-    /// The least that the mean latency was for long (ms).
+    /// Minimum of the mean latency, which decays slowly (ms).
     pub(super) best_latency_ms: Millis,
-    /// How long its clients wait (ms).
+    /// Time that its clients wait before they disconnect (ms).
     pub(super) patience_ms: Millis,
 }
 
 impl ClassStatistics {
-    /// Work of a request, by its client's estimate where there is one (ms of one thread).
+    /// Estimated work of a request (ms of one thread), from the client's estimate if there is one.
     pub(super) fn estimate_work_ms(&self, hint_ms: Option<Millis>) -> Millis {
         hint_ms.map_or(self.work_ms, |hint_ms| hint_ms * self.hint_bias)
     }
 
-    /// A client gave up after this time.
+    /// Records that a client disconnected after this time.
     pub(super) fn record_disconnect(&mut self, waited_ms: Millis) {
         self.patience_ms += PATIENCE_WEIGHT * (waited_ms - self.patience_ms);
     }
 
-    /// Forgets a little: once a refit.
+    /// Lets the minimum latency rise and the patience recover; called once per refit.
     pub(super) fn decay(&mut self, deadline_ms: Millis) {
         self.best_latency_ms *= 1.0 + BEST_LATENCY_DECAY;
         self.patience_ms = (self.patience_ms * (1.0 + PATIENCE_RECOVERY)).min(deadline_ms);
     }
 
-    /// Learns from an answer; gives what the request used. Where that is not reported, it is what the best mean
-    /// latency amounts to.
+    /// Records an answer and returns the resources that the request used. If they are not reported, they are
+    /// derived from the minimum of the mean latency.
     fn record_answer(&mut self, attempt: &Attempt, end: &AttemptEnd) -> Usage {
         self.answers = (self.answers + 1.0).min(LEARNING_ANSWERS);
         let answer_weight = 1.0 / self.answers;
@@ -136,7 +137,7 @@
         usage
     }
 
-    /// Takes the latency of an answer into the mean, and that into the best.
+    /// Updates the mean latency with an answer, and its minimum with the mean.
     fn record_latency(&mut self, weight: f64, latency_ms: Millis) {
         self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
         self.best_latency_ms = if self.answers < LATENCY_ANSWERS {
@@ -148,19 +149,20 @@
 }
 
 impl Gateway {
-    /// Learns from an answer: the needs of its class, and how much slower than alone its engine is.
+    /// Records an answer: the resource needs of its class and the slowdown of its engine.
     pub(super) fn learn_from_answer(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let statistics = &mut self.classes[attempt.class].statistics;
         let usage = statistics.record_answer(attempt, end);
         self.traffic.record_finished_work(usage.work_ms);
         let alone_ms = (usage.work_ms / attempt.load.threads).max(1.0);
-        // Without reported usage the time alone is a mean, so it is compared with one.
+        // Without reported usage the latency on an idle engine is a mean, so it is compared with a mean.
         let latency_ms = if end.usage.is_some() { end.elapsed_ms } else { statistics.mean_latency_ms };
         if end.usage.is_none() || !self.settings.classes[attempt.class].is_sensitive() {
             self.capacity.record_stretch(latency_ms / alone_ms);
         }
         if let Some(engine) = self.engines.get_mut(&attempt.engine) {
-            // A freed slot counts as a report as well: what answers is not jammed.
+            // An answer counts as a report as well: it freed a slot, and an engine that answers is not
+            // congested.
             engine.reported.received_at = Some(self.now);
             engine.health.record_slowdown(end.elapsed_ms / alone_ms);
         }
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -1,17 +1,19 @@
-//! Final answers: the one path on which a request ends unserved, and what is recorded when a request ends.
+//! Final answers: the one path on which a queued or running request is rejected or failed, and the record of each
+//! completion.
 
 use super::gateway::Gateway;
 use super::requests::AttemptId;
 use super::types::{Action, Millis, RequestId};
 use sanddyke_statistics::ServedTimes;
 
-/// Disengagement of an answer after its latency objective: the staircase of the design page.
+/// Disengagement of an answer after the latency objective: the middle step of the staircase on the design
+/// page.
 pub(super) const LATE_DISENGAGEMENT: f64 = 0.5;
-/// Disengagement of an answer after its deadline, or of none.
+/// Disengagement of an answer after the deadline, or of no answer.
 pub(super) const UNSERVED_DISENGAGEMENT: f64 = 1.0;
 
 impl Gateway {
-    /// Ends a request unserved: rejected where a retry of its client's is harmless, else failed.
+    /// Closes a request without a result: rejects it if a retry by the client is safe, otherwise fails it.
     pub(super) fn answer_unserved(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.streaming) else { return };
         let answer = if self.is_harmless_for_client(request) {
@@ -25,7 +27,8 @@
         self.forget_request(id);
     }
 
-    /// The client no longer waits. Clients that give up early shorten the time that their class is worth serving in.
+    /// The client disconnected. Clients that give up early shorten the time within which their class is worth
+    /// serving.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             let waited_ms = self.now - request.arrived_at;
@@ -34,7 +37,8 @@
         self.forget_request(id);
     }
 
-    /// Records the end of a request in its stream; `service_ms` is the time on its engine, where it was served.
+    /// Records the completion of a request in its stream. `service_ms` is the time on its engine, `None` if
+    /// it was not served.
     pub(super) fn record_completion(&mut self, id: RequestId, service_ms: Option<Millis>) {
         let Some(request) = self.requests.get(&id) else { return };
         let disengagement = match service_ms {
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Forgets a request that has ended; what still runs for it is cancelled where that is allowed.
+    /// Removes a closed request, and cancels its attempts in flight if cancellation is allowed.
     pub(super) fn forget_request(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
--- a/src/decision/data_set_locks.rs
+++ b/src/decision/data_set_locks.rs
@@ -1,12 +1,12 @@
-//! Data-set locks: a load has its data set locked on its engine while it runs, and another load on that data set
+//! Data-set locks: a load locks its data set on its engine while it runs. A second load on that data set
 //! would wait there with its client's connection open.
 
 use super::engines::Engine;
 use super::gateway::Gateway;
 
 impl Gateway {
-    /// Whether a load on this data set would wait on the engine: the data set is locked there, or, once clients have
-    /// few connections left, the pair of engine and data set is another gateway's.
+    /// Whether a load on this data set would wait on the engine: the data set is locked there or, if clients
+    /// have few connections left, the pair of engine and data set is assigned to another manager.
     pub(super) fn is_data_set_locked_on(&self, engine: &Engine, data_set: u64) -> bool {
         if engine.locked_data_sets.contains(&data_set) {
             return true;
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -1,24 +1,25 @@
-//! Dispatch: queued requests go to free slots. Alpha splits the slots between the sensitive requests that are due
-//! first and the best-effort requests of the tenants in fair rotation; a side without requests, or stuck, lends to
-//! the other.
+//! Dispatch: assigns queued requests to free slots. Alpha divides the slots between the sensitive requests in
+//! order of due time and the best-effort requests in fair rotation among tenants. If one side has no request
+//! that can be sent, the other side gets the slot.
 
 use super::gateway::Gateway;
 use super::types::RequestId;
 use sanddyke_tenancy::Cursor;
 
-/// Queued requests of one queue that are tried for one free slot. Ours.
+/// Maximum queued requests of one queue that are tried for one free slot.
 const MAX_CANDIDATES: usize = 8;
-/// Queued requests of one tenant that are looked at for those. Ours.
+/// Maximum queued requests of one tenant that are examined to find these candidates.
 const MAX_SCANNED: usize = 64;
-/// Requests of one class for which no engine had capacity, in one round, after which no more of them are tried. Ours.
+/// Requests of one class without an engine with capacity, in one round, after which no more of the class are
+/// tried.
 pub(super) const MAX_PLACEMENT_FAILURES: usize = 64;
 
-/// The side that a free slot goes to.
+/// The side that gets a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
-    /// Requests of sensitive classes, the earliest due first.
+    /// Requests of sensitive classes, in order of due time.
     Sensitive,
-    /// All others, in fair rotation among tenants.
+    /// All other requests, in fair rotation among tenants.
     BestEffort,
 }
 
@@ -43,20 +44,21 @@
         }
     }
 
-    /// Draws the side of the next free slot by alpha.
+    /// Samples the side of the next free slot with probability alpha.
     fn draw_side(&mut self) -> Side {
         if self.rng.rand_float() < self.alpha.sensitive_chance() { Side::Sensitive } else { Side::BestEffort }
     }
 
-    /// Sends the sensitive request that is due first, of those that can be sent; false where none can.
+    /// Sends the first sensitive request, in order of due time, that can be sent. Returns false if none can.
     fn send_earliest_due(&mut self) -> bool {
         let queued = self.sensitive_queue.iter().take(MAX_CANDIDATES);
         let candidates: Vec<RequestId> = queued.map(|(_, id)| *id).collect();
         candidates.into_iter().any(|id| self.try_send(id))
     }
 
-    /// Sends a best-effort request of the tenant with the least work sent over its share, of those that have one that
-    /// can be sent; false where none has. An idle tenant saves up no turns.
+    /// Sends a best-effort request of the tenant with the least work sent relative to its share, among the
+    /// tenants that have a request that can be sent. Returns false if there is none. An idle tenant does not
+    /// accumulate turns.
     fn send_next_in_rotation(&mut self) -> bool {
         let mut cursor: Option<Cursor> = None;
         while let Some(next) = self.best_effort_queue.next(cursor)
@@ -73,8 +75,8 @@
         false
     }
 
-    /// The first queued requests of a tenant. Loads whose data set is locked on every engine do not count: they would
-    /// block all behind them.
+    /// The first queued requests of a tenant. Loads whose data set is locked on every engine are skipped:
+    /// they would block all requests behind them.
     fn candidates_of(&self, tenant: usize) -> Vec<RequestId> {
         let queued = self.best_effort_queue.waiting(tenant).take(MAX_SCANNED).map(RequestId);
         let unlocked = queued.filter(|id| {
@@ -96,7 +98,7 @@
         tries_left && self.engine_sampler.remaining(class) > 0
     }
 
-    /// Puts a request into the queue of its side.
+    /// Inserts a request into the queue of its side.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.settings.classes[request.class].is_sensitive() {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Takes a request out of its queue, where it is queued.
+    /// Removes a request from its queue, if it is queued.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         self.sensitive_queue.remove(&(request.rank, id));
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -1,4 +1,5 @@
-//! Engine selection: the guard rules before a send, and the less loaded of two random engines that fit.
+//! Engine selection: the guard rules before each send, and the two-choice selection: the less loaded of two
+//! random suitable engines.
 
 use super::engines::Engine;
 use super::gateway::Gateway;
@@ -8,7 +9,8 @@
 use sanddyke_statistics::Load;
 
 impl Gateway {
-    /// The engine for a request's next attempt; `None` where it may not be sent now, or no engine has capacity.
+    /// Selects the engine for a request's next attempt; `None` if the request may not be sent now or no
+    /// engine has capacity.
     pub(super) fn select_engine(&mut self, id: RequestId) -> Option<EngineId> {
         let request = &self.requests[&id];
         let class = request.class;
@@ -25,12 +27,12 @@
         selected
     }
 
-    /// Draws two engines with capacity, and takes the one with less work for what it can do now. One that is found
-    /// unavailable is not drawn again for the class until something changes there.
+    /// Samples two engines with capacity and returns the one with less work relative to its present capacity.
+    /// An engine that is found unavailable is not sampled again for the class until its state changes.
     fn pick_less_loaded_of_two(&mut self, id: RequestId) -> Option<EngineId> {
         let request = &self.requests[&id];
         let mean_query = self.mean_query();
-        // Both are taken out while the closures below read the gateway.
+        // Both are moved out while the closures below borrow the scheduler.
         let mut sampler = std::mem::take(&mut self.engine_sampler);
         let mut rng = self.rng;
         let judge = |engine: &EngineId| self.judge(request, *engine, &mean_query);
@@ -46,7 +48,7 @@
         less_loaded.map(|(engine, _)| engine)
     }
 
-    /// Whether an engine can be chosen for a request, in the terms of the sampler.
+    /// Whether an engine can be selected for a request, as a result for the sampler.
     fn judge(&self, request: &PendingRequest, engine: EngineId, mean_query: &Load) -> Suitability {
         let available =
             self.engines.get(&engine).filter(|engine| self.is_available(request, engine, mean_query));
@@ -57,15 +59,16 @@
         }
     }
 
-    /// Estimated work on an engine with this request, over the cores' worth that it can do, times its slowdown.
+    /// Estimated work on an engine including this request, divided by its present capacity in cores, times
+    /// its slowdown.
     fn relative_load(&self, engine: &Engine, request: &PendingRequest, mean_query: &Load) -> f64 {
         let peer_work_ms = engine.reported.peer_queries * mean_query.work_ms;
         let work_ms = engine.local_load.work_ms + peer_work_ms + request.work_ms;
         work_ms / engine.slow_start.effective_cores * engine.health.slowdown
     }
 
-    /// Whether an engine can take requests of this class now: allowed, reachable, and with capacity. The same for all
-    /// requests of the class, until something changes on the engine.
+    /// Whether an engine can take requests of this class now: permitted, reachable, and with capacity. The
+    /// result is the same for all requests of the class until something changes on the engine.
     pub(super) fn is_available(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
         let awaits_check = engine.health.down_since.is_some() && self.settings.limits.health_checks;
         let unknown_load = self.capacity.below_min_cap && !engine.reported.is_fresh(self.now);
@@ -77,7 +80,7 @@
             && self.has_capacity(request, engine, mean_query)
     }
 
-    /// Whether an available engine can take this very request.
+    /// Whether an available engine can take this particular request.
     pub(super) fn can_place(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
         let lock = request.data_set_lock;
         let would_wait = lock.is_some_and(|data_set| self.is_data_set_locked_on(engine, data_set));
@@ -86,8 +89,8 @@
             && self.is_harmless(request, Some(&engine.entry))
     }
 
-    /// The guard before every send, as far as class and engine go: rules 3, 4 and 6. A gateway that has just started
-    /// does not know what it sent before, so it sends nothing to an engine that is warming up.
+    /// Guard before every send, for class and engine: rules 3, 4 and 6. A scheduler that has just started
+    /// does not know what was sent before, so it sends nothing to an engine that is warming up.
     pub(super) fn may_receive_class(&self, class: usize, engine: &Engine) -> bool {
         let class = &self.settings.classes[class];
         let kind_allowed =
@@ -101,7 +104,7 @@
         engine.is_ready() && kind_allowed && zone_allowed && within_budget
     }
 
-    /// The guard before every send, as far as the request goes: rules 1, 2, 5 and 7.
+    /// Guard before every send, for the request: rules 1, 2, 5 and 7.
     fn may_send(&self, id: RequestId, request: &PendingRequest) -> bool {
         self.is_next_of_its_key(id, request)
             && self.may_attempt_again(request)
--- a/src/decision/engines.rs
+++ b/src/decision/engines.rs
@@ -1,4 +1,4 @@
-//! Engines as the gateway tracks them, and updates of the engine list.
+//! Engines, as the scheduler tracks them, and updates of the engine list.
 
 use super::gateway::Gateway;
 use super::load_reports::ReportedLoad;
@@ -7,31 +7,31 @@
 use super::types::{Action, EngineEntry, EngineListEvent, EngineState, KindSettings, Millis};
 use sanddyke_statistics::Load;
 
-/// An engine that returns to the list under its name within this time is not new (ms). Ours.
+/// An engine that returns to the list under its id within this time does not count as new (ms).
 const REMOVED_RETENTION_MS: Millis = 30_000.0;
-/// Local queries above which a removed engine is retained: its attempts have yet to end.
+/// A removed engine is retained while its local queries exceed this: it has attempts in flight.
 const IN_FLIGHT_QUERIES: f64 = 0.5;
-/// Cores of an engine of an unknown kind.
+/// Cores of an engine of an unknown kind, and the minimum for any engine.
 const DEFAULT_CORES: f64 = 1.0;
-/// The list is polled this many times in the interval that is allowed.
+/// Number of polls within the maximum poll interval.
 const POLLS_PER_INTERVAL: f64 = 3.0;
 
-/// All that is known of one engine.
+/// State of one engine.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
-    /// Its entry in the list.
+    /// Entry in the engine list.
     pub(super) entry: EngineEntry,
-    /// Its index among the engines, by id.
+    /// Index among the engines in order of id.
     pub(super) index: usize,
-    /// Since when it is out of the list.
+    /// Time since which the engine is out of the list; `None` while it is listed.
     removed_at: Option<Millis>,
-    /// Its cores, by its kind.
+    /// Cores, by the engine's kind.
     pub(super) cores: f64,
-    /// Its memory, by its kind (MB); infinite where that is not configured.
+    /// Memory (MB), by the engine's kind; infinite if not configured.
     pub(super) memory_mb: f64,
-    /// Load of this gateway's own attempts.
+    /// Load of this manager's attempts on the engine.
     pub(super) local_load: Load,
-    /// Data sets that loads of this gateway have locked here: another load on one of them would wait.
+    /// Data sets that loads of this manager have locked here. Another load on one of them would wait.
     pub(super) locked_data_sets: Vec<u64>,
     pub(super) slow_start: SlowStart,
     pub(super) health: EngineHealth,
@@ -39,7 +39,7 @@
 }
 
 impl Engine {
-    /// An engine of this kind of which nothing is known.
+    /// An engine of this kind, without measurements.
     fn new(kind: KindSettings) -> Engine {
         Engine {
             cores: kind.cores.unwrap_or(DEFAULT_CORES).max(DEFAULT_CORES),
@@ -49,34 +49,34 @@
         }
     }
 
-    /// Whether it accepts requests.
+    /// Whether the engine accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.state == EngineState::Ready
     }
 
-    /// Whether it is in the list, also where it drains.
+    /// Whether the engine is in the list, ready or draining.
     pub(super) fn is_listed(&self) -> bool {
         self.entry.state != EngineState::Removed
     }
 
-    /// Notes since when the engine is out of the list.
+    /// Records the time at which the engine left the list.
     fn track_removal(&mut self, now: Millis) {
         self.removed_at = if self.is_listed() { None } else { self.removed_at.or(Some(now)) };
     }
 
-    /// Whether it is out of the list for long, and none of its attempts is in flight.
+    /// Whether the retention period after removal has passed and no attempt is in flight.
     fn is_forgettable(&self, now: Millis) -> bool {
         let is_removed_for_long = self.removed_at.is_some_and(|at| now - at > REMOVED_RETENTION_MS);
         is_removed_for_long && self.local_load.queries <= IN_FLIGHT_QUERIES
     }
 }
 
-/// When an engine that is new in the list, and whose start the list does not date, is taken to have started.
+/// Assumed start time of an engine that is new in the list, if the list states none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Newcomers {
-    /// Now: the list has changed.
+    /// Now, because the list has changed.
     JustStarted,
-    /// Long ago: this is the first list, or a saved one.
+    /// Long ago, because this is the first list or a saved one.
     StartedLongAgo,
 }
 
@@ -100,14 +100,14 @@
         }
     }
 
-    /// A complete list follows: what it does not contain is removed.
+    /// Marks all engines as removed before the entries of a complete list are applied.
     fn mark_all_removed(&mut self) {
         for engine in self.engines.values_mut() {
             engine.entry.state = EngineState::Removed;
         }
     }
 
-    /// Takes entries of the list over.
+    /// Applies entries of the list.
     fn apply_entries(&mut self, entries: Vec<EngineEntry>, newcomers: Newcomers) {
         let mean_work_ms = self.mean_work_ms();
         for entry in entries {
@@ -118,7 +118,7 @@
         self.reset_engine_sampler();
     }
 
-    /// Takes an entry of the list over, and begins or continues the engine's slow start.
+    /// Applies an entry of the list, and starts or continues the engine's slow start.
     fn update_engine(&mut self, entry: EngineEntry, newcomers: Newcomers, mean_work_ms: Millis) {
         let rules = &self.settings.rules;
         let kind = self.settings.kinds.get(entry.kind.0).copied().unwrap_or_default();
@@ -132,7 +132,8 @@
         engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.gateway_count);
     }
 
-    /// New engines come under new names all day long: one that has been out of the list for long is forgotten.
+    /// Expires engines that were removed long ago. New engines constantly arrive under new names, so the map
+    /// would grow otherwise.
     fn forget_removed_engines(&mut self) {
         let now = self.now;
         self.engines.retain(|_, engine| {
@@ -144,13 +145,13 @@
         }
     }
 
-    /// Every ready engine may have capacity for every class again.
+    /// Makes every ready engine a candidate for every class again.
     pub(super) fn reset_engine_sampler(&mut self) {
         let ready = self.engines.values().filter(|engine| engine.is_ready());
         self.engine_sampler.reset(ready.map(|engine| engine.entry.id));
     }
 
-    /// Asks for the engine list where it has to be polled.
+    /// Polls the engine list if it has to be polled and a poll is due.
     pub(super) fn poll_engine_list(&mut self) {
         if self.settings.poll_engine_list && self.now >= self.next_list_poll_at {
             let interval_ms = self.settings.rules.poll_interval_ms / POLLS_PER_INTERVAL;
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: owns the state of every concern and hands each event to its handler.
+//! The scheduler owns the state of all concerns and passes each event to its handler.
 
 use super::alpha::AlphaController;
 use super::capacity::FleetCapacity;
@@ -22,46 +22,47 @@
 use sanddyke_tenancy::FairQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The decisions of one gateway: a state machine without I/O and without a clock.
+/// Scheduler of one manager: a state machine without I/O and without a clock.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings; its tenants are in `tenant_settings`.
+    /// The tenants are moved out into `tenant_settings`.
     pub(super) settings: Settings,
     pub(super) rng: Rand64,
     /// Time of the event that is being handled.
     pub(super) now: Millis,
-    /// When this gateway was created.
+    /// Time at which this scheduler was created.
     pub(super) created_at: Millis,
-    /// What the event that is being handled has led to so far.
+    /// Actions that the event being handled has caused so far.
     pub(super) actions: Vec<Action>,
 
     /// Requests without a final answer.
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
-    /// Attempts in flight, also those of requests that have had their answer.
+    /// Attempts in flight, including those of requests that are closed.
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
-    /// Attempts in flight that will have no result, and since when that is known.
+    /// Lost attempts that are in flight, with the time at which they were lost.
     pub(super) lost_attempts: BTreeMap<AttemptId, Millis>,
-    /// Queued requests of sensitive classes, the earliest due first.
+    /// Queued requests of sensitive classes, in order of due time.
     pub(super) sensitive_queue: BTreeSet<(QueueRank, RequestId)>,
     /// Queued requests of best-effort classes, in fair rotation among tenants.
     pub(super) best_effort_queue: FairQueue,
-    /// Requests that have to run in order, by key.
+    /// Requests that have to run in order, by order key.
     pub(super) ordered_queues: BTreeMap<OrderKey, OrderedQueue>,
-    /// By class number.
+    /// State of each class, by class number.
     pub(super) classes: Vec<ClassState>,
 
-    /// By tenant number; `None` for a number that is not in use.
+    /// Settings by tenant number; `None` for a number that is not in use.
     pub(super) tenant_settings: Vec<Option<TenantSettings>>,
-    /// Tenants that have sent requests lately.
+    /// Tenants that have sent requests recently, by tenant number.
     pub(super) tenants: BTreeMap<usize, ActiveTenant>,
 
-    /// Engines in the list, and those removed lately.
+    /// Listed engines and recently removed ones.
     pub(super) engines: BTreeMap<EngineId, Engine>,
-    /// By class, the engines that may have capacity: all that are ready but those found full since the last upkeep.
+    /// For each class, the engines that may have capacity: all ready engines except those found unavailable
+    /// since the last upkeep.
     pub(super) engine_sampler: TwoChoiceSampler<EngineId>,
-    /// Load of this gateway's own attempts on all engines.
+    /// Load of this manager's attempts on all engines.
     pub(super) local_load: Load,
-    /// When the engine list is polled next, where it has to be.
+    /// Time of the next poll of the engine list, if it has to be polled.
     pub(super) next_list_poll_at: Millis,
 
     pub(super) alpha: AlphaController,
@@ -73,7 +74,8 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else yet. The same seed gives the same decisions.
+    /// Creates a scheduler without engines, requests or measurements. The same seed and events yield the same
+    /// decisions.
     pub fn new(mut settings: Settings, seed: u64, now: Millis) -> Self {
         let tenants = std::mem::take(&mut settings.tenants);
         let mut gateway = Gateway {
@@ -103,7 +105,7 @@
             settings,
         };
         gateway.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
-        // Requests without a tenant count as those of tenant 0.
+        // Requests without a tenant count as requests of tenant 0.
         gateway.best_effort_queue.set(0, None, 1.0);
         for (number, tenant) in tenants.into_iter().enumerate() {
             gateway.on_tenant_changed(TenantId(number), Some(tenant));
@@ -111,7 +113,7 @@
         gateway
     }
 
-    /// Handles one event, and appends what has to be done about it to `out`, in order.
+    /// Handles one event and appends the resulting actions to `out`, in order.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -140,20 +142,20 @@
         out.append(&mut self.actions);
     }
 
-    /// Asks for a timer; one for the same purpose that is set already stays.
+    /// Sets a timer. A timer that is already set for the same purpose stays set as well.
     pub(super) fn set_timer(&mut self, purpose: TimerPurpose, after_ms: Millis) {
         self.actions.push(Action::Timer { token: purpose.token(), after_ms });
     }
 
-    /// Mean work of a request, by what was finished of late (ms of one thread); at least that of the class with the
-    /// least.
+    /// Mean work of recently finished requests (ms of one thread), but no less than that of the class with
+    /// the least work.
     pub(super) fn mean_work_ms(&self) -> Millis {
         let lightest =
             self.classes.iter().map(|class| class.statistics.work_ms).fold(f64::INFINITY, f64::min);
         self.traffic.work_per_request_ms().max(lightest)
     }
 
-    /// The mean of this gateway's queries in flight; by it the load of other gateways is estimated.
+    /// Mean of this manager's queries in flight. The load of other managers is estimated from it.
     pub(super) fn mean_query(&self) -> Load {
         self.local_load.mean_with(Load { queries: 1.0, threads: 1.0, ..Load::default() })
     }
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -1,32 +1,32 @@
-//! Health checks: rounds over all engines, and what the latency of an answer tells.
+//! Health checks: rounds over all engines, and evaluation of health-check latencies.
 
 use super::engines::Engine;
 use super::gateway::Gateway;
 use super::types::{Action, EngineId, LoadReport, LogMessage, Millis, Outcome, ZoneId};
 use std::collections::BTreeMap;
 
-/// Health checks for each request received, in rounds. Ours.
+/// Health checks per received request, in rounds.
 const CHECKS_PER_REQUEST: f64 = 0.5;
-/// Minimum time between two rounds (ms). Ours.
+/// Minimum time between two rounds (ms).
 const MIN_ROUND_INTERVAL_MS: Millis = 250.0;
-/// Maximum time between two rounds (ms). Ours.
+/// Maximum time between two rounds (ms).
 const MAX_ROUND_INTERVAL_MS: Millis = 4.0 * MIN_ROUND_INTERVAL_MS;
-/// Rate of arrivals that is reckoned with at least (requests per ms).
+/// Lower bound of the arrival rate used to schedule rounds (requests per ms).
 const MIN_REQUESTS_PER_MS: f64 = 0.001;
 
-/// When engines are checked, and how long a check takes at least.
+/// Schedule of health checks, and their minimum latency.
 #[derive(Debug, Default)]
 pub(super) struct HealthCheckSchedule {
     next_round_at: Millis,
-    /// When engines may be sampled for fresh load reports next.
+    /// Earliest time at which engines may be sampled again for fresh load reports.
     pub(super) next_sample_at: Millis,
-    /// The least latency of a health check, by zone (ms).
+    /// Minimum health-check latency by zone (ms).
     min_latency_by_zone: BTreeMap<ZoneId, Millis>,
 }
 
 impl HealthCheckSchedule {
-    /// Takes a latency into the least of its zone; gives the excess over that, as a fraction of the least of all
-    /// zones.
+    /// Records a latency. Returns its excess over the minimum of its zone, as a fraction of the minimum over
+    /// all zones.
     fn record_latency(&mut self, zone: ZoneId, latency_ms: Millis) -> f64 {
         let zone_min_ms = self.min_latency_by_zone.entry(zone).or_insert(latency_ms);
         *zone_min_ms = zone_min_ms.min(latency_ms);
@@ -37,14 +37,14 @@
 }
 
 impl Engine {
-    /// Notes that a health check is sent: its report will be of the load that runs now.
+    /// Records the load at which a health check is sent. Its report will refer to this load.
     pub(super) fn begin_check(&mut self) {
         self.reported.local_load_at_check = Some(self.local_load);
     }
 }
 
 impl Gateway {
-    /// A health check ended: takes its latency and report, and judges the engine by its outcome.
+    /// A health check ended: records its latency and load report, and its outcome for the engine's health.
     pub(super) fn on_health_checked(
         &mut self,
         id: EngineId,
@@ -52,7 +52,7 @@
         elapsed_ms: Millis,
         report: Option<LoadReport>,
     ) {
-        // A check that was not answered tells neither a load nor the time that an answer takes.
+        // A health check without an answer shows neither a load nor a latency.
         if outcome == Outcome::Served {
             self.record_check_latency(id, elapsed_ms);
             self.record_load_report(id, report.unwrap_or_default());
@@ -67,16 +67,16 @@
         self.engine_sampler.restore(id);
     }
 
-    /// A health check runs beside the queries, so it takes long on a jammed engine, which looks idle by its busy
-    /// cores. Gateways that are bound by caps do without.
+    /// Health checks run beside the queries, so their latency rises on a congested engine, whose cores may
+    /// look idle in its load report. Managers that are bound by caps do not use it.
     fn record_check_latency(&mut self, id: EngineId, latency_ms: Millis) {
         let Some(engine) = self.engines.get_mut(&id) else { return };
         let excess = self.health_checks.record_latency(engine.entry.zone, latency_ms);
         engine.health.check_latency_excess = if self.capacity.below_min_cap { excess } else { 0.0 };
     }
 
-    /// Checks every engine, as often as this gateway's traffic allows. A gateway below the minimum cap samples engines
-    /// for fresh reports instead, and checks only those that are unreachable.
+    /// Checks every engine, at an interval that depends on this manager's traffic. Below the minimum cap,
+    /// engines are sampled for fresh reports instead, and rounds only check unreachable engines.
     pub(super) fn check_engines(&mut self) {
         if !self.settings.limits.health_checks || self.now < self.health_checks.next_round_at {
             return;
--- a/src/decision/latency_budget.rs
+++ b/src/decision/latency_budget.rs
@@ -1,20 +1,21 @@
-//! The latency budget of a stream: Algorithm 1 of the paper, with the staircase of the design page.
+//! Latency budget of a stream: Algorithm 1 of the paper, with the staircase of the design page as
+//! disengagement function.
 
 use super::completion::{LATE_DISENGAGEMENT, UNSERVED_DISENGAGEMENT};
 use super::types::Millis;
 use sanddyke_statistics::GeneralizedExponential;
 
-/// Lower end of the allowed range of disengagement over its target: the paper's zeta.
+/// Lower end of the accepted range of disengagement, as a multiple of the target: zeta in the paper.
 pub(super) const ZETA: f64 = 0.95;
-/// Upper end of that range: the paper's theta.
+/// Upper end of that range: theta in the paper.
 pub(super) const THETA: f64 = 0.98;
-/// Target of disengagement: one request in twenty late by a full step of the staircase. Ours.
+/// Target disengagement: one request in twenty is late by a full step of the staircase.
 pub(super) const U_TARGET: f64 = 0.05;
-/// The bisection ends at the latest when its interval is this fraction of the deadline. Ours.
+/// Width of the bisection interval, as a fraction of the deadline, at which the bisection ends at the latest.
 const BISECTION_FRACTION: f64 = 1.0 / 4096.0;
 
-/// The highest mean latency at which the disengagement of latencies with this CV stays within its range, found by
-/// bisection below the deadline (ms).
+/// The highest mean latency (ms) at which latencies with this CV have a disengagement within the accepted
+/// range, found by bisection between 0 and the deadline.
 pub(super) fn latency_budget(cv: f64, objective_ms: Millis, deadline_ms: Millis) -> Millis {
     let law = GeneralizedExponential::with_cv(cv);
     let disengagement = |mean_ms: Millis| {
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,9 +1,10 @@
-//! What a gateway has learned, for the process that takes over from this one: levels and means, no moments and no
-//! requests. It decides nothing: the same rules continue from where they stood.
+//! State that a scheduler has learned, for the process that succeeds this one: levels and means, but no
+//! moments and no requests. It contains no decisions: the successor applies the same rules from this state
+//! on.
 //!
-//! Nothing that is restored loosens a rule: an engine's warm-up can only become longer by it, its state and its
-//! credit are not part of it, and a figure that is not a number or is out of its bounds is ignored or clamped. The
-//! serialized names are those of the first version.
+//! Restored state never relaxes a rule. It can only extend an engine's warm-up, and it contains neither an
+//! engine's state in the list nor its slow-start credit. A value that is NaN or infinite is ignored, and one
+//! that is out of bounds is clamped. The serialized names are those of the first version.
 
 use super::alpha::ALPHA_BOUNDS;
 use super::bounds::Bounds;
@@ -16,23 +17,23 @@
 use super::types::{EngineId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Maximum of any restored work, memory or rate.
+/// Upper bound of any restored work, memory or rate.
 const MAX_FIGURE: f64 = 1e9;
-/// Bounds of the bias of hints. Ours.
+/// Bounds of the hint bias.
 const HINT_BIAS_BOUNDS: Bounds = Bounds::new(0.01, 100.0);
 /// Minimum work of a request (ms of one thread), and minimum patience (ms).
 const MIN_TIME_MS: Millis = 1.0;
 
-/// Levels of the whole gateway.
+/// Levels of the whole scheduler.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedRates {
-    /// Alpha, once it is known.
+    /// Alpha; `None` until it is known.
     pub alpha: Option<f64>,
     /// Threads per core at which an engine counts as saturated.
     #[serde(rename = "full")]
     pub saturation_threads_per_core: f64,
-    /// Time of best-effort answers over the time that they would take alone.
+    /// Smoothed ratio of the latency of best-effort answers to their latency on an idle engine.
     pub stretch: f64,
     /// Work finished per ms (ms of one thread).
     #[serde(rename = "rate")]
@@ -46,7 +47,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedClass {
-    /// Answers that the means are over.
+    /// Number of answers in the means.
     #[serde(rename = "seen")]
     pub answers: f64,
     /// Work (ms of one thread).
@@ -55,59 +56,59 @@
     /// Memory (MB).
     #[serde(rename = "memory")]
     pub memory_mb: f64,
-    /// Used work over the client's estimate.
+    /// Ratio of the used work to the client's estimate.
     #[serde(rename = "bias")]
     pub hint_bias: f64,
     /// Time from sending an attempt to its answer (ms).
     #[serde(rename = "elapsed")]
     pub mean_latency_ms: f64,
-    /// The least that the mean latency was for long (ms).
+    /// Minimum of the mean latency, which decays slowly (ms).
     #[serde(rename = "best")]
     pub best_latency_ms: f64,
-    /// How long clients wait (ms).
+    /// Time that clients wait before they disconnect (ms).
     #[serde(rename = "patience")]
     pub patience_ms: f64,
-    /// Time on an engine, over the tenants that sent requests lately (ms).
+    /// Time on an engine, averaged over the tenants that sent requests recently (ms).
     #[serde(rename = "service")]
     pub service_ms: f64,
-    /// Latency budget less the service time, over the same tenants (ms).
+    /// Latency budget minus the service time, averaged over the same tenants (ms).
     #[serde(rename = "slack")]
     pub slack_ms: f64,
 }
 
-/// What is known of one engine beyond the list and its next load report.
+/// Measurements of one engine that neither the list nor its next load report contains.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedEngine {
-    /// Time that answers take over the time that they would take alone.
+    /// Ratio of the latency of answers to their latency on an idle engine.
     #[serde(rename = "slow")]
     pub slowdown: f64,
-    /// Time until it is warm (ms).
+    /// Remaining time of the warm-up (ms).
     #[serde(rename = "cold_ms")]
     pub warm_up_remaining_ms: f64,
 }
 
-/// What is known of the engine with this id.
+/// Measurements of the engine with this id.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LearnedEngineEntry {
-    /// The engine.
+    /// Id of the engine.
     pub id: EngineId,
-    /// What is known of it.
+    /// Measurements of the engine.
     pub learned: LearnedEngine,
 }
 
-/// All that is passed on.
+/// The complete learned state.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedState {
-    /// Levels of the whole gateway.
+    /// Levels of the whole scheduler.
     pub rates: LearnedRates,
-    /// By class number; `None` for a class of which nothing is known.
+    /// Means by class number; `None` for a class without measurements.
     pub classes: Vec<Option<LearnedClass>>,
-    /// By engine.
+    /// Measurements of the listed engines.
     pub engines: Vec<LearnedEngineEntry>,
 }
 
-/// Takes a figure over, clamped to its bounds; what is not a number is ignored.
+/// Restores a value, clamped to its bounds. A value that is NaN or infinite is ignored.
 fn restore_figure(target: &mut f64, figure: f64, bounds: Bounds) {
     if let Some(figure) = bounds.clamp_finite(figure) {
         *target = figure;
@@ -115,7 +116,8 @@
 }
 
 impl ClassState {
-    /// What is learned of the class, with the means over the streams of the tenants that sent requests lately.
+    /// Learned state of the class, with the means over the streams of the tenants that sent requests
+    /// recently.
     fn learned(&self, streams: &[&Stream]) -> LearnedClass {
         let mean = |figure: fn(&Stream) -> f64| match streams.len() {
             0 => figure(&self.initial_stream),
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Takes over what is learned of the class; latencies are bounded by its deadline.
+    /// Restores the learned state of the class. Its latencies are bounded by its deadline.
     fn restore(&mut self, learned: &LearnedClass, deadline_ms: Millis) {
         let figure = Bounds::new(0.0, MAX_FIGURE);
         let latency = Bounds::new(0.0, deadline_ms);
@@ -153,7 +155,7 @@
 }
 
 impl Engine {
-    /// What is learned of the engine.
+    /// Learned state of the engine.
     fn learned(&self, now: Millis) -> LearnedEngine {
         let warm_up_remaining_ms = (self.slow_start.warm_at - now).max(0.0);
         LearnedEngine { slowdown: self.health.slowdown, warm_up_remaining_ms }
@@ -161,7 +163,7 @@
 }
 
 impl Gateway {
-    /// What it has learned. Costs a walk over classes, engines and the tenants that sent requests lately.
+    /// The learned state. Iterates over classes, engines and the tenants that sent requests recently.
     pub fn learned_state(&self) -> LearnedState {
         let listed = self.engines.values().filter(|engine| engine.is_listed());
         LearnedState {
@@ -179,20 +181,20 @@
         }
     }
 
-    /// What is learned of one class.
+    /// Learned state of one class.
     fn learned_class(&self, index: usize) -> LearnedClass {
         let streams = self.tenants.values().map(|tenant| &tenant.streams[index]);
         let recent: Vec<&Stream> = streams.filter(|stream| !stream.completions.is_empty()).collect();
         self.classes[index].learned(&recent)
     }
 
-    /// Sets the maximum of requests that clients can have open here: it is lower while another process has some of
-    /// their connections.
+    /// Sets the maximum number of requests that clients can have open at this manager. It is lower while
+    /// another process has some of their connections.
     pub fn set_max_open_requests(&mut self, limit: Option<usize>) {
         self.settings.limits.max_open_requests = limit;
     }
 
-    /// Continues from what another process had learned `age_ms` ago. Engines that are not known are ignored.
+    /// Continues from the state that another process had learned `age_ms` ago. Unknown engines are ignored.
     pub fn restore(&mut self, state: &LearnedState, age_ms: Millis) {
         self.restore_rates(&state.rates);
         let classes = self.classes.iter_mut().zip(&self.settings.classes).zip(&state.classes);
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Takes over the levels of the whole gateway.
+    /// Restores the levels of the whole scheduler.
     fn restore_rates(&mut self, learned: &LearnedRates) {
         if let Some(alpha) = learned.alpha.and_then(|alpha| ALPHA_BOUNDS.clamp_finite(alpha)) {
             self.alpha.alpha = Some(alpha);
@@ -219,7 +221,7 @@
         restore_figure(&mut self.traffic.requests_per_ms, learned.requests_per_ms, figure);
     }
 
-    /// Takes over what is learned of one engine, whose warm-up went on meanwhile.
+    /// Restores the learned state of one engine, whose warm-up has continued in the meantime.
     fn restore_engine(&mut self, entry: &LearnedEngineEntry, age_ms: Millis) {
         let rules = &self.settings.rules;
         let Some(engine) = self.engines.get_mut(&entry.id) else { return };
--- a/src/decision/load_reports.rs
+++ b/src/decision/load_reports.rs
@@ -1,8 +1,9 @@
-//! Load reports: what engines say of their load, what follows for the load of other gateways, and how a gateway
-//! below the minimum cap gets fresh reports.
+//! Load reports: the load that engines report, the load of other managers that follows from it, and how a
+//! manager below the minimum cap gets fresh reports.
 //!
-//! Many gateways read one report and send by it at once. A gateway below the minimum cap therefore reckons with
-//! *concurrent observers*: gateways that send to the same free memory before the next report.
+//! Many managers read the same report and send requests because of it at once. A manager below the minimum
+//! cap therefore accounts for *concurrent observers*: managers that send to the same free memory before the
+//! next report.
 
 use super::bounds::Bounds;
 use super::dispatch::MAX_PLACEMENT_FAILURES;
@@ -11,58 +12,63 @@
 use super::types::{Action, EngineId, LoadReport, Millis, RequestId};
 use sanddyke_statistics::Load;
 
-/// Weight of one report in the queries of other gateways. Ours.
+/// Weight of one report in the queries of other managers.
 const PEER_LOAD_WEIGHT: f64 = 0.5;
-/// Fraction of busy cores from which it says little of other gateways: it cannot exceed 1. Ours.
+/// Reported fraction of busy cores from which on it tells little about the load of other managers, because it
+/// cannot exceed 1.
 const BUSY_FRACTION_LIMIT: f64 = 0.75;
-/// A report counts as fresh for this long (ms). Ours.
+/// Time for which a report counts as fresh (ms).
 const FRESH_MS: Millis = 200.0;
-/// A report is smoothed with the last one if that is at most this old (ms). Ours.
+/// Maximum age of the last report with which a new one is smoothed (ms).
 const SMOOTH_MS: Millis = 2.0 * FRESH_MS;
-/// Engines that are sampled for a fresh report at once: the two of the two-choice pick.
+/// Number of engines that are sampled for a fresh report at once: the two of the two-choice selection.
 const SAMPLE_SIZE: usize = 2;
-/// Minimum time between two samples (ms). Ours.
+/// Minimum time between two samples (ms).
 const SAMPLE_INTERVAL_MS: Millis = 150.0;
-/// Fraction of the reports that may show more memory granted than there is. Ours.
+/// Accepted fraction of reports in which the granted memory exceeds the engine's memory.
 const OVERCOMMIT_TARGET: f64 = 0.1;
-/// Step of one report in the correction of concurrent observers. Ours.
+/// Step by which one report changes the correction of concurrent observers.
 const OBSERVER_STEP: f64 = 0.1;
-/// Bounds of that correction. Ours.
+/// Bounds of that correction.
 const OBSERVER_CORRECTION_BOUNDS: Bounds = Bounds::new(0.25, 4.0);
 
-/// What an engine has reported, and what is reckoned from it.
+/// Load that an engine has reported, and the estimates derived from it.
 #[derive(Debug, Default)]
 pub(super) struct ReportedLoad {
-    /// When it last reported, also without figures, or answered.
+    /// Time of its last report (with or without values) or answer.
     pub(super) received_at: Option<Millis>,
-    /// Queries of the other gateways, smoothed.
+    /// Estimated queries of the other managers, smoothed.
     pub(super) peer_queries: f64,
-    /// Fraction of its memory that is granted; with what was sent since, by all concurrent observers.
+    /// Fraction of the engine's memory that is granted, including the estimate of what all concurrent
+    /// observers have sent since the report.
     pub(super) memory_fraction: f64,
-    /// Gateways that send by the same report; drawn anew with each.
+    /// Number of managers assumed to send because of the same report; sampled for each report.
     pub(super) concurrent_observers: f64,
-    /// What this gateway ran there when the health check was sent that is in flight.
+    /// This manager's load on the engine when the health check in flight was sent; `None` if none is in
+    /// flight.
     pub(super) local_load_at_check: Option<Load>,
 }
 
 impl ReportedLoad {
-    /// Whether it last reported less than this long ago.
+    /// Whether the last report is younger than this.
     fn is_within(&self, now: Millis, age_ms: Millis) -> bool {
         self.received_at.is_some_and(|at| now - at < age_ms)
     }
 
-    /// Whether its last report can be gone by.
+    /// Whether the last report is recent enough to base a decision on.
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
         self.is_within(now, FRESH_MS)
     }
 }
 
-/// How many gateways send by the same report.
+/// Estimate of the number of managers that send because of the same report.
 #[derive(Debug)]
 pub(super) struct ObserverEstimate {
-    /// Gateways as busy as this one that sample the same engine, as corrected.
+    /// Expected number of managers, as busy as this one, that sample the same engine; includes the
+    /// correction.
     pub(super) per_report: f64,
-    /// Factor over what can be counted: above 1 where engines report more memory granted than there is.
+    /// Factor on the expected number. It rises above 1 while engines report more memory granted than they
+    /// have.
     correction: f64,
 }
 
@@ -73,7 +79,7 @@
 }
 
 impl ObserverEstimate {
-    /// Takes the memory that an engine reports into the correction.
+    /// Adjusts the correction by the memory that an engine reports.
     fn record_memory(&mut self, memory_fraction: f64) {
         let overcommitted = f64::from(memory_fraction > 1.0);
         let step = OBSERVER_STEP * (overcommitted - OVERCOMMIT_TARGET);
@@ -81,31 +87,32 @@
     }
 }
 
-/// What the estimate of the other gateways' queries on an engine goes by.
+/// Basis of the estimate of the other managers' queries on an engine.
 struct PeerLoadBasis {
-    /// This gateway's load there when the engine reported.
+    /// This manager's load on the engine when the engine reported.
     local_load: Load,
     /// Threads of a mean query.
     threads_per_query: f64,
-    /// Queries of the other gateways, if they run as many as this one.
+    /// Queries of the other managers if each has as many as this one.
     expected_queries: f64,
 }
 
 impl PeerLoadBasis {
-    /// Queries of the other gateways by a report; `None` where it has no figure for that.
+    /// Queries of the other managers, from a report; `None` if it contains no value for that.
     fn estimate(&self, report: &LoadReport, cores: f64) -> Option<f64> {
         if let Some(in_flight) = report.in_flight {
             return Some(in_flight - self.local_load.queries);
         }
         let busy = report.busy?;
         let queries = (busy * cores - self.local_load.threads) / self.threads_per_query;
-        // A saturated engine may have any number of them: take the other gateways to be like this one.
+        // A saturated engine may have any number of queries. Assume that the other managers have as many as
+        // this one.
         Some(if busy >= BUSY_FRACTION_LIMIT { queries.max(self.expected_queries) } else { queries })
     }
 }
 
 impl Gateway {
-    /// Takes a load report, of a health check or an answer, into what is known of the engine.
+    /// Records a load report from a health check or a response.
     pub(super) fn record_load_report(&mut self, id: EngineId, report: LoadReport) {
         let threads_per_query = self.mean_query().threads;
         let local_per_engine = self.local_load.queries / self.capacity.listed_engines.max(1) as f64;
@@ -119,7 +126,8 @@
         let smooth = !below_min_cap || reported.is_within(self.now, SMOOTH_MS);
         reported.received_at = Some(self.now);
         if below_min_cap {
-            // Each observer sends its fraction of what fits: this one comes at a random place among them.
+            // Each observer sends its fraction of the free memory. This manager is at a random position among
+            // them.
             reported.concurrent_observers = self.observers.per_report * self.rng.rand_float();
             reported.memory_fraction = report.memory.unwrap_or(reported.memory_fraction);
         } else {
@@ -135,8 +143,8 @@
         }
     }
 
-    /// Reckons anew how many gateways sample an engine at once. One that receives more than its part of the tenants'
-    /// quotas has fewer beside it that receive as much.
+    /// Estimates how many managers sample an engine at once. If this manager receives more than its part of
+    /// the tenants' quotas, fewer other managers receive as much.
     pub(super) fn refit_observers(&mut self) {
         let tenants = self.tenant_settings.iter().flatten();
         let quota_per_ms: f64 = tenants.map(|tenant| tenant.quota_per_s / 1000.0).sum();
@@ -148,8 +156,9 @@
         self.observers.per_report = observing * SAMPLE_SIZE as f64 / listed * self.observers.correction;
     }
 
-    /// Whether fresh reports show an engine with capacity for the request. A gateway below the minimum cap is too
-    /// quiet to know the engines otherwise: where there are none, it samples engines for some.
+    /// Whether fresh reports show an engine with capacity for the request. Below the minimum cap, this
+    /// manager has too little traffic to know the engines' load otherwise. If there are no fresh reports, it
+    /// samples engines.
     pub(super) fn has_fresh_choice(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let class = request.class;
@@ -173,7 +182,7 @@
         false
     }
 
-    /// Checks some engines at random, unless a check is in flight or the last sample was just now.
+    /// Sends health checks to random engines, unless one is in flight or the last sample was too recent.
     fn sample_engines(&mut self, mut candidates: Vec<EngineId>) {
         let mut engines = self.engines.values();
         let in_flight = engines.any(|engine| engine.reported.local_load_at_check.is_some());
--- a/src/decision/lost_attempts.rs
+++ b/src/decision/lost_attempts.rs
@@ -1,16 +1,17 @@
-//! Lost attempts: those that will have no result, but that their engines may still execute. A request has one attempt
-//! in flight, so it is retried once its engine has dropped the one that was lost.
+//! Lost attempts: they will have no result, but their engines may still be executing them. A request has at
+//! most one attempt in flight, so it is retried only after its engine has discarded the lost one.
 
 use super::gateway::Gateway;
 use super::requests::AttemptId;
 use super::types::{Effect, Millis, Outcome, RequestId};
 
-/// How long a request waits for an engine to drop its lost attempt before its client is sent away (ms). An engine that
-/// reads does so within one round trip.
+/// Time that a request waits for an engine to discard its lost attempt before it is rejected (ms). An engine
+/// that still reads its connection discards the attempt within one round trip.
 const DROP_TIMEOUT_MS: Millis = 500.0;
 
 impl Gateway {
-    /// An attempt is lost: judges its engine, and answers its request where that can't be retried anyway.
+    /// An attempt is lost: records its outcome for its engine, and answers its request if that cannot be
+    /// retried.
     pub(super) fn on_attempt_lost(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let engine = attempt.engine;
@@ -24,8 +25,9 @@
         }
     }
 
-    /// Rejects requests whose lost attempts their engines do not drop, where a client's retry does no harm: it is
-    /// another request, and goes to another engine. With an idempotency key it is the same, so that one waits.
+    /// Rejects requests whose lost attempts are not discarded in time, if a client's retry is safe: the retry
+    /// is another request and goes to another engine. A retry with an idempotency key is the same request, so
+    /// requests of such classes keep waiting.
     pub(super) fn answer_stranded(&mut self) {
         let overdue = self.lost_attempts.iter().filter(|(_, since)| self.now - **since >= DROP_TIMEOUT_MS);
         let stranded: Vec<RequestId> = overdue
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,43 +1,68 @@
-//! The decisions of a gateway: when and on which engine each request runs, and how it ends.
+//! Scheduling of requests: when and on which engine each request runs, and which final answer it gets if it
+//! cannot be served.
 //!
-//! [`Gateway`] is a state machine without I/O and without a clock: events go in with their time, actions come out.
+//! A *manager* is one process of this program. Several managers share a fleet of query engines and do not
+//! coordinate their decisions. Each has one [`Scheduler`], a state machine without I/O and without a clock:
+//! the embedding program passes in each [`Event`] with its time, and applies the [`Action`]s that result.
 //!
 //! ```text
-//!                    ┌─ Request ──────────> admission ───────────────────────> queues
-//!                    ├─ AttemptLost ──────> lost_attempts ──> outliers, or an answer
-//!                    ├─ AttemptEnded ─────> attempts ──> classes, outliers ──> queues, or an answer
-//!  Event ─> gateway ─┼─ EngineList ───────> engines ───> slow_start
-//!                    ├─ HealthChecked ────> health_checks ──> load_reports, outliers
-//!                    ├─ Tenant ───────────> tenants
-//!                    └─ Timer ────────────> upkeep ──> traffic, alpha, health_checks, shedding
+//!                      ┌─ Request ──────────> admission ───────────────────────> queues
+//!                      ├─ AttemptLost ──────> lost_attempts ──> outliers, or a final answer
+//!                      ├─ AttemptEnded ─────> attempts ──> classes, outliers ──> queues, or a final answer
+//!  Event ─> scheduler ─┼─ EngineList ───────> engines ───> slow_start
+//!                      ├─ HealthChecked ────> health_checks ──> load_reports, outliers
+//!                      ├─ Tenant ───────────> tenants
+//!                      └─ Timer ────────────> upkeep ──> traffic, alpha, health_checks, shedding
 //!
-//!  and after every event:
+//!  after every event:
 //!
-//!  queues ──> dispatch ────────> engine_selection ─────> attempts ──> Action::Send
-//!             alpha's draw,      guard rules, capacity,
-//!             fair rotation      two-choice pick
+//!  queues ──> dispatch ────────────> engine_selection ─────> attempts ──> Action::Send
+//!             side by probability    guard rules, capacity,
+//!             alpha, fair rotation   two-choice selection
 //!
 //!  a request that cannot be served, or not in time ─────> completion ──> Action::Reject or Action::Fail
 //! ```
 //!
-//! On the ordinary path a request of a *sensitive* (sub-second) class is due at its arrival plus its latency budget
-//! less its service time; all other requests are *best effort* and go in fair rotation among tenants. Alpha splits
-//! free slots between the two, a cap on the threads of one engine binds under pressure, and of two random engines
-//! the less loaded one is taken. The mechanism is that of the paper named on the design page, "User
-//! Disengagement-Oriented Target Enforcement for Multi-Tenant Database Systems"; a constant says where it is ours.
+//! # Terms
 //!
-//! Each module has one concern, its own state struct, and its constants at the top. What a module does on the whole
-//! gateway stands in its `impl Gateway` block. Random draws, actions and floating-point operations have a fixed
-//! order: the same events with the same seed give the same bytes.
+//! - *Attempt*: one execution of a request on an engine. A request has at most one attempt in flight.
+//! - *Sensitive* class: a class with a sub-second latency objective. Its requests are sent in order of due
+//!   time, which is the arrival time plus the latency budget minus the service time. The latency budget is
+//!   the mean latency at which the stream's disengagement is at its target.
+//! - *Best-effort* class: any other class. Its requests are sent in fair rotation among tenants.
+//! - *Stream*: the completions of one tenant's requests of one class.
+//! - *Disengagement*: the cost of a late answer to its client, from 0 (within the latency objective) over one
+//!   half (after it) to 1 (after the deadline, or no answer).
+//! - *Alpha*: the probability that a free slot goes to the sensitive side instead of the best-effort side.
+//! - *Slowdown* of an engine and *stretch* of answers: the latency of answers divided by their latency on an
+//!   idle engine.
+//! - *Cap*: the maximum of threads that this manager uses on one engine that is under pressure.
+//! - *Below the minimum cap*: with many managers, one manager's fraction of an engine is less than the
+//!   minimum cap. Such a manager is not bound by caps and uses fresh load reports instead.
 //!
-//! The numbered rules that comments refer to are the operating rules of the platform's wire description, in short:
-//! 1. never lose a request: each has one final answer, in time;
-//! 2. never double an effect: what may have been executed is repeated, or rejected, only where that does no harm;
-//! 3. drain safely: an engine that drains, or is removed, gets nothing new;
-//! 4. fail back safely: an engine that is warming up is sent no more than its budget;
-//! 5. keep order per key: requests of one key run one at a time, in order of arrival;
-//! 6. send only where allowed: a class runs only on the kinds of machine and in the zones that it names;
-//! 7. budget for attempts: retries stay within their budget.
+//! The engine of an attempt is the less loaded of two random engines that have capacity. The mechanism is
+//! described in the paper "User Disengagement-Oriented Target Enforcement for Multi-Tenant Database Systems";
+//! the design page names it as well. Constants of the paper, and of the design page, are marked as such.
+//!
+//! # Structure
+//!
+//! Each module covers one concern, with its own state struct and its constants at the top. Operations on the
+//! whole scheduler are in the `impl Scheduler` block of each module. Random numbers, actions and
+//! floating-point operations have a fixed order: the same events with the same seed produce identical output.
+//!
+//! # Operating rules
+//!
+//! Comments refer to these rules by number. They summarize the operating rules in the platform's description
+//! of its wire protocol.
+//!
+//! 1. Never lose a request: each gets exactly one final answer, in time.
+//! 2. Never duplicate an effect: a request that was possibly executed is repeated, or rejected, only if that
+//!    is safe.
+//! 3. Drain safely: an engine that is draining or removed gets no new attempts.
+//! 4. Fail back safely: an engine that is warming up is sent no more than its budget.
+//! 5. Preserve order per key: requests of one order key run one at a time, in order of arrival.
+//! 6. Respect placement: a class runs only on the kinds of machine and in the zones that it permits.
+//! 7. Limit retries: they stay within the retry budget.
 
 mod admission;
 mod alpha;
--- a/src/decision/ordered_queues.rs
+++ b/src/decision/ordered_queues.rs
@@ -1,15 +1,15 @@
-//! Ordered queues (rule 5): requests of one key run in order of arrival, one at a time.
+//! Ordered queues (rule 5): requests of one order key run in order of arrival, one at a time.
 
 use super::gateway::Gateway;
 use super::requests::PendingRequest;
 use super::types::{Millis, OrderKey, Outcome, RequestId};
 use std::collections::VecDeque;
 
-/// Requests of one key, the oldest first.
+/// Requests of one order key, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct OrderedQueue {
     requests: VecDeque<RequestId>,
-    /// No request begins before this: an attempt whose end is unknown may still run.
+    /// No request starts before this time, because an attempt whose end is unknown may still be executing.
     paused_until: Millis,
 }
 
@@ -21,7 +21,8 @@
 }
 
 impl Gateway {
-    /// Whether it is the request's turn. A request that has begun may be retried during the pause of its key.
+    /// Whether it is the request's turn. A request that already had an attempt may be retried during the
+    /// pause of its key.
     pub(super) fn is_next_of_its_key(&self, id: RequestId, request: &PendingRequest) -> bool {
         let Some(key) = request.order_key else { return true };
         let Some(queue) = self.ordered_queues.get(&key) else { return true };
@@ -29,7 +30,7 @@
         queue.requests.front() == Some(&id) && settled
     }
 
-    /// Pauses a key after an attempt, where it is unknown whether that still runs.
+    /// Pauses an order key after an attempt if it is unknown whether the attempt is still executing.
     pub(super) fn pause_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
         let end_known = outcome.never_ran() || matches!(outcome, Outcome::Served | Outcome::ServerError);
         let pause_ms = if end_known { 0.0 } else { self.settings.rules.key_settle_ms };
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Takes a request out of its key's queue, once it is answered and none of its attempts is in flight.
+    /// Removes a request from the queue of its order key, once it is closed and has no attempt in flight.
     pub(super) fn leave_ordered_queue(&mut self, id: RequestId, key: Option<OrderKey>) {
         let Some(key) = key else { return };
         if self.requests.contains_key(&id) || self.has_attempt_in_flight(id) {
--- a/src/decision/outliers.rs
+++ b/src/decision/outliers.rs
@@ -1,99 +1,100 @@
-//! Outlier detection: the health of an engine by the outcomes of attempts and health checks, and its ejection.
+//! Outlier detection: an engine's health, from the outcomes of attempts and health checks, and its ejection.
 
 use super::gateway::Gateway;
 use super::types::{Action, EngineId, LogMessage, Millis, Outcome};
 
-/// Connection failures, or unanswered health checks, in a row after which an engine is ejected until it answers.
-/// Ours.
+/// Consecutive connection failures, or unanswered health checks, after which an engine is ejected until it
+/// answers.
 pub(super) const EJECT_AFTER_FAILURES: u32 = 2;
-/// Attempts lost this close together were lost with one connection (ms). Ours.
+/// Attempts lost within this time of each other were lost with the same connection (ms).
 const SAME_LOSS_MS: Millis = 50.0;
-/// Pause of an engine after a connection failure (ms). Ours.
+/// Pause of an engine after a connection failure (ms).
 const FAILURE_PAUSE_MS: Millis = 500.0;
-/// Pause of an engine that rejected an attempt because it was full (ms). Ours.
+/// Pause of an engine that rejected an attempt because it was full (ms).
 const FULL_PAUSE_MS: Millis = 200.0;
-/// An engine that was down for longer than this has restarted, and is warming up (ms). Ours.
+/// An engine that was down for longer than this has restarted and is warming up (ms).
 const RESTART_AFTER_MS: Millis = 1500.0;
-/// An engine with this slowdown is jammed: the design page's "latency far above best". Ours.
+/// Slowdown above which an engine is congested: "latency far above best" on the design page.
 pub(super) const JAMMED_SLOWDOWN: f64 = 3.0;
-/// Weight of one answer in an engine's slowdown. Ours.
+/// Weight of one answer in an engine's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
-/// One answer counts with this slowdown at most. Ours.
+/// Maximum slowdown with which one answer counts.
 pub(super) const MAX_SLOWDOWN: f64 = 50.0;
-/// Time in which a slowdown fades where there are no answers (ms). Ours.
+/// Time in which a slowdown decays if there are no answers (ms).
 const SLOWDOWN_FADE_MS: Millis = 8000.0;
 
 /// Health of one engine.
 #[derive(Debug, Default)]
 pub(super) struct EngineHealth {
-    /// Time that answers take over the time that they would take alone, smoothed.
+    /// Smoothed ratio of the latency of answers to their latency on an idle engine.
     pub(super) slowdown: f64,
-    /// Connection failures in a row.
+    /// Consecutive connection failures.
     connection_failures: u32,
-    /// When a connection to it last broke.
+    /// Time at which a connection to the engine last broke.
     connection_lost_at: Option<Millis>,
-    /// Since when it has been ejected for connection failures.
+    /// Time since which the engine is ejected for connection failures; `None` if it is not.
     pub(super) down_since: Option<Millis>,
-    /// It gets nothing before this.
+    /// The engine is sent nothing before this time.
     paused_until: Millis,
-    /// Health checks in a row that it left unanswered.
+    /// Consecutive unanswered health checks.
     check_timeouts: u32,
-    /// Latency of the last health check over the least in its zone, as a fraction of the least in any zone.
+    /// Excess of the last health-check latency over the minimum of its zone, as a fraction of the minimum
+    /// over all zones.
     pub(super) check_latency_excess: f64,
 }
 
 impl EngineHealth {
-    /// Health of an engine of which nothing is known: good.
+    /// Health of an engine without measurements: good.
     pub(super) fn new() -> EngineHealth {
         EngineHealth { slowdown: 1.0, ..EngineHealth::default() }
     }
 
-    /// Whether it leaves health checks unanswered.
+    /// Whether the engine is ejected because it leaves health checks unanswered.
     pub(super) fn is_silent(&self) -> bool {
         self.check_timeouts >= EJECT_AFTER_FAILURES
     }
 
-    /// Whether connections to it fail, or it leaves health checks unanswered.
+    /// Whether the engine is ejected because of connection failures or unanswered health checks.
     pub(super) fn is_unreachable(&self) -> bool {
         self.down_since.is_some() || self.is_silent()
     }
 
-    /// Whether it gets nothing for a moment, because it was full or a connection failed.
+    /// Whether the engine is briefly sent nothing because it was full or a connection failed.
     pub(super) fn is_paused(&self, now: Millis) -> bool {
         now < self.paused_until
     }
 
-    /// An answer took this times what it would have taken alone.
+    /// Records that an answer took this multiple of its latency on an idle engine.
     pub(super) fn record_slowdown(&mut self, slowdown: f64) {
         self.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - self.slowdown);
     }
 
-    /// Lets the slowdown fade towards 1, as engines that get nothing have no answers.
+    /// Moves the slowdown towards 1, because an engine that is sent nothing has no answers to lower it.
     pub(super) fn fade_slowdown(&mut self, elapsed_ms: Millis) {
         let fraction = (elapsed_ms / SLOWDOWN_FADE_MS).min(1.0);
         self.slowdown += (1.0 - self.slowdown).min(0.0) * fraction;
     }
 
-    /// A health check was not answered; true where that makes the engine silent.
+    /// Records an unanswered health check. Returns true if the engine is ejected because of it.
     pub(super) fn record_check_timeout(&mut self) -> bool {
         self.check_timeouts += 1;
         self.check_timeouts == EJECT_AFTER_FAILURES
     }
 
-    /// It has answered.
+    /// Records an answered health check or a load report.
     pub(super) fn reset_check_timeouts(&mut self) {
         self.check_timeouts = 0;
     }
 
-    /// It answered. Gives since when it was down, where it was.
+    /// Records an answer. Returns since when the engine was down; `None` if it was not.
     fn record_success(&mut self) -> Option<Millis> {
         self.connection_failures = 0;
         self.check_timeouts = 0;
         self.down_since.take()
     }
 
-    /// A connection broke, or could not be made; true where the engine goes down by it. Attempts that were lost with
-    /// one connection are one failure.
+    /// Records that a connection broke or could not be made. Returns true if the engine goes down because of
+    /// it. Attempts that were lost with the same connection count as one failure.
     fn record_connection_failure(&mut self, now: Millis, established: bool) -> bool {
         let lost_before = self.connection_lost_at;
         let is_same_loss = established && lost_before.is_some_and(|before| now - before < SAME_LOSS_MS);
@@ -114,8 +115,8 @@
 }
 
 impl Gateway {
-    /// Judges an engine by the outcome of an attempt or a health check: a full one pauses, an unreachable one is down
-    /// until it answers.
+    /// Updates an engine's health by the outcome of an attempt or a health check: a full engine is paused, an
+    /// unreachable one is down until it answers.
     pub(super) fn record_outcome(&mut self, id: EngineId, outcome: Outcome) {
         let now = self.now;
         match outcome {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// An engine that was down is back; where it was down for long it has restarted, and is warming up.
+    /// Records that an engine answered. One that was down for long has restarted and is warming up.
     fn record_success(&mut self, id: EngineId) {
         let mean_work_ms = self.mean_work_ms();
         let Some(engine) = self.engines.get_mut(&id) else { return };
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -1,18 +1,20 @@
-//! Requests and attempts as the gateway tracks them.
+//! Requests and attempts, as the scheduler tracks them.
 
 use super::gateway::Gateway;
 use super::types::{CellId, EngineId, Millis, OrderKey, RequestId, ZoneId};
 use sanddyke_statistics::Load;
 use sanddyke_tenancy::Rank;
 
-/// Bit of a band: the request is predicted to end past its latency objective. Ranks behind all that are in time.
+/// Bit of a band: the request is predicted to end after its latency objective. It ranks behind all that will
+/// be in time.
 const LATE_BAND: u8 = 1;
-/// Bit of a band: the request was beyond its tenant's share when it arrived. Ranks behind all that were within.
+/// Bit of a band: the request was beyond its tenant's share when it arrived. It ranks behind all that were
+/// within.
 const OVER_SHARE_BAND: u8 = 2;
-/// Microseconds in a millisecond: ranks are whole microseconds.
+/// Microseconds in a millisecond. Ranks are whole microseconds.
 const US_PER_MS: f64 = 1000.0;
 
-/// Position of a request in its queue, the least first: by band, then by due time.
+/// Rank of a request in its queue: by band, then by due time. The lowest rank is sent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(super) struct QueueRank {
     band: u8,
@@ -31,12 +33,12 @@
         self.band >= OVER_SHARE_BAND
     }
 
-    /// Whether the request is predicted to end past its latency objective.
+    /// Whether the request is predicted to end after its latency objective.
     pub(super) fn is_late(self) -> bool {
         self.band & LATE_BAND != 0
     }
 
-    /// Puts the request behind all that are in time.
+    /// Ranks the request behind all that will be in time.
     pub(super) fn mark_late(&mut self) {
         self.band |= LATE_BAND;
     }
@@ -53,36 +55,36 @@
 pub(super) struct PendingRequest {
     pub(super) class: usize,
     pub(super) tenant: usize,
-    /// The key within which it is ordered, where its class asks for that.
+    /// Order key; `None` if the class is not in order.
     pub(super) order_key: Option<OrderKey>,
     pub(super) arrived_at: Millis,
-    /// When its client gives up, or the gateway is stopped.
+    /// Time at which the client gives up or the process is killed, whichever is earlier.
     pub(super) deadline: Millis,
-    /// End of its latency objective, by the estimate of its work.
+    /// End of the latency objective, which depends on the estimate of the work.
     pub(super) objective_at: Millis,
-    /// Estimate of its work (ms of one thread).
+    /// Estimate of the work (ms of one thread).
     pub(super) work_ms: Millis,
-    /// Estimate of its memory (MB).
+    /// Estimate of the memory (MB).
     pub(super) memory_mb: f64,
     pub(super) rank: QueueRank,
-    /// The data set that it locks on its engine while it runs.
+    /// Data set that the request locks on its engine while it runs.
     pub(super) data_set_lock: Option<u64>,
     pub(super) attempts_sent: u32,
     pub(super) possibly_executed: Option<PossiblyExecuted>,
-    /// Its response streams: it has no deadline any more, and no further attempt.
+    /// The response streams: the request has no deadline and gets no further attempt.
     pub(super) streaming: bool,
 }
 
-/// The first attempt of a request that may have been executed.
+/// The first attempt of a request that was possibly executed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PossiblyExecuted {
     /// Number of the attempt.
     pub(super) attempt: u32,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub(super) at: Millis,
-    /// Location of its engine.
+    /// Zone of the engine.
     pub(super) zone: ZoneId,
-    /// Cell of its engine.
+    /// Cell of the engine.
     pub(super) cell: Option<CellId>,
 }
 
@@ -90,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
-    /// From 0.
+    /// Number within the request, from 0.
     pub(super) number: u32,
 }
 
@@ -100,7 +102,7 @@
     pub(super) engine: EngineId,
     pub(super) sent_at: Millis,
     pub(super) class: usize,
-    /// What it adds to its engine's load, by the estimates of its request.
+    /// Load that the attempt adds to its engine, by the estimates for its request.
     pub(super) load: Load,
     pub(super) data_set_lock: Option<u64>,
     pub(super) order_key: Option<OrderKey>,
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -1,11 +1,11 @@
-//! Retries: whether one more attempt is harmless (rule 2), and within the retry budget (rule 7).
+//! Retry policy: whether one more attempt is safe (rule 2) and within the retry budget (rule 7).
 
 use super::gateway::Gateway;
 use super::requests::PendingRequest;
 use super::types::{DedupScope, Effect, EngineEntry, Millis, RetryBudget};
 use sanddyke_statistics::Timeline;
 
-/// Requests and retries of late, by which the retry budget is reckoned.
+/// Recent requests and retries, from which the retry budget is computed.
 #[derive(Debug, Default)]
 pub(super) struct RetryWindow {
     requests: Timeline,
@@ -13,12 +13,12 @@
 }
 
 impl RetryWindow {
-    /// A request arrived.
+    /// Records the arrival of a request.
     pub(super) fn record_request(&mut self, now: Millis) {
         self.requests.push(now);
     }
 
-    /// A retry was sent.
+    /// Records that a retry was sent.
     pub(super) fn record_retry(&mut self, now: Millis) {
         self.retries.push(now);
     }
@@ -31,7 +31,7 @@
         retries + 1.0 <= budget.floor + budget.ratio * requests
     }
 
-    /// Drops what no window reaches back to.
+    /// Removes entries that are older than the window.
     pub(super) fn trim(&mut self, budget: Option<RetryBudget>, now: Millis) {
         let since = now - budget.map_or(0.0, |budget| budget.window_ms);
         self.retries.trim(since);
@@ -40,19 +40,20 @@
 }
 
 impl Gateway {
-    /// Whether the request may have one more attempt, as far as the number of attempts goes.
+    /// Whether the maximum number of attempts and the retry budget allow one more attempt of the request.
     pub(super) fn may_attempt_again(&self, request: &PendingRequest) -> bool {
         let is_retry = request.attempts_sent > 0;
         request.attempts_sent < self.settings.limits.max_attempts && (!is_retry || self.retry_budget_allows())
     }
 
-    /// Rule 7: whether one more retry is within the budget, where there is one.
+    /// Rule 7: whether one more retry is within the budget, if there is one.
     fn retry_budget_allows(&self) -> bool {
         let budget = self.settings.rules.retry_budget;
         budget.is_none_or(|budget| self.retries.allows_retry(budget, self.now))
     }
 
-    /// Rule 2: whether one more attempt does no harm, on that engine, or on the best one where none is given.
+    /// Rule 2: whether one more attempt is safe on this engine, or on the most suitable one if `engine` is
+    /// `None`.
     pub(super) fn is_harmless(&self, request: &PendingRequest, engine: Option<&EngineEntry>) -> bool {
         let Some(executed) = request.possibly_executed else { return true };
         match self.settings.classes[request.class].effect {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Whether the client may retry the request by itself, wherever that goes: only then is it rejected, else failed.
+    /// Whether the client may safely retry the request, whichever engine it reaches. Only then is the request
+    /// rejected, otherwise it fails.
     pub(super) fn is_harmless_for_client(&self, request: &PendingRequest) -> bool {
         let effect = self.settings.classes[request.class].effect;
         let limited_scope = matches!(effect, Effect::Keyed { scope, .. } if scope != DedupScope::All);
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to their
-//! deadline, and once clients have few connections left, requests of little weight make way.
+//! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to
+//! their deadline. When clients have few connections left, requests of low weight are shed as well.
 
 use super::gateway::Gateway;
 use super::outliers::JAMMED_SLOWDOWN;
@@ -7,22 +7,23 @@
 use super::types::{Millis, RequestId};
 use std::collections::BTreeMap;
 
-/// Work per core and ms that this gateway surely gets of its fraction of the fleet. Ours.
+/// Work per core and ms that this manager is assumed to get at least from its fraction of the fleet.
 const ASSURED_WORK_RATE: f64 = 0.7;
-/// Rate of work that is reckoned with at least (work per ms).
+/// Lower bound of the work rate used in predictions (work per ms).
 const MIN_WORK_RATE: f64 = 0.01;
-/// Fraction of the requests that clients can have open above which requests make way: those of little weight, and loads
-/// that wait for a lock. Ours.
+/// Fraction of the maximum open requests above which requests of low weight and loads that wait for a lock
+/// are shed.
 const CROWDED_FRACTION: f64 = 0.85;
 
-/// What is predicted for a queued best-effort request.
+/// Predicted end of a queued best-effort request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Prediction {
-    /// It ends in time.
+    /// The request keeps its rank: it ends in time, or is already ranked as late.
     InTime,
-    /// It ends past its latency objective: it goes behind all that are in time.
+    /// The request ends after its latency objective. It is ranked behind all that end in time.
     Late,
-    /// It ends past its deadline, or only waits for a lock.
+    /// The request cannot be served usefully: it ends after its deadline, only waits for a lock, or is late
+    /// and beyond its tenant's share.
     Hopeless,
 }
 
@@ -31,18 +32,18 @@
     gateway: &'a Gateway,
     /// Work finished per ms.
     work_rate: f64,
-    /// Slowdown that attempts are taken to meet.
+    /// Slowdown that attempts are assumed to encounter.
     slowdown: f64,
-    /// Engines that take loads on one data set beside each other.
+    /// Number of engines that can run loads on one data set in parallel.
     reachable_engines: f64,
-    /// Work of the requests before (ms of one thread).
+    /// Work of the requests ahead in the queue (ms of one thread).
     work_ahead_ms: Millis,
-    /// Loads before, by data set: they run one after another on each engine.
+    /// Number of loads ahead in the queue, by data set. They run one after another on each engine.
     loads_ahead: BTreeMap<u64, f64>,
 }
 
 impl<'a> Forecast<'a> {
-    /// A forecast that begins with the first request in the queue.
+    /// A forecast that starts at the head of the queue.
     fn new(gateway: &'a Gateway) -> Forecast<'a> {
         let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
         let reachable = || {
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Predicts the next request's end, and counts it as ahead of those that follow unless it gives way to them.
+    /// Predicts the end of the next request. A request that ends in time, or is already ranked as late,
+    /// counts as ahead of those that follow.
     fn predict(&mut self, request: &PendingRequest) -> Prediction {
         let now = self.gateway.now;
         let alone_ms = self.gateway.time_alone_ms(request);
@@ -93,7 +95,7 @@
 }
 
 impl Gateway {
-    /// Sheds what cannot end in time, and puts what will be late behind all others.
+    /// Sheds requests that cannot end in time, and ranks requests that will be late behind all others.
     pub(super) fn shed(&mut self) {
         let mut shed = self.sensitive_past_objective();
         let mut late = Vec::new();
@@ -114,12 +116,12 @@
         }
     }
 
-    /// Time that a request takes on an engine of its own (ms).
+    /// Time that a request takes on an idle engine (ms).
     fn time_alone_ms(&self, request: &PendingRequest) -> Millis {
         request.work_ms / self.settings.classes[request.class].threads
     }
 
-    /// Queued sensitive requests that would end past their latency objective even if they were sent now.
+    /// Queued sensitive requests that would end after their latency objective even if they were sent now.
     fn sensitive_past_objective(&self) -> Vec<RequestId> {
         let queued = self.sensitive_queue.iter().map(|(_, id)| *id);
         let past_objective = queued.filter(|id| {
@@ -129,8 +131,8 @@
         past_objective.collect()
     }
 
-    /// Queued requests, the last first, of less weight than the mean of what is open: once clients have few
-    /// connections left, each is worth that mean.
+    /// Queued requests whose weight is below the mean of all open requests, from the tail of the queue. When
+    /// clients have few connections left, a connection is worth that mean.
     fn least_weighty(&self, count: usize) -> Vec<RequestId> {
         let weight = |id: &RequestId| self.settings.classes[self.requests[id].class].priority_weight;
         let total_weight = self.requests.keys().map(weight).sum::<f64>();
@@ -141,7 +143,7 @@
         queued.rev().filter(|id| weight(id) < mean_weight).take(count).collect()
     }
 
-    /// Puts a request behind all that are in time.
+    /// Ranks a request behind all that will be in time.
     fn demote(&mut self, id: RequestId) {
         self.dequeue(id);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -150,7 +152,7 @@
         self.enqueue(id);
     }
 
-    /// Open requests beyond those that clients can have here before they find no connection.
+    /// Number of open requests beyond the threshold at which clients soon find no free connection.
     pub(super) fn open_request_excess(&self) -> usize {
         let limit = self.settings.limits.max_open_requests;
         let crowded_at = limit.map_or(usize::MAX, |limit| (CROWDED_FRACTION * limit as f64) as usize);
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,37 +1,38 @@
-//! Slow start (rule 4): an engine that has just started is sent no more than it can do while its caches are cold.
+//! Slow start (rule 4): an engine that has just started is sent no more work than it can do while its caches
+//! are cold.
 
 use super::types::{Millis, Rules};
 use oorandom::Rand64;
 
-/// Fraction of the budget of an engine that is warming up: half, of 85 % busy cores, as its capacity is estimated
-/// and not reported. Ours.
+/// Fraction of the warm-up budget that is used: half of 85 % busy cores. Only half, because the capacity is
+/// estimated and not reported.
 const BUDGET_FRACTION: f64 = 0.425;
 
-/// How warm an engine is, and what it may be sent meanwhile.
+/// Warm-up state of an engine and the work that it may be sent meanwhile.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// When it is warm.
+    /// Time at which the engine is warm.
     pub(super) warm_at: Millis,
-    /// Cores' worth of work that it can do now: less while it is warming up.
+    /// Cores that the present capacity corresponds to; fewer than the engine has while it is warming up.
     pub(super) effective_cores: f64,
-    /// Work that this gateway may send it while it is warming up (ms of one thread); paid for afterwards, so it may
-    /// be below 0.
+    /// Work that this manager may send while the engine is warming up (ms of one thread). A request is
+    /// charged after it was sent, so the credit may be negative.
     credit_ms: Millis,
 }
 
 impl SlowStart {
-    /// Whether it can do all that its cores allow.
+    /// Whether the engine has its full capacity.
     pub(super) fn is_warm(&self, now: Millis) -> bool {
         now >= self.warm_at
     }
 
-    /// Whether it may be sent something, where it is not warm.
+    /// Whether an engine that is not warm may be sent a request.
     pub(super) fn has_credit(&self) -> bool {
         self.credit_ms >= 0.0
     }
 
-    /// It is warming up until `warm_at`. Many gateways learn of it at once, so each begins at a random point between
-    /// two sends.
+    /// Starts or extends the warm-up, until `warm_at`. Many managers learn of a started engine at once, so
+    /// each starts at a random point between two sends.
     pub(super) fn begin(&mut self, warm_at: Millis, now: Millis, mean_work_ms: Millis, rng: &mut Rand64) {
         if warm_at > self.warm_at.max(now) {
             self.warm_at = warm_at;
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Reckons what it can do now, and adds this gateway's fraction of what it may be sent in `elapsed_ms`.
+    /// Updates the present capacity, and adds this manager's fraction of the work that the engine may be sent
+    /// in `elapsed_ms`.
     pub(super) fn update(
         &mut self,
         now: Millis,
@@ -56,7 +58,7 @@
         self.credit_ms = (self.credit_ms + elapsed_ms * credit_per_ms).min(max_credit_ms);
     }
 
-    /// A request of this much work was sent; it counts only while the engine is warming up.
+    /// Records that a request of this much work was sent. It only counts while the engine is warming up.
     pub(super) fn record_send(&mut self, now: Millis, work_ms: Millis) {
         if !self.is_warm(now) {
             self.credit_ms -= work_ms;
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -7,13 +7,13 @@
 use super::types::{Millis, TenantId, TenantSettings};
 use sanddyke_statistics::Window;
 
-/// Traffic above a tenant's share by this factor counts as beyond it. Ours.
+/// Factor by which traffic may exceed a tenant's share before it counts as beyond the share.
 const SHARE_TOLERANCE: f64 = 1.15;
-/// A tenant's token bucket holds what its share gives in this time (ms). Ours.
+/// A tenant's token bucket holds as many tokens as its rate adds in this time (ms).
 const BURST_MS: Millis = 2000.0;
 /// Minimum size of a token bucket (requests).
 const MIN_BURST: f64 = 1.0;
-/// A tenant that has sent no request for this long is forgotten (ms). Ours.
+/// Time without requests after which a tenant's state expires (ms).
 const IDLE_TENANT_RETENTION_MS: Millis = 60_000.0;
 
 /// Rate and size of a token bucket.
@@ -21,12 +21,13 @@
 pub(super) struct TokenRate {
     /// Tokens added per ms.
     pub(super) per_ms: f64,
-    /// Tokens that the bucket holds at most.
+    /// Maximum number of tokens in the bucket.
     pub(super) burst: f64,
 }
 
 impl TokenRate {
-    /// What a tenant may send here within its share; no limit where it has no settings.
+    /// Rate and size that correspond to a tenant's share at this manager; unlimited for a tenant without
+    /// settings.
     pub(super) fn of(
         tenant: Option<&TenantSettings>,
         traffic: &TrafficRates,
@@ -39,34 +40,34 @@
     }
 }
 
-/// Completions of one tenant's requests of one class, and what follows from them.
+/// Completions of one tenant's requests of one class, and the values derived from them.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Stream {
     pub(super) completions: Window,
     /// Mean time on an engine (ms).
     pub(super) service_ms: Millis,
-    /// Latency budget less the service time (ms): how long a request may wait.
+    /// Latency budget minus the service time (ms): the time that a request may wait.
     pub(super) slack_ms: Millis,
 }
 
-/// A tenant that has sent requests lately.
+/// State of a tenant that has sent requests recently.
 #[derive(Debug)]
 pub(super) struct ActiveTenant {
-    /// By class number.
+    /// Streams by class number.
     pub(super) streams: Vec<Stream>,
     last_request_at: Millis,
-    /// Tokens in its bucket, one for each request within its share.
+    /// Tokens in the bucket; each request within the share takes one.
     tokens: f64,
 }
 
 impl ActiveTenant {
-    /// A tenant whose streams begin with what is learned of the classes.
+    /// A tenant whose streams start with the learned values of the classes.
     fn new(classes: &[ClassState], tokens: f64) -> ActiveTenant {
         let streams = classes.iter().map(|class| class.initial_stream.clone()).collect();
         ActiveTenant { streams, last_request_at: 0.0, tokens }
     }
 
-    /// Takes a token for a request; false where there is none.
+    /// Takes a token for a request. Returns false if there is none.
     pub(super) fn take_token(&mut self) -> bool {
         let available = self.tokens >= 1.0;
         if available {
@@ -80,15 +81,14 @@
         self.tokens = (self.tokens + elapsed_ms * rate.per_ms).min(rate.burst);
     }
 
-    /// Whether a completion of its requests is in a window.
+    /// Whether a window contains a completion of the tenant's requests.
     fn has_completions(&self) -> bool {
         self.streams.iter().any(|stream| !stream.completions.is_empty())
     }
 }
 
 impl Gateway {
-    /// A tenant was added or changed, or is forgotten once nothing refers to it. What it has queued stays queued
-    /// unless it is forgotten.
+    /// A tenant was added, changed or removed. Its queued requests stay queued unless it is removed.
     pub(super) fn on_tenant_changed(&mut self, tenant: TenantId, settings: Option<TenantSettings>) {
         let index = tenant.0;
         let count = self.tenant_settings.len().max(index + 1);
@@ -103,8 +103,8 @@
         }
     }
 
-    /// The state of a tenant that sends a request; a new one has a full bucket. Until the rate of arrivals is known
-    /// that has no size, and the next upkeep cuts it.
+    /// State of a tenant that sends a request. A new tenant has a full bucket. Before the arrival rate is
+    /// known the size of the bucket is unknown, so the bucket is unlimited until the next upkeep.
     pub(super) fn activate_tenant(&mut self, index: usize) -> &mut ActiveTenant {
         let tenant = self.tenants.entry(index).or_insert_with(|| {
             let settings = self.tenant_settings[index].as_ref();
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Forgets tenants that have sent nothing for long, and of which no completion is in a window.
+    /// Expires tenants that have sent no request for long and have no completion in a window.
     pub(super) fn forget_idle_tenants(&mut self) {
         let now = self.now;
         self.tenants.retain(|_, tenant| {
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -1,4 +1,4 @@
-//! The mechanism against values worked out by hand.
+//! Latency budgets and alpha, compared with values computed by hand.
 
 use super::alpha::next_alpha;
 use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -1,16 +1,16 @@
-//! The gateway's timers and the tokens by which the embedding program knows them.
+//! Timers of the scheduler, and their tokens for the embedding program.
 
 use super::types::RequestId;
 
-/// Token of the upkeep timer; a request's timer has its id plus one.
+/// Token of the upkeep timer. The token of a request's timer is the request id plus one.
 const UPKEEP_TOKEN: u64 = 0;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TimerPurpose {
     /// The next round of upkeep.
     Upkeep,
-    /// A request has to be answered.
+    /// The request has to be answered now.
     RequestDeadline(RequestId),
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl TimerPurpose {
-    /// The token that stands for it.
+    /// The token of the timer.
     pub(super) fn token(self) -> u64 {
         match self {
             TimerPurpose::Upkeep => UPKEEP_TOKEN,
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -1,11 +1,11 @@
-//! Rates of requests and of work, smoothed over time.
+//! Smoothed rates of requests and of work.
 
 use super::types::Millis;
 
-/// Time over which rates are smoothed (ms). Ours.
+/// Time over which rates are smoothed (ms).
 const RATE_WINDOW_MS: Millis = 2000.0;
 
-/// Rates of this gateway's traffic.
+/// Rates of this manager's traffic.
 #[derive(Debug)]
 pub(super) struct TrafficRates {
     /// Work finished per ms (ms of one thread).
@@ -20,7 +20,7 @@
 }
 
 impl TrafficRates {
-    /// Rates of a gateway that has seen no traffic.
+    /// Rates before any traffic.
     pub(super) fn new(now: Millis) -> TrafficRates {
         TrafficRates {
             work_per_ms: 0.0,
@@ -31,17 +31,18 @@
         }
     }
 
-    /// A request arrived.
+    /// Records the arrival of a request.
     pub(super) fn record_arrival(&mut self) {
         self.arrivals += 1.0;
     }
 
-    /// A request of this much work was finished.
+    /// Records that a request of this much work was finished.
     pub(super) fn record_finished_work(&mut self, work_ms: Millis) {
         self.finished_work_ms += work_ms;
     }
 
-    /// Takes what was recorded since the last update into the rates; returns the time since then (ms), at least 1.
+    /// Updates the rates with what was recorded since the last update. Returns the time since then (ms), at
+    /// least 1.
     pub(super) fn update(&mut self, now: Millis) -> Millis {
         let elapsed_ms = (now - std::mem::replace(&mut self.updated_at, now)).max(1.0);
         let weight = (elapsed_ms / RATE_WINDOW_MS).min(1.0);
@@ -52,7 +53,7 @@
         elapsed_ms
     }
 
-    /// Work finished for each request received (ms of one thread).
+    /// Work finished per request received (ms of one thread).
     pub(super) fn work_per_request_ms(&self) -> Millis {
         self.work_per_ms / self.requests_per_ms.max(f64::MIN_POSITIVE)
     }
--- a/src/decision/types/engines.rs
+++ b/src/decision/types/engines.rs
@@ -1,15 +1,15 @@
-//! Engines as the engine list and their own load reports describe them.
+//! Engines, as the engine list and their own load reports describe them.
 
 use super::{CellId, EngineId, KindId, Millis, ZoneId};
 
-/// State of an engine in the list.
+/// State of an engine in the engine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EngineState {
-    /// Accepts requests.
+    /// The engine accepts requests.
     Ready,
-    /// Finishes the requests that it runs, and accepts no more.
+    /// The engine finishes the attempts that it executes and accepts no new ones.
     Draining,
-    /// No longer in the list.
+    /// The engine is no longer in the list.
     #[default]
     Removed,
 }
@@ -25,49 +25,50 @@
     }
 }
 
-/// An engine as the list describes it.
+/// An entry of the engine list.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineEntry {
-    /// Its id.
+    /// Id of the engine.
     pub id: EngineId,
-    /// When its process last started; `None` for long ago.
+    /// Time at which the engine's process last started; `None` if the list does not state it. An engine that is
+    /// already known then counts as started long ago.
     pub started_at: Option<Millis>,
-    /// Its cell.
+    /// Cell that the engine belongs to; `None` if it belongs to none.
     pub cell: Option<CellId>,
-    /// Its state.
+    /// State of the engine in the list.
     pub state: EngineState,
-    /// Its kind of machine.
+    /// Kind of machine that the engine runs on.
     pub kind: KindId,
-    /// Its relative size, where known; else 1.
+    /// Relative size of the engine; 1 if unknown.
     pub weight: f64,
-    /// Its location.
+    /// Zone that the engine is in.
     pub zone: ZoneId,
 }
 
 /// An update of the engine list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineListEvent {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Update(Vec<EngineEntry>),
-    /// The complete list.
+    /// The complete list. Engines that it does not contain are removed.
     Replace(Vec<EngineEntry>),
-    /// The complete list as last saved, perhaps stale.
+    /// The complete list as it was last saved, possibly stale. Engines that it does not contain are removed.
     Restored(Vec<EngineEntry>),
     /// The list could not be fetched.
     Unavailable,
 }
 
-/// An engine's report of its load; what it does not report is `None`.
+/// Load report of an engine. A value that the engine does not report is `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Queries in flight.
+    /// Number of queries in flight.
     pub in_flight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Number of queries that wait for memory.
     pub queued: Option<f64>,
-    /// Fraction of the cores that is busy.
+    /// Fraction of the cores that are busy, from 0 to 1.
     pub busy: Option<f64>,
-    /// Fraction of the memory that is granted; above 1 where more is granted than there is.
+    /// Fraction of the memory that is granted; above 1 if the grants exceed the memory.
     pub memory: Option<f64>,
-    /// Fraction of the disks that is busy.
+    /// Fraction of the disks that are busy, from 0 to 1.
     pub disks: Option<f64>,
 }
--- a/src/decision/types/events.rs
+++ b/src/decision/types/events.rs
@@ -1,199 +1,201 @@
-//! Events go into the [`Gateway`](crate::decision::Gateway), actions come out.
+//! Events are the input of the [`Scheduler`](crate::decision::Scheduler), actions its output.
 
 use super::{EngineId, EngineListEvent, LoadReport, Millis, Request, RequestId, TenantId, TenantSettings};
 use std::fmt;
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The engine answered with a result.
     Served,
-    /// The engine answered with an error; the attempt may have executed.
+    /// The engine answered with an error; the attempt was possibly executed.
     ServerError,
-    /// Rejected by a full engine; never executed.
+    /// The engine rejected the attempt because it was full; never executed.
     Full,
-    /// No answer in time; the attempt may have executed, or may still run.
+    /// The engine did not answer in time; the attempt was possibly executed, and the engine may still be
+    /// executing it.
     TimedOut,
-    /// No connection; never executed.
+    /// No connection to the engine could be made; never executed.
     NoConnection,
-    /// The connection broke; the attempt may have executed.
+    /// The connection broke; the attempt was possibly executed.
     ConnectionLost,
-    /// The answer was damaged or lost on the way: the attempt may have executed, and the engine is not at fault.
+    /// The response was corrupted or lost on the way; the attempt was possibly executed. The engine is not at
+    /// fault.
     Spoilt,
-    /// Cancelled; the attempt may have executed.
+    /// The attempt was cancelled; it was possibly executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that nothing was executed.
+    /// Whether the outcome proves that the attempt was never executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// What a request really used, as its answer reports it.
+/// Resources that a request used, as its response reports them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Usage {
-    /// Its work (ms of one thread).
+    /// Work (ms of one thread).
     pub work_ms: Millis,
-    /// Its memory (MB).
+    /// Memory (MB).
     pub memory_mb: f64,
 }
 
-/// A progress report of a running attempt.
+/// Progress note of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptNote {
-    /// Roughly this fraction is done, from 0 to 1.
+    /// Approximate fraction of the attempt that is done, from 0 to 1.
     Progress(f64),
-    /// It spills to disk for want of this much memory (MB).
+    /// The attempt spills to disk because it lacks this much memory (MB).
     Spills(f64),
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitsForMemory,
-    /// It waits for a load that has its data set locked.
+    /// The attempt waits because a load has its data set locked.
     WaitsForLoad,
 }
 
-/// The end of an attempt; each attempt has exactly one.
+/// The end of an attempt. Each attempt ends exactly once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptEnd {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent (ms).
+    /// Time since the attempt was sent (ms).
     pub elapsed_ms: Millis,
-    /// True when its request has had its final answer.
+    /// Whether the request is closed: it has its final answer, or its client disconnected.
     pub settled: bool,
-    /// What it used, where reported.
+    /// Resources that the attempt used; `None` if not reported.
     pub usage: Option<Usage>,
-    /// The engine's load, where reported.
+    /// Load report of the engine; `None` if the response contained none.
     pub report: Option<LoadReport>,
 }
 
-/// An input of the gateway.
+/// An input of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The engine list changed.
+    /// The engine list changed, or could not be fetched.
     EngineList(EngineListEvent),
-    /// A tenant was added, or its share, quota or group has changed.
+    /// A tenant was added or removed, or its settings changed.
     Tenant {
-        /// Its number.
+        /// Number of the tenant.
         tenant: TenantId,
-        /// Its settings from now on; `None` once nothing refers to it any more: its number may be another
-        /// tenant's later.
+        /// Settings that apply from now on. `None` if the tenant is removed and nothing refers to its number
+        /// any more; the number may be assigned to another tenant later.
         settings: Option<TenantSettings>,
     },
     /// A request arrived.
     Request(Request),
-    /// An attempt will have no result, but its engine may still execute it: [`Event::AttemptEnded`] follows once the
-    /// engine has dropped it, or its request is over.
+    /// An attempt is lost: it will have no result, but its engine may still be executing it.
+    /// [`Event::AttemptEnded`] follows once the engine has discarded the attempt or the request is closed.
     AttemptLost {
-        /// Its request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// How it ends.
+        /// Outcome of the attempt.
         outcome: Outcome,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A response has begun to stream: its request is bound to that attempt and has no deadline any more.
+    /// A response started to stream. From now on its request has no deadline and gets no further attempt.
     StreamStarted {
-        /// Its request.
+        /// Request whose response streams.
         request: RequestId,
     },
-    /// A running attempt reports progress.
+    /// An engine sent a progress note of a running attempt.
     AttemptNote {
-        /// Its request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// The report.
+        /// The progress note.
         note: AttemptNote,
     },
     /// A health check ended.
     HealthChecked {
-        /// The engine.
+        /// Engine that was checked.
         engine: EngineId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since it was sent (ms).
+        /// Time since the health check was sent (ms).
         elapsed_ms: Millis,
-        /// The engine's load, where reported.
+        /// Load report of the engine; `None` if the response contained none.
         report: Option<LoadReport>,
     },
-    /// The client of this request no longer waits for it.
+    /// The client of this request disconnected.
     ClientDisconnected(RequestId),
-    /// The gateway will be stopped by force at this time: no request's deadline is later.
+    /// The process will be killed at this time: open requests whose deadline is later get it as their deadline.
     ShutdownBy(Millis),
     /// The timer with this token expired.
     Timer(u64),
 }
 
-/// An output of the gateway, to be carried out by the embedding program.
+/// An output of the scheduler, to be applied by the embedding program.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request's next attempt.
+    /// Send the next attempt of a request.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The engine to send it to.
+        /// Engine to send the attempt to.
         engine: EngineId,
-        /// Attempt timeout (ms); 0 for as long as the client waits.
+        /// Attempt timeout (ms); 0 if the attempt may take as long as the client waits.
         timeout_ms: Millis,
     },
-    /// Set memory and priority of the request's attempts.
+    /// Set the memory grant and the priority of a request's attempts.
     SetTerms {
-        /// The request.
+        /// Request whose attempts are concerned.
         request: RequestId,
-        /// Memory grant of further attempts (MB); 0 where the engine chooses.
+        /// Memory grant of further attempts (MB); 0 if the engine chooses.
         memory_mb: f64,
-        /// Priority from 0 to 3, also of attempts in flight.
+        /// Priority from 0 to 3; it also applies to attempts in flight.
         priority: u8,
     },
-    /// Final answer: not served, and a retry is harmless.
+    /// Final answer: the request is rejected, and a retry by the client is safe.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
         /// Retry-After for the client (ms); 0 for none.
         retry_after_ms: Millis,
     },
-    /// Final answer: failed; nothing is known of a retry.
+    /// Final answer: the request failed; it is unknown whether a retry is safe.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Check an engine's health.
+    /// Send a health check to an engine.
     HealthCheck(EngineId),
     /// Set a timer.
     Timer {
-        /// Token that [`Event::Timer`] brings back.
+        /// Token to return in [`Event::Timer`].
         token: u64,
-        /// Time until it expires (ms).
+        /// Time until the timer expires (ms).
         after_ms: Millis,
     },
-    /// Subscribe to the engine list.
+    /// Subscribe to the engine list, or poll it.
     Subscribe,
     /// Write a line to the log.
     Log(LogMessage),
 }
 
-/// A line for the log. Its text is part of the simulator's wire.
+/// A line for the log. Its text is part of the simulator's wire protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogMessage {
-    /// An engine that was down or silent has answered.
+    /// An engine that was down answered.
     EngineUp(EngineId),
-    /// Connections to an engine failed repeatedly.
+    /// Several connections in a row to an engine failed.
     EngineDown(EngineId),
-    /// An engine left health checks unanswered repeatedly.
+    /// An engine left several health checks in a row unanswered.
     HealthChecksUnanswered(EngineId),
 }
 
--- a/src/decision/types/mod.rs
+++ b/src/decision/types/mod.rs
@@ -1,8 +1,9 @@
-//! The vocabulary of the decision module: what goes in, what comes out, and what both speak of. Types only;
-//! the behaviour stands in the modules beside this one.
+//! Types of the decision module: its inputs, its outputs, and the types that both use. The behavior is in the
+//! sibling modules.
 //!
-//! Units, unless a name says otherwise: times are milliseconds on the embedding program's own clock, durations
-//! are milliseconds, memory is in megabytes, and work is the time that one thread would take (ms).
+//! Units, unless a name says otherwise: a point in time is in milliseconds of the embedding program's clock,
+//! a duration is in milliseconds, memory is in megabytes, and work is the time that one thread would take
+//! (ms).
 
 mod engines;
 mod events;
--- a/src/decision/types/requests.rs
+++ b/src/decision/types/requests.rs
@@ -1,37 +1,37 @@
-//! A request, as it arrives.
+//! Requests, as they arrive.
 
 use super::{CellId, ClassId, Millis, OrderKey, RequestId, TenantId, ZoneId};
 
-/// One request, as received from a client.
+/// A request, as received from a client.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, where requests carry one.
+    /// Tenant of the request; `None` if requests carry no tenant.
     pub tenant: Option<TenantId>,
-    /// The key within which it is ordered; heeded where its class is [in order](super::ClassSettings::in_order).
+    /// Order key; only used if the class is [in order](super::ClassSettings::in_order).
     pub key: Option<OrderKey>,
-    /// The data set that it reads or loads.
+    /// Data set that the request reads or loads.
     pub data_set: u64,
-    /// Estimate of its work, where the client gives one (ms of one thread).
+    /// The client's estimate of the work (ms of one thread); `None` if it gives none.
     pub work_ms: Option<Millis>,
-    /// Estimate of its memory, where the client gives one (MB).
+    /// The client's estimate of the memory (MB); `None` if it gives none.
     pub memory_mb: Option<f64>,
-    /// How much longer its client waits (ms).
+    /// Time that the client still waits (ms).
     pub remaining_ms: Millis,
-    /// The execution that it possibly had already, as its client has sent it before.
+    /// Possible execution before this arrival, if the client has sent the request before.
     pub executed_before: Option<PriorExecution>,
 }
 
-/// A possible execution of a request that its client has sent again since.
+/// A possible execution of a request that its client has resent since.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PriorExecution {
-    /// When it was started.
+    /// Time at which the execution started.
     pub at: Millis,
-    /// Location of its engine.
+    /// Zone of the engine.
     pub zone: ZoneId,
-    /// Cell of its engine.
+    /// Cell of the engine; `None` if it belongs to none.
     pub cell: Option<CellId>,
 }
--- a/src/decision/types/settings.rs
+++ b/src/decision/types/settings.rs
@@ -1,169 +1,170 @@
-//! What a deployment configures. It holds from the start of a gateway to its end, except where
+//! Settings of a deployment. They apply for the lifetime of a scheduler, except that
 //! [`Event::Tenant`](super::Event::Tenant) changes a tenant.
 
 use super::{KindId, Millis, ZoneId};
 
-/// Settings of one gateway.
+/// Settings of one scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Gateways that share the engines, this one among them.
+    /// Number of managers that share the engines, including this one.
     pub gateway_count: usize,
-    /// Index of this gateway among them, from 0.
+    /// Index of this manager among them, from 0.
     pub gateway_index: usize,
-    /// Location of this gateway.
+    /// Zone of this manager.
     pub zone: ZoneId,
     /// Time between two rounds of event handling (ms).
     pub step_ms: Millis,
-    /// Request classes.
+    /// Request classes; [`ClassId`](super::ClassId) is an index into them.
     pub classes: Vec<ClassSettings>,
-    /// Tenants; empty where requests carry none.
+    /// Tenants; empty if requests carry none.
     pub tenants: Vec<TenantSettings>,
-    /// Priority weight of a request beyond its tenant's share, as a fraction of its class's.
+    /// Priority weight of a request beyond its tenant's share, as a fraction of the weight of its class.
     pub over_share_weight_fraction: f64,
-    /// Machine kinds.
+    /// Machine kinds; [`KindId`] is an index into them.
     pub kinds: Vec<KindSettings>,
-    /// What the deployment allows.
+    /// Limits that the deployment sets.
     pub limits: Limits,
-    /// Parameters of the rules.
+    /// Parameters of the operating rules.
     pub rules: Rules,
-    /// How engines treat memory, priorities and progress reports.
+    /// Behavior of engines with regard to memory, priorities and progress notes.
     pub engines: EngineTraits,
     /// Whether the engine list has to be polled.
     pub poll_engine_list: bool,
-    /// Points lost for each health check per request.
+    /// Score points lost for each health check per request.
     pub health_check_price: f64,
-    /// Points lost for each request that crosses zones.
+    /// Score points lost for each request that crosses zones.
     pub cross_zone_price: f64,
 }
 
-/// One class of requests.
+/// Settings of one request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSettings {
-    /// Latency objective of a request without work (ms): an answer within its objective has its full weight.
+    /// Latency objective of a request without work (ms). An answer within its objective has its full weight.
     pub latency_objective_ms: Millis,
-    /// Factor of the work over the threads by which the latency objective is longer.
+    /// Factor by which work divided by threads extends the latency objective.
     pub latency_objective_stretch: f64,
-    /// How long a client waits in all (ms).
+    /// Total time that a client waits (ms).
     pub deadline_ms: Millis,
     /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer past its latency objective still has.
+    /// Fraction of the weight that an answer after its latency objective still has.
     pub late_weight_fraction: f64,
-    /// What a repeated execution does.
+    /// Effect of a repeated execution.
     pub effect: Effect,
-    /// True where requests of one key run in order, one at a time.
+    /// Whether requests of one order key run in order of arrival, one at a time.
     pub in_order: bool,
-    /// The only kinds of machine that this class may run on, where restricted.
+    /// The only kinds of machine that may execute this class; `None` if unrestricted.
     pub allowed_kinds: Option<Vec<KindId>>,
-    /// The only zones that this class may run in, where restricted.
+    /// The only zones in which this class may be executed; `None` if unrestricted.
     pub allowed_zones: Option<Vec<ZoneId>>,
-    /// Threads that a request runs on.
+    /// Number of threads that a request runs on.
     pub threads: f64,
-    /// True for loads: such a request has its data set locked on its engine while it runs.
+    /// Whether the class is a load: its data set is locked on its engine while it runs.
     pub locks_data_set: bool,
-    /// True where a request waits while a load has its data set locked.
+    /// Whether a request waits while a load has its data set locked.
     pub waits_for_loads: bool,
 }
 
-/// What happens when a request is executed twice.
+/// Effect of executing a request twice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// Nothing: it is idempotent and may be retried freely.
+    /// None: the request is idempotent and may be retried freely.
     Repeatable,
-    /// It carries an idempotency key: engines of one scope drop repeats, for a while after the first attempt
-    /// that may have executed.
+    /// The request carries an idempotency key. Engines of one scope discard repeats for a limited time after
+    /// the first attempt that was possibly executed.
     Keyed {
-        /// Engines that drop each other's repeats.
+        /// Engines that discard each other's repeats.
         scope: DedupScope,
-        /// For how long (ms).
+        /// Time for which they discard repeats (ms).
         window_ms: Millis,
     },
-    /// Harm: it must never be executed twice.
+    /// Harm: the request must never be executed twice.
     Once,
 }
 
-/// Which engines drop repeats of a request with an idempotency key.
+/// Scope in which engines discard repeats of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All engines together.
+    /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
-/// A customer with a share of the service.
+/// Settings of a tenant: a customer with a share of the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TenantSettings {
     /// Share of the service, from 0 to 1.
     pub share: f64,
-    /// Requests a second, over all gateways, that count as within the share.
+    /// Requests per second, over all managers, that count as within the share.
     pub quota_per_s: f64,
-    /// Number of its group: members of a group share its turns among themselves first.
+    /// Number of the tenant's group; `None` if it has none. A group's turns are first shared among its
+    /// members.
     pub group: Option<u64>,
 }
 
 /// A kind of machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct KindSettings {
-    /// Cores, where configured.
+    /// Number of cores; `None` if not configured.
     pub cores: Option<f64>,
-    /// Memory, where configured (MB).
+    /// Memory (MB); `None` if not configured.
     pub memory_mb: Option<f64>,
 }
 
-/// What the deployment allows.
+/// Limits that the deployment sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Maximum of attempts for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Maximum of requests that clients can have open here at once, where there is one.
+    /// Maximum number of requests that clients can have open at this manager; `None` for no limit.
     pub max_open_requests: Option<usize>,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether engines may be sent health checks.
+    /// Whether health checks may be sent to engines.
     pub health_checks: bool,
     /// Whether two attempts of one request may be in flight at once.
     pub hedged_requests: bool,
-    /// Maximum of a Retry-After that clients get, where they get any (ms).
+    /// Maximum Retry-After sent to clients (ms); `None` if none is sent.
     pub max_retry_after_ms: Option<Millis>,
 }
 
-/// Parameters of the rules.
+/// Parameters of the operating rules.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// Fraction of its capacity that an engine has right after its start, at least.
+    /// Minimum fraction of its capacity that an engine has right after its start.
     pub initial_capacity_fraction: f64,
-    /// Time after which a started engine is warm (ms).
+    /// Time that an engine takes to warm up after its start (ms).
     pub warm_up_ms: Millis,
-    /// Multiple of its present capacity at which an engine that is warming up collapses.
+    /// Load, as a multiple of its present capacity, at which an engine that is warming up collapses.
     pub overload_factor: f64,
     /// Time over which that load is measured (ms).
     pub overload_window_ms: Millis,
     /// Pause of an order key after an attempt whose end is unknown (ms).
     pub key_settle_ms: Millis,
-    /// Maximum time between two polls of the engine list, where it has to be polled (ms).
+    /// Maximum time between two polls of the engine list, if it has to be polled (ms).
     pub poll_interval_ms: Millis,
-    /// Limit on retries, where there is one.
+    /// Limit on retries; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// Limit on attempts beyond each request's first.
+/// Limit on the attempts after the first of each request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in any window, however light the traffic.
+    /// Retries allowed in any window, regardless of traffic.
     pub floor: f64,
-    /// Retries allowed on top for each request received in the window.
+    /// Additional retries allowed for each request received in the window.
     pub ratio: f64,
     /// Length of the window (ms).
     pub window_ms: Millis,
 }
 
-/// How engines treat memory, priorities and progress reports.
+/// Behavior of engines with regard to memory, priorities and progress notes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineTraits {
-    /// What happens when grants exceed the memory.
+    /// What an engine does if grants exceed its memory.
     pub on_memory_shortage: MemoryShortage,
     /// Whether engines honor a memory grant.
     pub memory_grants: bool,
@@ -171,16 +172,16 @@
     pub priorities: bool,
     /// Largest grant, as a fraction of an engine's memory.
     pub max_grant_fraction: f64,
-    /// Time between progress reports of a running attempt (ms); 0 where there are none.
+    /// Time between progress notes of a running attempt (ms); 0 if there are none.
     pub progress_interval_ms: Millis,
 }
 
-/// What happens when grants exceed an engine's memory.
+/// What an engine does if grants exceed its memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryShortage {
     /// The request waits in the engine's queue.
     Wait,
-    /// The request gets what is left and spills.
+    /// The request gets the remaining memory and spills.
     Trim,
     /// The request is admitted and the whole engine slows down.
     Page,
--- a/src/decision/upkeep.rs
+++ b/src/decision/upkeep.rs
@@ -1,15 +1,15 @@
-//! Upkeep: the one timer that always runs, so that queued requests never wait for an event.
+//! Upkeep: the one timer that always runs, so that queued requests never depend on another event.
 
 use super::gateway::Gateway;
 use super::timers::TimerPurpose;
 use super::types::Millis;
 use sanddyke_statistics::Load;
 
-/// Time between two rounds of upkeep (ms). Ours.
+/// Time between two rounds of upkeep (ms).
 pub(super) const UPKEEP_INTERVAL_MS: Millis = 20.0;
 
 impl Gateway {
-    /// One round of upkeep, in this order: later steps go by what earlier ones have brought up to date.
+    /// Runs one round of upkeep. The order matters: later steps use values that earlier ones have updated.
     pub(super) fn on_upkeep(&mut self) {
         self.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
         self.recount_local_load();
@@ -27,7 +27,8 @@
         self.retries.trim(self.settings.rules.retry_budget, self.now);
     }
 
-    /// Sums the local load anew: what is added and taken off all day drifts.
+    /// Recomputes the total local load, because repeated additions and subtractions accumulate rounding
+    /// errors.
     fn recount_local_load(&mut self) {
         let mut total = Load::default();
         for engine in self.engines.values() {
@@ -36,7 +37,7 @@
         self.local_load = total;
     }
 
-    /// Lets slowdowns fade and engines warm up, and takes the median slowdown.
+    /// Advances the decay of slowdowns and the warm-up of engines, and computes the median slowdown.
     fn update_engines(&mut self, elapsed_ms: Millis) {
         let rules = &self.settings.rules;
         for engine in self.engines.values_mut() {
