--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -5,7 +5,7 @@
 use sanddyke::settings::{self, Front, number};
 use sanddyke::{
     AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event,
-    Gateway, KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
+    KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, Scheduler, TenantId, Usage, ZoneId,
 };
 use std::collections::HashMap;
 
@@ -21,7 +21,7 @@
 /// One simulated workload manager.
 pub struct Instance {
     /// Its decisions.
-    pub gateway: Gateway,
+    pub gateway: Scheduler,
     /// Names of its requests, by id.
     pub requests: Vec<String>,
     front: Front,
@@ -34,7 +34,7 @@
     pub fn launch(fields: &Fields, now: Millis) -> Result<Instance, LineError> {
         let front = settings::parse(fields.required_text(2)?).map_err(|error| fields.error(2, error))?;
         Ok(Instance {
-            gateway: Gateway::new(front.settings.clone(), fields.required(1)?, now),
+            gateway: Scheduler::new(front.settings.clone(), fields.required(1)?, now),
             requests: Vec::new(),
             front,
             request_ids: HashMap::new(),
@@ -141,7 +141,7 @@
             attempt: fields.required(2)?,
             outcome: outcome(fields, 4)?,
             elapsed_ms: fields.required_amount(5)?,
-            settled: fields.required::<u8>(6)? != 0,
+            request_closed: fields.required::<u8>(6)? != 0,
             usage: usage(bill).filter(|_| self.front.says_cost),
             report: load_report(fields, 8, &self.front.columns)?,
         }))
@@ -210,7 +210,7 @@
     Ok(match fields.required_text(index)? {
         "served" => Outcome::Served,
         "server_error" => Outcome::ServerError,
-        "turned_away" => Outcome::Full,
+        "turned_away" => Outcome::EngineFull,
         "no_answer" => Outcome::TimedOut,
         "no_connection" => Outcome::NoConnection,
         "connection_lost" => Outcome::ConnectionLost,
--- a/src/bin/sanddyke-simulator-adapter/main.rs
+++ b/src/bin/sanddyke-simulator-adapter/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of `sanddyke` on the simulator's wire: one [`sanddyke::Gateway`] for each simulated workload manager,
+//! The decisions of `sanddyke` on the simulator's wire: one [`sanddyke::Scheduler`] for each simulated workload manager,
 //! fed from standard input.
 //!
 //! [`session`] reads batches of lines and answers each, [`lines`] splits a line into its fields, [`instance`] turns
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -108,15 +108,15 @@
 }
 
 /// An outcome's name in metrics and the log.
-fn outcome_name(outcome: Outcome) -> &'static str {
+pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "Served",
         Outcome::ServerError => "ServerError",
-        Outcome::Full => "Full",
+        Outcome::EngineFull => "Full",
         Outcome::TimedOut => "TimedOut",
         Outcome::NoConnection => "NoConnection",
         Outcome::ConnectionLost => "ConnectionLost",
-        Outcome::Spoilt => "Spoilt",
+        Outcome::CorruptedResponse => "Spoilt",
         Outcome::Cancelled => "Cancelled",
         Outcome::NotSent => "NotSent",
     }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -30,7 +30,7 @@
             Action::HealthCheck(engine) => out.push(Command::HealthCheck { engine: engine.0 }),
             Action::Timer { token, after_ms } => {
                 let delay = Micros::from_ms(after_ms).max(MIN_TIMER_DELAY);
-                self.timers.set(now + delay, Timer::Gateway(token));
+                self.timers.set(now + delay, Timer::Scheduler(token));
             }
             Action::Subscribe => {} // the name service is polled all the time
             Action::Log(message) => out.push(Command::Log(message.to_string())),
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -15,7 +15,9 @@
         out: &mut Vec<Command>,
     ) {
         match &event {
-            AttemptEvent::Ended { end, .. } => self.attempt_over(now, attempt, end.outcome().never_ran()),
+            AttemptEvent::Ended { end, .. } => {
+                self.attempt_over(now, attempt, end.outcome().never_executed())
+            }
             AttemptEvent::Served { .. } => self.attempt_over(now, attempt, false),
             AttemptEvent::Note(_) | AttemptEvent::Lost { .. } => {}
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,5 +1,6 @@
 //! Starts, cancels and ends attempts.
 
+use super::accounting::outcome_name;
 use super::execution_guard::{SendPermit, Start, Violation};
 use super::{AttemptId, Call, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
@@ -132,7 +133,7 @@
         log::debug!(
             request:% = attempt,
             engine = self.engines.get(&running.engine).map_or("?", |known| known.name.as_str()),
-            reason:? = outcome,
+            reason = outcome_name(outcome),
             awaits_confirmation = confirm;
             "attempt cancelled"
         );
@@ -156,7 +157,7 @@
         let outcome = *running.ends_as.get_or_insert(outcome);
         running.permit.revoke();
         self.timers.set(now + UNCONFIRMED_RETENTION, Timer::AttemptForgotten(attempt));
-        log::debug!(request:% = attempt, reason:? = outcome; "attempt lost");
+        log::debug!(request:% = attempt, reason = outcome_name(outcome); "attempt lost");
         let request = RequestId(attempt.request);
         self.decide(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
     }
@@ -170,8 +171,8 @@
     }
 
     /// An engine has dropped an attempt, or never had it.
-    pub(super) fn attempt_over(&mut self, now: Micros, attempt: AttemptId, never_ran: bool) {
-        for released in self.guard.attempt_over(attempt, never_ran) {
+    pub(super) fn attempt_over(&mut self, now: Micros, attempt: AttemptId, never_executed: bool) {
+        for released in self.guard.attempt_over(attempt, never_executed) {
             self.timers.set(now, Timer::Released(released));
         }
     }
@@ -203,7 +204,7 @@
         }
         self.accounting.count_attempt(outcome);
         self.log_attempt(now, attempt, &ended, outcome);
-        let settled = !self.requests.contains_key(&attempt.request);
+        let request_closed = !self.requests.contains_key(&attempt.request);
         self.guard.concluded(attempt, outcome);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
             engine.attempts_in_flight -= 1;
@@ -214,7 +215,7 @@
             attempt: attempt.number,
             outcome,
             elapsed_ms: (now - ended.sent_at).as_ms(),
-            settled,
+            request_closed,
             usage,
             report,
         });
@@ -233,9 +234,10 @@
         let class = open.map_or("-", |open| &open.incoming.class);
         let name = open.map_or("-", |open| &open.incoming.name);
         log::debug!(
-            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={name}",
+            "attempt at={} us={} engine={engine} end={} request={attempt} class={class} name={name}",
             ended.sent_at.0,
-            (now - ended.sent_at).0
+            (now - ended.sent_at).0,
+            outcome_name(outcome)
         );
     }
 }
--- a/src/core/execution_guard/history.rs
+++ b/src/core/execution_guard/history.rs
@@ -53,7 +53,8 @@
 
     /// Takes over how an attempt ended.
     pub(super) fn conclude(&mut self, number: u32, outcome: Outcome) {
-        let was_never_executed = |first: &PossiblyExecuted| outcome.never_ran() && first.number == number;
+        let was_never_executed =
+            |first: &PossiblyExecuted| outcome.never_executed() && first.number == number;
         self.possibly_executed = self.possibly_executed.filter(|first| !was_never_executed(first));
     }
 
--- a/src/core/execution_guard/mod.rs
+++ b/src/core/execution_guard/mod.rs
@@ -243,13 +243,13 @@
     }
 
     /// The engine has dropped an attempt, or it never ran. Gives the requests that waited for that.
-    pub(super) fn attempt_over(&mut self, attempt: AttemptId, never_ran: bool) -> Vec<u64> {
+    pub(super) fn attempt_over(&mut self, attempt: AttemptId, never_executed: bool) -> Vec<u64> {
         let Some(InFlight { identities, .. }) = self.in_flight.remove(&attempt) else { return Vec::new() };
         for identity in &identities {
             if let Some(activity) = self.activities.get_mut(identity) {
                 activity.attempts.retain(|other| *other != attempt);
             }
-            if never_ran {
+            if never_executed {
                 self.executions.remove(identity, attempt);
             }
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -27,7 +27,7 @@
 pub use validation::Invalid;
 
 use crate::clock::Micros;
-use crate::decision::{Action, Event, Gateway};
+use crate::decision::{Action, Event, Scheduler};
 use crate::settings::Front;
 use attempts::Attempt;
 use engines::KnownEngine;
@@ -44,7 +44,7 @@
 /// decision module is notified of its end.
 #[derive(Debug)]
 pub struct Core {
-    gateway: Gateway,
+    gateway: Scheduler,
     front: Front,
     max_open: usize,
     roster: Roster,
@@ -73,7 +73,7 @@
             roster: tenants::roster(&front),
             tenant_shares: front.settings.tenants.iter().map(TenantShare::new).collect(),
             has_tenant_store: false,
-            gateway: Gateway::new(front.settings.clone(), seed, now.as_ms()),
+            gateway: Scheduler::new(front.settings.clone(), seed, now.as_ms()),
             accounting: Accounting::default(),
             front,
             max_open,
@@ -140,7 +140,7 @@
     fn fire_due_timers(&mut self, now: Micros, out: &mut Vec<Command>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Gateway(token) => self.decide(now, Event::Timer(token), out),
+                Timer::Scheduler(token) => self.decide(now, Event::Timer(token), out),
                 Timer::RequestDeadline(request) => self.deadline_passed(now, request, out),
                 Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
                 Timer::AttemptAbandoned(attempt) => self.abandon_attempt(now, attempt, out),
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// The decision module set it, with this token.
-    Gateway(u64),
+    Scheduler(u64),
     /// The request's time is over.
     RequestDeadline(u64),
     /// The attempt's time is over.
--- a/src/core/types/attempt.rs
+++ b/src/core/types/attempt.rs
@@ -81,7 +81,7 @@
         match self {
             ConnectionEnd::Answered => Outcome::Served,
             ConnectionEnd::AnsweredError => Outcome::ServerError,
-            ConnectionEnd::AnsweredFull => Outcome::Full,
+            ConnectionEnd::AnsweredFull => Outcome::EngineFull,
             ConnectionEnd::AnsweredOver => Outcome::NotSent,
             ConnectionEnd::ConnectRefused | ConnectionEnd::ConnectTimeout | ConnectionEnd::NeverWritten => {
                 Outcome::NoConnection
@@ -93,7 +93,7 @@
             | ConnectionEnd::Broken
             | ConnectionEnd::Silent => Outcome::ConnectionLost,
             // The engine reads and answers: the fault is the connection's, not the engine's.
-            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::Spoilt,
+            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::CorruptedResponse,
             ConnectionEnd::TimedOut => Outcome::TimedOut,
             ConnectionEnd::Cancelled => Outcome::Cancelled,
         }
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of a request: its tenant's token bucket, the estimates of its resource needs, its rank, and its
 //! deadline.
 
-use super::gateway::Gateway;
 use super::requests::{PendingRequest, PossiblyExecuted, QueueRank};
+use super::scheduler::Scheduler;
 use super::timers::TimerPurpose;
 use super::types::{Action, ClassSettings, Millis, Request, RequestId};
 
@@ -20,7 +20,7 @@
 /// Steps of event handling before its deadline at which a request is answered.
 const DEADLINE_MARGIN_STEPS: f64 = 2.0;
 
-impl Gateway {
+impl Scheduler {
     /// A request arrived: queues it, or fails it if its class is unknown.
     pub(super) fn on_request(&mut self, request: Request) {
         if request.class.0 >= self.classes.len() {
--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -3,8 +3,8 @@
 //! well within it.
 
 use super::bounds::Bounds;
-use super::gateway::Gateway;
 use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
+use super::scheduler::Scheduler;
 use super::types::Millis;
 
 /// Step by which alpha falls, divided by the mean CV (coefficient of variation): gamma in the paper.
@@ -97,7 +97,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Recomputes the latency budgets and alpha, and the other values that adapt at the same interval.
     pub(super) fn refit(&mut self) {
         self.forget_idle_tenants();
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: sending, progress, and end.
 
-use super::gateway::Gateway;
 use super::requests::{Attempt, AttemptId, PossiblyExecuted};
+use super::scheduler::Scheduler;
 use super::types::{Action, AttemptEnd, AttemptNote, Effect, EngineId, Millis, Outcome, RequestId};
 use sanddyke_statistics::Load;
 
@@ -16,7 +16,7 @@
 /// Priority of a request of a sensitive class.
 const SENSITIVE_PRIORITY: u8 = 3;
 
-impl Gateway {
+impl Scheduler {
     /// Sends a request's next attempt. Returns false if it may not be sent now or no engine has capacity.
     pub(super) fn try_send(&mut self, id: RequestId) -> bool {
         let Some(engine) = self.select_engine(id) else { return false };
@@ -129,12 +129,12 @@
     fn conclude_attempt(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if end.outcome.never_ran() {
+        if end.outcome.never_executed() {
             // The possibly executed attempt was this one and it was never executed, so none was.
             request.possibly_executed =
                 request.possibly_executed.filter(|executed| executed.attempt != end.attempt);
         }
-        if end.settled {
+        if end.request_closed {
             let service_ms = (end.outcome == Outcome::Served).then_some(end.elapsed_ms);
             self.record_completion(id, service_ms);
             self.forget_request(id);
--- a/src/decision/capacity.rs
+++ b/src/decision/capacity.rs
@@ -2,9 +2,9 @@
 
 use super::bounds::Bounds;
 use super::engines::Engine;
-use super::gateway::Gateway;
 use super::outliers::JAMMED_SLOWDOWN;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::Settings;
 use sanddyke_statistics::Load;
 
@@ -60,7 +60,7 @@
 impl FleetCapacity {
     /// Initial capacity, from the settings alone.
     pub(super) fn new(settings: &Settings) -> FleetCapacity {
-        let gateway_fraction = 1.0 / settings.gateway_count.max(1) as f64;
+        let gateway_fraction = 1.0 / settings.manager_count.max(1) as f64;
         let max_cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
         let cap_threads = max_cores * INITIAL_SATURATION * gateway_fraction;
         let below_min_cap = settings.limits.health_checks && cap_threads < MIN_CAP_THREADS && max_cores > 0.0;
@@ -124,7 +124,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Whether an engine has capacity for a request of this class: it has the memory, and either it is not
     /// under pressure or the request is within this manager's cap.
     pub(super) fn has_capacity(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -1,9 +1,9 @@
 //! Statistics of each class: its resource needs, its latencies, and the patience of its clients.
 
 use super::bounds::Bounds;
-use super::gateway::Gateway;
 use super::latency_budget::latency_budget;
 use super::requests::Attempt;
+use super::scheduler::Scheduler;
 use super::tenants::Stream;
 use super::types::{AttemptEnd, ClassSettings, Millis, Usage};
 use sanddyke_statistics::{Memo, Window};
@@ -148,7 +148,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Records an answer: the resource needs of its class and the slowdown of its engine.
     pub(super) fn learn_from_answer(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let statistics = &mut self.classes[attempt.class].statistics;
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -1,8 +1,8 @@
 //! Final answers: the one path on which a queued or running request is rejected or failed, and the record of each
 //! completion.
 
-use super::gateway::Gateway;
 use super::requests::AttemptId;
+use super::scheduler::Scheduler;
 use super::types::{Action, Millis, RequestId};
 use sanddyke_statistics::ServedTimes;
 
@@ -12,7 +12,7 @@
 /// Disengagement of an answer after the deadline, or of no answer.
 pub(super) const UNSERVED_DISENGAGEMENT: f64 = 1.0;
 
-impl Gateway {
+impl Scheduler {
     /// Closes a request without a result: rejects it if a retry by the client is safe, otherwise fails it.
     pub(super) fn answer_unserved(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.streaming) else { return };
--- a/src/decision/data_set_locks.rs
+++ b/src/decision/data_set_locks.rs
@@ -2,9 +2,9 @@
 //! would wait there with its client's connection open.
 
 use super::engines::Engine;
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 
-impl Gateway {
+impl Scheduler {
     /// Whether a load on this data set would wait on the engine: the data set is locked there or, if clients
     /// have few connections left, the pair of engine and data set is assigned to another manager.
     pub(super) fn is_data_set_locked_on(&self, engine: &Engine, data_set: u64) -> bool {
@@ -12,8 +12,8 @@
             return true;
         }
         let pair = engine.index.wrapping_add(data_set as usize);
-        let owner = pair % self.settings.gateway_count.max(1);
-        owner != self.settings.gateway_index && self.open_request_excess() > 0
+        let owner = pair % self.settings.manager_count.max(1);
+        owner != self.settings.manager_index && self.open_request_excess() > 0
     }
 
     /// Whether a load on this data set would wait on every engine.
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -2,7 +2,7 @@
 //! order of due time and the best-effort requests in fair rotation among tenants. If one side has no request
 //! that can be sent, the other side gets the slot.
 
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::types::RequestId;
 use sanddyke_tenancy::Cursor;
 
@@ -23,7 +23,7 @@
     BestEffort,
 }
 
-impl Gateway {
+impl Scheduler {
     /// Fills free slots until neither side can send.
     pub(super) fn dispatch(&mut self) {
         for class in &mut self.classes {
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -2,13 +2,13 @@
 //! random suitable engines.
 
 use super::engines::Engine;
-use super::gateway::Gateway;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::{EngineId, RequestId};
 use sanddyke_sampling::Suitability;
 use sanddyke_statistics::Load;
 
-impl Gateway {
+impl Scheduler {
     /// Selects the engine for a request's next attempt; `None` if the request may not be sent now or no
     /// engine has capacity.
     pub(super) fn select_engine(&mut self, id: RequestId) -> Option<EngineId> {
--- a/src/decision/engines.rs
+++ b/src/decision/engines.rs
@@ -1,8 +1,8 @@
 //! Engines, as the scheduler tracks them, and updates of the engine list.
 
-use super::gateway::Gateway;
 use super::load_reports::ReportedLoad;
 use super::outliers::EngineHealth;
+use super::scheduler::Scheduler;
 use super::slow_start::SlowStart;
 use super::types::{Action, EngineEntry, EngineListEvent, EngineState, KindSettings, Millis};
 use sanddyke_statistics::Load;
@@ -80,7 +80,7 @@
     StartedLongAgo,
 }
 
-impl Gateway {
+impl Scheduler {
     /// The engine list changed, or could not be fetched.
     pub(super) fn on_engine_list(&mut self, update: EngineListEvent) {
         match update {
@@ -129,7 +129,7 @@
         let warm_at = started_at.map_or(0.0, |at| at + rules.warm_up_ms);
         engine.entry = entry;
         engine.slow_start.begin(warm_at, self.now, mean_work_ms, &mut self.rng);
-        engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.gateway_count);
+        engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.manager_count);
     }
 
     /// Expires engines that were removed long ago. New engines constantly arrive under new names, so the map
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks: rounds over all engines, and evaluation of health-check latencies.
 
 use super::engines::Engine;
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::types::{Action, EngineId, LoadReport, LogMessage, Millis, Outcome, ZoneId};
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// A health check ended: records its latency and load report, and its outcome for the engine's health.
     pub(super) fn on_health_checked(
         &mut self,
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -11,8 +11,8 @@
 use super::capacity::{MAX_STRETCH, SATURATION_BOUNDS};
 use super::classes::{ClassState, LEARNING_ANSWERS};
 use super::engines::Engine;
-use super::gateway::Gateway;
 use super::outliers::MAX_SLOWDOWN;
+use super::scheduler::Scheduler;
 use super::tenants::Stream;
 use super::types::{EngineId, Millis};
 use serde::{Deserialize, Serialize};
@@ -162,7 +162,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// The learned state. Iterates over classes, engines and the tenants that sent requests recently.
     pub fn learned_state(&self) -> LearnedState {
         let listed = self.engines.values().filter(|engine| engine.is_listed());
@@ -231,6 +231,6 @@
         let warm_up = Bounds::new(0.0, rules.warm_up_ms);
         let warm_at = self.now + warm_up.clamp_finite(remaining_ms).unwrap_or(0.0);
         engine.slow_start.begin(warm_at, self.now, 0.0, &mut self.rng);
-        engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.gateway_count);
+        engine.slow_start.update(self.now, 0.0, engine.cores, rules, self.settings.manager_count);
     }
 }
--- a/src/decision/load_reports.rs
+++ b/src/decision/load_reports.rs
@@ -8,7 +8,7 @@
 use super::bounds::Bounds;
 use super::dispatch::MAX_PLACEMENT_FAILURES;
 use super::engines::Engine;
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::types::{Action, EngineId, LoadReport, Millis, RequestId};
 use sanddyke_statistics::Load;
 
@@ -111,7 +111,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Records a load report from a health check or a response.
     pub(super) fn record_load_report(&mut self, id: EngineId, report: LoadReport) {
         let threads_per_query = self.mean_query().threads;
--- a/src/decision/lost_attempts.rs
+++ b/src/decision/lost_attempts.rs
@@ -1,15 +1,15 @@
 //! Lost attempts: they will have no result, but their engines may still be executing them. A request has at
 //! most one attempt in flight, so it is retried only after its engine has discarded the lost one.
 
-use super::gateway::Gateway;
 use super::requests::AttemptId;
+use super::scheduler::Scheduler;
 use super::types::{Effect, Millis, Outcome, RequestId};
 
 /// Time that a request waits for an engine to discard its lost attempt before it is rejected (ms). An engine
 /// that still reads its connection discards the attempt within one round trip.
 const DROP_TIMEOUT_MS: Millis = 500.0;
 
-impl Gateway {
+impl Scheduler {
     /// An attempt is lost: records its outcome for its engine, and answers its request if that cannot be
     /// retried.
     pub(super) fn on_attempt_lost(&mut self, id: AttemptId, outcome: Outcome) {
--- a/src/decision/ordered_queues.rs
+++ b/src/decision/ordered_queues.rs
@@ -1,7 +1,7 @@
 //! Ordered queues (rule 5): requests of one order key run in order of arrival, one at a time.
 
-use super::gateway::Gateway;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::{Millis, OrderKey, Outcome, RequestId};
 use std::collections::VecDeque;
 
@@ -20,19 +20,19 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Whether it is the request's turn. A request that already had an attempt may be retried during the
     /// pause of its key.
     pub(super) fn is_next_of_its_key(&self, id: RequestId, request: &PendingRequest) -> bool {
         let Some(key) = request.order_key else { return true };
         let Some(queue) = self.ordered_queues.get(&key) else { return true };
-        let settled = request.attempts_sent > 0 || self.now >= queue.paused_until;
-        queue.requests.front() == Some(&id) && settled
+        let may_start = request.attempts_sent > 0 || self.now >= queue.paused_until;
+        queue.requests.front() == Some(&id) && may_start
     }
 
     /// Pauses an order key after an attempt if it is unknown whether the attempt is still executing.
     pub(super) fn pause_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
-        let end_known = outcome.never_ran() || matches!(outcome, Outcome::Served | Outcome::ServerError);
+        let end_known = outcome.never_executed() || matches!(outcome, Outcome::Served | Outcome::ServerError);
         let pause_ms = if end_known { 0.0 } else { self.settings.rules.key_settle_ms };
         if let Some(queue) = key.and_then(|key| self.ordered_queues.get_mut(&key)) {
             queue.paused_until = queue.paused_until.max(self.now + pause_ms);
--- a/src/decision/outliers.rs
+++ b/src/decision/outliers.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: an engine's health, from the outcomes of attempts and health checks, and its ejection.
 
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::types::{Action, EngineId, LogMessage, Millis, Outcome};
 
 /// Consecutive connection failures, or unanswered health checks, after which an engine is ejected until it
@@ -114,14 +114,14 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Updates an engine's health by the outcome of an attempt or a health check: a full engine is paused, an
     /// unreachable one is down until it answers.
     pub(super) fn record_outcome(&mut self, id: EngineId, outcome: Outcome) {
         let now = self.now;
         match outcome {
             Outcome::Served => self.record_success(id),
-            Outcome::Full => {
+            Outcome::EngineFull => {
                 if let Some(engine) = self.engines.get_mut(&id) {
                     engine.health.paused_until = now + FULL_PAUSE_MS;
                 }
@@ -135,7 +135,7 @@
             }
             Outcome::ServerError
             | Outcome::TimedOut
-            | Outcome::Spoilt
+            | Outcome::CorruptedResponse
             | Outcome::Cancelled
             | Outcome::NotSent => {}
         }
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -1,6 +1,6 @@
 //! Requests and attempts, as the scheduler tracks them.
 
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::types::{CellId, EngineId, Millis, OrderKey, RequestId, ZoneId};
 use sanddyke_statistics::Load;
 use sanddyke_tenancy::Rank;
@@ -108,7 +108,7 @@
     pub(super) order_key: Option<OrderKey>,
 }
 
-impl Gateway {
+impl Scheduler {
     /// Attempts of a request that are in flight, by number.
     pub(super) fn attempts_in_flight(&self, request: RequestId) -> impl Iterator<Item = AttemptId> + '_ {
         let first = AttemptId { request, number: 0 };
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -1,7 +1,7 @@
 //! Retry policy: whether one more attempt is safe (rule 2) and within the retry budget (rule 7).
 
-use super::gateway::Gateway;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::{DedupScope, Effect, EngineEntry, Millis, RetryBudget};
 use sanddyke_statistics::Timeline;
 
@@ -39,7 +39,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Whether the maximum number of attempts and the retry budget allow one more attempt of the request.
     pub(super) fn may_attempt_again(&self, request: &PendingRequest) -> bool {
         let is_retry = request.attempts_sent > 0;
--- a/src/decision/gateway.rs
+++ b/src/decision/scheduler.rs
@@ -24,7 +24,7 @@
 
 /// Scheduler of one manager: a state machine without I/O and without a clock.
 #[derive(Debug)]
-pub struct Gateway {
+pub struct Scheduler {
     /// The tenants are moved out into `tenant_settings`.
     pub(super) settings: Settings,
     pub(super) rng: Rand64,
@@ -73,12 +73,12 @@
     pub(super) retries: RetryWindow,
 }
 
-impl Gateway {
+impl Scheduler {
     /// Creates a scheduler without engines, requests or measurements. The same seed and events yield the same
     /// decisions.
     pub fn new(mut settings: Settings, seed: u64, now: Millis) -> Self {
         let tenants = std::mem::take(&mut settings.tenants);
-        let mut gateway = Gateway {
+        let mut gateway = Scheduler {
             classes: settings.classes.iter().map(ClassState::new).collect(),
             engine_sampler: TwoChoiceSampler::new(settings.classes.len()),
             capacity: FleetCapacity::new(&settings),
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -1,9 +1,9 @@
 //! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to
 //! their deadline. When clients have few connections left, requests of low weight are shed as well.
 
-use super::gateway::Gateway;
 use super::outliers::JAMMED_SLOWDOWN;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::{Millis, RequestId};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 
 /// Predicts the ends of queued best-effort requests, in the order in which they are sent.
 struct Forecast<'a> {
-    gateway: &'a Gateway,
+    gateway: &'a Scheduler,
     /// Work finished per ms.
     work_rate: f64,
     /// Slowdown that attempts are assumed to encounter.
@@ -44,7 +44,7 @@
 
 impl<'a> Forecast<'a> {
     /// A forecast that starts at the head of the queue.
-    fn new(gateway: &'a Gateway) -> Forecast<'a> {
+    fn new(gateway: &'a Scheduler) -> Forecast<'a> {
         let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
         let reachable = || {
             let engines = gateway.engines.values();
@@ -94,7 +94,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// Sheds requests that cannot end in time, and ranks requests that will be late behind all others.
     pub(super) fn shed(&mut self) {
         let mut shed = self.sensitive_past_objective();
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::FleetCapacity;
 use super::classes::ClassState;
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::traffic::TrafficRates;
 use super::types::{Millis, TenantId, TenantSettings};
 use sanddyke_statistics::Window;
@@ -87,7 +87,7 @@
     }
 }
 
-impl Gateway {
+impl Scheduler {
     /// A tenant was added, changed or removed. Its queued requests stay queued unless it is removed.
     pub(super) fn on_tenant_changed(&mut self, tenant: TenantId, settings: Option<TenantSettings>) {
         let index = tenant.0;
--- a/src/decision/types/events.rs
+++ b/src/decision/types/events.rs
@@ -11,7 +11,7 @@
     /// The engine answered with an error; the attempt was possibly executed.
     ServerError,
     /// The engine rejected the attempt because it was full; never executed.
-    Full,
+    EngineFull,
     /// The engine did not answer in time; the attempt was possibly executed, and the engine may still be
     /// executing it.
     TimedOut,
@@ -21,7 +21,7 @@
     ConnectionLost,
     /// The response was corrupted or lost on the way; the attempt was possibly executed. The engine is not at
     /// fault.
-    Spoilt,
+    CorruptedResponse,
     /// The attempt was cancelled; it was possibly executed.
     Cancelled,
     /// The attempt was never sent.
@@ -30,8 +30,8 @@
 
 impl Outcome {
     /// Whether the outcome proves that the attempt was never executed.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
+    pub fn never_executed(self) -> bool {
+        matches!(self, Outcome::EngineFull | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
@@ -69,7 +69,7 @@
     /// Time since the attempt was sent (ms).
     pub elapsed_ms: Millis,
     /// Whether the request is closed: it has its final answer, or its client disconnected.
-    pub settled: bool,
+    pub request_closed: bool,
     /// Resources that the attempt used; `None` if not reported.
     pub usage: Option<Usage>,
     /// Load report of the engine; `None` if the response contained none.
--- a/src/decision/types/settings.rs
+++ b/src/decision/types/settings.rs
@@ -7,9 +7,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Number of managers that share the engines, including this one.
-    pub gateway_count: usize,
+    pub manager_count: usize,
     /// Index of this manager among them, from 0.
-    pub gateway_index: usize,
+    pub manager_index: usize,
     /// Zone of this manager.
     pub zone: ZoneId,
     /// Time between two rounds of event handling (ms).
@@ -190,8 +190,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            gateway_count: 1,
-            gateway_index: 0,
+            manager_count: 1,
+            manager_index: 0,
             zone: ZoneId(0),
             step_ms: 5.0,
             classes: Vec::new(),
--- a/src/decision/upkeep.rs
+++ b/src/decision/upkeep.rs
@@ -1,6 +1,6 @@
 //! Upkeep: the one timer that always runs, so that queued requests never depend on another event.
 
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::timers::TimerPurpose;
 use super::types::Millis;
 use sanddyke_statistics::Load;
@@ -8,7 +8,7 @@
 /// Time between two rounds of upkeep (ms).
 pub(super) const UPKEEP_INTERVAL_MS: Millis = 20.0;
 
-impl Gateway {
+impl Scheduler {
     /// Runs one round of upkeep. The order matters: later steps use values that earlier ones have updated.
     pub(super) fn on_upkeep(&mut self) {
         self.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
@@ -42,7 +42,7 @@
         let rules = &self.settings.rules;
         for engine in self.engines.values_mut() {
             engine.health.fade_slowdown(elapsed_ms);
-            let gateways = self.settings.gateway_count;
+            let gateways = self.settings.manager_count;
             engine.slow_start.update(self.now, elapsed_ms, engine.cores, rules, gateways);
         }
         let ready = self.engines.values().filter(|engine| engine.is_ready());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,11 +8,11 @@
 //!
 //! # The decision module
 //!
-//! [`Gateway`] is a state machine. Its caller passes it every [`Event`] with the time at which it happened, and
+//! [`Scheduler`] is a state machine. Its caller passes it every [`Event`] with the time at which it happened, and
 //! carries out the resulting [`Action`]s in order. The same events always give the same actions.
 //!
 //! ```
-//! use sanddyke::{Action, ClassSettings, EngineEntry, EngineId, EngineState, Event, Gateway};
+//! use sanddyke::{Action, ClassSettings, EngineEntry, EngineId, EngineState, Event, Scheduler};
 //! use sanddyke::{KindId, KindSettings, EngineListEvent, Request, RequestId, Settings, ZoneId};
 //!
 //! let settings = Settings {
@@ -20,7 +20,7 @@
 //!     kinds: vec![KindSettings { cores: Some(8.0), memory_mb: Some(16384.0) }],
 //!     ..Settings::default()
 //! };
-//! let mut gateway = Gateway::new(settings, 7, 0.0);
+//! let mut gateway = Scheduler::new(settings, 7, 0.0);
 //! let mut actions = Vec::new();
 //!
 //! let engine = EngineEntry {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -184,8 +184,8 @@
         classes.push(class_settings(&env, index, &mut kinds, &mut zones)?);
     }
     let settings = Settings {
-        gateway_count: env.replicas_of_me,
-        gateway_index: env.me,
+        manager_count: env.replicas_of_me,
+        manager_index: env.me,
         zone: ZoneId(number(&mut zones, &env.zone)),
         step_ms: env.step_ms,
         classes,
--- a/tests/rules/below_minimum_cap.rs
+++ b/tests/rules/below_minimum_cap.rs
@@ -33,11 +33,11 @@
 }
 
 /// An engine that looks idle reports how much of its memory is granted.
-fn report_memory(gateway: &mut Gateway, now: f64, engine: u64, memory: f64) -> Vec<Action> {
+fn report_memory(gateway: &mut Scheduler, now: f64, engine: u64, memory: f64) -> Vec<Action> {
     report_load(gateway, now, engine, memory, 0.2)
 }
 
-fn report_load(gateway: &mut Gateway, now: f64, engine: u64, memory: f64, busy: f64) -> Vec<Action> {
+fn report_load(gateway: &mut Scheduler, now: f64, engine: u64, memory: f64, busy: f64) -> Vec<Action> {
     let report = Some(LoadReport { busy: Some(busy), memory: Some(memory), ..LoadReport::default() });
     let (engine, mut out) = (EngineId(engine), Vec::new());
     let event = Event::HealthChecked { engine, outcome: Outcome::Served, elapsed_ms: 2.0, report };
@@ -55,7 +55,7 @@
     #[case] gateways: usize,
     #[case] cores: f64,
 ) {
-    let mut settings = Settings { gateway_count: gateways, ..settings(ClassSettings::default()) };
+    let mut settings = Settings { manager_count: gateways, ..settings(ClassSettings::default()) };
     settings.kinds.fill(KindSettings { cores: Some(cores), memory_mb: None });
     for (memory, sent) in [(4.0, 0), (0.5, 1)] {
         let mut gateway = gateway(settings.clone(), &[engine(1)]);
@@ -69,11 +69,11 @@
 /// amount to. The reports that they read `before` told of so much memory.
 fn sent_by_one_report(in_flight: u64, requests_per_s: u64, before: &[f64]) -> usize {
     let tenants = vec![TenantSettings { share: 1.0, quota_per_s: 500.0, group: None }];
-    let mut settings = Settings { gateway_count: 100, tenants, ..settings(ClassSettings::default()) };
+    let mut settings = Settings { manager_count: 100, tenants, ..settings(ClassSettings::default()) };
     settings.kinds = vec![KindSettings { cores: Some(8.0), memory_mb: Some(16_384.0) }];
     let engines: Vec<EngineEntry> = (1..=20).map(engine).collect();
     let sent = |seed: u64| {
-        let (mut out, mut gateway) = (Vec::new(), Gateway::new(settings.clone(), seed, 0.0));
+        let (mut out, mut gateway) = (Vec::new(), Scheduler::new(settings.clone(), seed, 0.0));
         gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.clone())), &mut out);
         // It learns what a query uses: 800 MB, a twentieth of an engine.
         let usage = Some(Usage { work_ms: 500.0, memory_mb: 800.0 });
@@ -86,9 +86,16 @@
             arrive(&mut gateway, now, request(id));
             (1..=20).for_each(|to| drop(answer_check(&mut gateway, now, to, 2.0)));
             let (request, outcome) = (RequestId(id), Outcome::Served);
-            let settled = true;
-            let end =
-                AttemptEnd { request, attempt: 0, outcome, elapsed_ms: 10.0, settled, usage, report: None };
+            let request_closed = true;
+            let end = AttemptEnd {
+                request,
+                attempt: 0,
+                outcome,
+                elapsed_ms: 10.0,
+                request_closed,
+                usage,
+                report: None,
+            };
             gateway.handle(now + 10.0, Event::AttemptEnded(end), &mut Vec::new());
         }
         (0..in_flight).for_each(|id| drop(arrive(&mut gateway, 10_200.0, request(1000 + id))));
--- a/tests/rules/data_sets.rs
+++ b/tests/rules/data_sets.rs
@@ -49,7 +49,7 @@
     let class = ClassSettings { locks_data_set: true, ..ClassSettings::default() };
     let places = |me, max_open| {
         let mut settings = settings(class.clone());
-        (settings.gateway_count, settings.gateway_index, settings.limits.max_open_requests) =
+        (settings.manager_count, settings.manager_index, settings.limits.max_open_requests) =
             (2, me, max_open);
         let mut gateway = gateway(settings, &[engine(1), engine(2)]);
         let load = |id| Request { data_set: 7, ..request(id) };
--- a/tests/rules/execution.rs
+++ b/tests/rules/execution.rs
@@ -17,7 +17,7 @@
     let class = ClassSettings { effect: Effect::Once, ..ClassSettings::default() };
     let mut gateway = gateway(settings(class), &[engine(1), engine(2)]);
     arrive(&mut gateway, 1.0, request(1));
-    assert_eq!(sends(&end_attempt(&mut gateway, 20.0, 1, 0, Outcome::Full)).len(), 1);
+    assert_eq!(sends(&end_attempt(&mut gateway, 20.0, 1, 0, Outcome::EngineFull)).len(), 1);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert!(out.is_empty(), "{out:?}");
 }
 
-fn lose_attempt(gateway: &mut Gateway, now: f64, request: u64, outcome: Outcome) -> Vec<Action> {
+fn lose_attempt(gateway: &mut Scheduler, now: f64, request: u64, outcome: Outcome) -> Vec<Action> {
     let mut out = Vec::new();
     let event = Event::AttemptLost { request: RequestId(request), attempt: 0, outcome };
     gateway.handle(now, event, &mut out);
--- a/tests/rules/health.rs
+++ b/tests/rules/health.rs
@@ -31,7 +31,7 @@
 /// one whose connections break pauses.
 #[test]
 fn an_engine_whose_answers_are_damaged_on_the_way_does_not_pause() {
-    for (outcome, many) in [(Outcome::Spoilt, 1), (Outcome::ConnectionLost, 0)] {
+    for (outcome, many) in [(Outcome::CorruptedResponse, 1), (Outcome::ConnectionLost, 0)] {
         let class = ClassSettings { effect: Effect::Once, ..ClassSettings::default() };
         let mut gateway = gateway(settings(class), &[engine(1)]);
         arrive(&mut gateway, 1.0, request(1));
@@ -56,7 +56,7 @@
     assert_eq!(sends(&answer_check(&mut gateway, 602.0, checked[1], 2.0)).len(), 1);
 }
 
-fn end_check(gateway: &mut Gateway, now: f64, outcome: Outcome) -> Vec<Action> {
+fn end_check(gateway: &mut Scheduler, now: f64, outcome: Outcome) -> Vec<Action> {
     let mut out = Vec::new();
     let event = Event::HealthChecked { engine: EngineId(1), outcome, elapsed_ms: 250.0, report: None };
     gateway.handle(now, event, &mut out);
@@ -97,7 +97,7 @@
     #[case] gateways: usize,
     #[case] cancelled: usize,
 ) {
-    let settings = Settings { gateway_count: gateways, ..settings(ClassSettings::default()) };
+    let settings = Settings { manager_count: gateways, ..settings(ClassSettings::default()) };
     let mut gateway = gateway(settings, &[engine(1)]);
     arrive(&mut gateway, 1.0, request(1));
     answer_check(&mut gateway, 3.0, 1, 2.0);
@@ -119,11 +119,11 @@
         overload_window_ms: 1500.0,
         ..Settings::default().rules
     };
-    let settings = Settings { gateway_count: 100, rules, ..settings(ClassSettings::default()) };
+    let settings = Settings { manager_count: 100, rules, ..settings(ClassSettings::default()) };
     let work = 500.0; // a class's work until answers report it: half its latency objective
     let mut sent = Vec::new();
     for seed in 0..100 {
-        let mut gateway = Gateway::new(settings.clone(), seed, 0.0);
+        let mut gateway = Scheduler::new(settings.clone(), seed, 0.0);
         let starting = EngineEntry { started_at: Some(2000.0), ..engine(1) };
         for step in 0..600u64 {
             let now = 20.0 * step as f64;
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -12,8 +12,8 @@
     EngineEntry { id: EngineId(id), state: EngineState::Ready, weight: 1.0, ..EngineEntry::default() }
 }
 
-fn gateway(settings: Settings, engines: &[EngineEntry]) -> Gateway {
-    let mut gateway = Gateway::new(settings, 1, 0.0);
+fn gateway(settings: Settings, engines: &[EngineEntry]) -> Scheduler {
+    let mut gateway = Scheduler::new(settings, 1, 0.0);
     gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.to_vec())), &mut Vec::new());
     gateway
 }
@@ -26,20 +26,26 @@
     }
 }
 
-fn arrive(gateway: &mut Gateway, now: f64, request: Request) -> Vec<Action> {
+fn arrive(gateway: &mut Scheduler, now: f64, request: Request) -> Vec<Action> {
     let mut out = Vec::new();
     gateway.handle(now, Event::Request(request), &mut out);
     out
 }
 
-fn end_attempt(gateway: &mut Gateway, now: f64, request: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+fn end_attempt(
+    gateway: &mut Scheduler,
+    now: f64,
+    request: u64,
+    attempt: u32,
+    outcome: Outcome,
+) -> Vec<Action> {
     let mut out = Vec::new();
     let end = AttemptEnd {
         request: RequestId(request),
         attempt,
         outcome,
         elapsed_ms: 10.0,
-        settled: outcome == Outcome::Served,
+        request_closed: outcome == Outcome::Served,
         usage: None,
         report: None,
     };
@@ -67,7 +73,7 @@
     actions.iter().filter_map(check).collect()
 }
 
-fn answer_check(gateway: &mut Gateway, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
+fn answer_check(gateway: &mut Scheduler, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let event =
         Event::HealthChecked { engine: EngineId(engine), outcome: Outcome::Served, elapsed_ms, report: None };
@@ -75,7 +81,7 @@
     out
 }
 
-fn gateway_of_300() -> Gateway {
-    let settings = Settings { gateway_count: 300, ..settings(ClassSettings::default()) };
+fn gateway_of_300() -> Scheduler {
+    let settings = Settings { manager_count: 300, ..settings(ClassSettings::default()) };
     gateway(settings, &[engine(1), engine(2), engine(3), engine(4)])
 }
--- a/tests/rules/shares_and_capacity.rs
+++ b/tests/rules/shares_and_capacity.rs
@@ -51,7 +51,7 @@
     let limits = Limits { max_open_requests: Some(20), ..Settings::default().limits };
     let rejected_beside = |beside: usize, cheap: u64, expensive: u64| {
         let settings = Settings { classes: classes.clone(), limits, ..Settings::default() };
-        let mut gateway = Gateway::new(settings, 1, 0.0);
+        let mut gateway = Scheduler::new(settings, 1, 0.0);
         gateway.set_max_open_requests(Some(20 - beside));
         let one =
             |id: u64| Request { class: ClassId(usize::from(id >= 100)), remaining_ms: 1e14, ..request(id) };
