--- a/src/bin/sanddyke-simulator-adapter/actions.rs
+++ b/src/bin/sanddyke-simulator-adapter/actions.rs
@@ -11,7 +11,7 @@
         Action::Send { request, engine, timeout_ms } => {
             writeln!(reply, "ROUTE {instance} {} {} {timeout_ms:.3}", name(request), engine.0)
         }
-        Action::SetTerms { request, memory_mb, priority } => {
+        Action::SetAttemptOptions { request, memory_mb, priority } => {
             writeln!(reply, "LIMITS_FOR {instance} {} {memory_mb:.3} {priority}", name(request))
         }
         Action::Reject { request, retry_after_ms } => {
--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -4,8 +4,9 @@
 use crate::lines::{EventMessage, Fields};
 use sanddyke::settings::{self, Front, number};
 use sanddyke::{
-    AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event,
-    KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, Scheduler, TenantId, Usage, ZoneId,
+    AttemptEnd, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event, KindId,
+    LoadReport, Millis, OrderKey, Outcome, ProgressNote, Request, RequestId, Scheduler, TenantId, Usage,
+    ZoneId,
 };
 use std::collections::HashMap;
 
@@ -128,7 +129,7 @@
             work_ms: fields.amount(4)?.filter(|work_ms| has_estimate && *work_ms > 0.0),
             memory_mb: fields.amount(6)?.filter(|memory_mb| *memory_mb > 0.0),
             remaining_ms: fields.required_amount(7)?,
-            executed_before: None, // a client's retry has another id there
+            prior_execution: None, // a client's retry has another id there
         })
     }
 
@@ -161,15 +162,15 @@
     fn attempt_note(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let amount = fields.amount(5)?.unwrap_or(0.0);
         let note = match fields.required::<u32>(4)? {
-            1 => AttemptNote::Progress(amount),
-            2 => AttemptNote::Spills(amount),
-            3 if amount == WAITS_FOR_LOAD => AttemptNote::WaitsForLoad,
-            3 => AttemptNote::WaitsForMemory,
+            1 => ProgressNote::Progress(amount),
+            2 => ProgressNote::Spills(amount),
+            3 if amount == WAITS_FOR_LOAD => ProgressNote::WaitsForLoad,
+            3 => ProgressNote::WaitsForMemory,
             other => return Err(fields.error(4, FieldError::UnknownNote(other))),
         };
         let attempt = fields.required(2)?;
         let request = self.known_request(fields, 1)?;
-        Ok(request.map(|request| Event::AttemptNote { request, attempt, note }))
+        Ok(request.map(|request| Event::ProgressNote { request, attempt, note }))
     }
 }
 
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -15,7 +15,7 @@
             Action::Send { request, engine, timeout_ms } => {
                 self.start_attempt(now, request.0, engine.0, Micros::from_ms(timeout_ms), out);
             }
-            Action::SetTerms { request, priority, .. } => {
+            Action::SetAttemptOptions { request, priority, .. } => {
                 self.set_priority(request.0, priority.min(MAX_PRIORITY), out);
             }
             Action::Reject { request, retry_after_ms } => {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -75,7 +75,7 @@
             work_ms: None,
             memory_mb: None,
             remaining_ms: (open.deadline - now).as_ms(),
-            executed_before: execution.map(|first| PriorExecution {
+            prior_execution: execution.map(|first| PriorExecution {
                 at: first.started_at.as_ms(),
                 zone: first.zone,
                 cell: first.cell,
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -27,7 +27,7 @@
             AttemptEvent::Note(_) if ends_as.is_some() => {}
             AttemptEvent::Note(note) => {
                 let request = RequestId(attempt.request);
-                self.decide(now, Event::AttemptNote { request, attempt: attempt.number, note }, out);
+                self.decide(now, Event::ProgressNote { request, attempt: attempt.number, note }, out);
             }
             AttemptEvent::Served { table, usage, report } => {
                 let answer = self.answer_with(attempt.request, table);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! The core's handling of attempts, without a socket.
 
 use super::*;
-use crate::decision::{AttemptNote, EngineState};
+use crate::decision::{EngineState, ProgressNote};
 use std::net::{Ipv4Addr, SocketAddr};
 
 fn core() -> (Core, Vec<Command>) {
@@ -58,7 +58,7 @@
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
     assert_eq!(launches(&out), 1);
-    let hopeless = AttemptEvent::Note(AttemptNote::Progress(0.001));
+    let hopeless = AttemptEvent::Note(ProgressNote::Progress(0.001));
     let out = attempt_event(&mut core, 1_000_000, 0, hopeless);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
--- a/src/core/types/attempt.rs
+++ b/src/core/types/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::Table;
 use crate::core::SendPermit;
-use crate::decision::{AttemptNote, LoadReport, Outcome, Usage};
+use crate::decision::{LoadReport, Outcome, ProgressNote, Usage};
 use std::fmt;
 use std::sync::Arc;
 
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
     /// It is being executed.
-    Note(AttemptNote),
+    Note(ProgressNote),
     /// It ended with a result.
     Served {
         /// The complete result.
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -66,7 +66,7 @@
             memory_mb: request.memory_mb.unwrap_or(statistics.memory_mb),
             data_set_lock: class.locks_data_set.then_some(request.data_set),
             rank: QueueRank::new(over_share, self.now + due_after_ms),
-            possibly_executed: request.executed_before.map(|prior| PossiblyExecuted {
+            possibly_executed: request.prior_execution.map(|prior| PossiblyExecuted {
                 attempt: BEFORE_THE_FIRST,
                 at: prior.at,
                 zone: prior.zone,
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::requests::{Attempt, AttemptId, PossiblyExecuted};
 use super::scheduler::Scheduler;
-use super::types::{Action, AttemptEnd, AttemptNote, Effect, EngineId, Millis, Outcome, RequestId};
+use super::types::{Action, AttemptEnd, Effect, EngineId, Millis, Outcome, ProgressNote, RequestId};
 use sanddyke_statistics::Load;
 
 /// An attempt is cancelled if its remaining time exceeds the time of a fresh attempt by this factor.
@@ -39,7 +39,7 @@
         } else {
             BEST_EFFORT_PRIORITY
         };
-        self.actions.push(Action::SetTerms { request: id, memory_mb: 0.0, priority });
+        self.actions.push(Action::SetAttemptOptions { request: id, memory_mb: 0.0, priority });
     }
 
     /// Tracks an attempt and the load that it adds to its engine, and sends it.
@@ -158,8 +158,8 @@
     /// Cancels an attempt that has a bad plan or a bad engine: at its present pace the remainder takes far
     /// longer than a fresh attempt. Not done below the minimum cap, where this manager has too little traffic
     /// to know the usual pace.
-    pub(super) fn on_attempt_note(&mut self, id: AttemptId, note: AttemptNote) {
-        let AttemptNote::Progress(progress) = note else { return };
+    pub(super) fn on_attempt_note(&mut self, id: AttemptId, note: ProgressNote) {
+        let ProgressNote::Progress(progress) = note else { return };
         let Some(attempt) = self.attempts.get(&id) else { return };
         let Some(request) = self.requests.get(&id.request) else { return };
         let class = &self.settings.classes[request.class];
--- a/src/decision/ordered_queues.rs
+++ b/src/decision/ordered_queues.rs
@@ -33,7 +33,7 @@
     /// Pauses an order key after an attempt if it is unknown whether the attempt is still executing.
     pub(super) fn pause_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
         let end_known = outcome.never_executed() || matches!(outcome, Outcome::Served | Outcome::ServerError);
-        let pause_ms = if end_known { 0.0 } else { self.settings.rules.key_settle_ms };
+        let pause_ms = if end_known { 0.0 } else { self.settings.rules.order_key_pause_ms };
         if let Some(queue) = key.and_then(|key| self.ordered_queues.get_mut(&key)) {
             queue.paused_until = queue.paused_until.max(self.now + pause_ms);
         }
--- a/src/decision/scheduler.rs
+++ b/src/decision/scheduler.rs
@@ -125,7 +125,7 @@
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(&end),
             Event::StreamStarted { request } => self.on_stream_started(request),
-            Event::AttemptNote { request, attempt, note } => {
+            Event::ProgressNote { request, attempt, note } => {
                 self.on_attempt_note(AttemptId { request, number: attempt }, note);
             }
             Event::HealthChecked { engine, outcome, elapsed_ms, report } => {
--- a/src/decision/types/events.rs
+++ b/src/decision/types/events.rs
@@ -46,7 +46,7 @@
 
 /// Progress note of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum AttemptNote {
+pub enum ProgressNote {
     /// Approximate fraction of the attempt that is done, from 0 to 1.
     Progress(f64),
     /// The attempt spills to disk because it lacks this much memory (MB).
@@ -109,13 +109,13 @@
         request: RequestId,
     },
     /// An engine sent a progress note of a running attempt.
-    AttemptNote {
+    ProgressNote {
         /// Request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
         /// The progress note.
-        note: AttemptNote,
+        note: ProgressNote,
     },
     /// A health check ended.
     HealthChecked {
@@ -149,7 +149,7 @@
         timeout_ms: Millis,
     },
     /// Set the memory grant and the priority of a request's attempts.
-    SetTerms {
+    SetAttemptOptions {
         /// Request whose attempts are concerned.
         request: RequestId,
         /// Memory grant of further attempts (MB); 0 if the engine chooses.
--- a/src/decision/types/mod.rs
+++ b/src/decision/types/mod.rs
@@ -12,7 +12,7 @@
 mod settings;
 
 pub use engines::{EngineEntry, EngineListEvent, EngineState, LoadReport};
-pub use events::{Action, AttemptEnd, AttemptNote, Event, LogMessage, Outcome, Usage};
+pub use events::{Action, AttemptEnd, Event, LogMessage, Outcome, ProgressNote, Usage};
 pub use ids::{CellId, ClassId, EngineId, KindId, Millis, OrderKey, RequestId, TenantId, ZoneId};
 pub use requests::{PriorExecution, Request};
 pub use settings::{
--- a/src/decision/types/requests.rs
+++ b/src/decision/types/requests.rs
@@ -22,7 +22,7 @@
     /// Time that the client still waits (ms).
     pub remaining_ms: Millis,
     /// Possible execution before this arrival, if the client has sent the request before.
-    pub executed_before: Option<PriorExecution>,
+    pub prior_execution: Option<PriorExecution>,
 }
 
 /// A possible execution of a request that its client has resent since.
--- a/src/decision/types/settings.rs
+++ b/src/decision/types/settings.rs
@@ -31,9 +31,9 @@
     /// Whether the engine list has to be polled.
     pub poll_engine_list: bool,
     /// Score points lost for each health check per request.
-    pub health_check_price: f64,
+    pub health_check_penalty: f64,
     /// Score points lost for each request that crosses zones.
-    pub cross_zone_price: f64,
+    pub cross_zone_penalty: f64,
 }
 
 /// Settings of one request class.
@@ -143,7 +143,7 @@
     /// Time over which that load is measured (ms).
     pub overload_window_ms: Millis,
     /// Pause of an order key after an attempt whose end is unknown (ms).
-    pub key_settle_ms: Millis,
+    pub order_key_pause_ms: Millis,
     /// Maximum time between two polls of the engine list, if it has to be polled (ms).
     pub poll_interval_ms: Millis,
     /// Limit on retries; `None` for no limit.
@@ -202,8 +202,8 @@
             rules: Rules::default(),
             engines: EngineTraits::default(),
             poll_engine_list: false,
-            health_check_price: 0.0,
-            cross_zone_price: 0.0,
+            health_check_penalty: 0.0,
+            cross_zone_penalty: 0.0,
         }
     }
 }
@@ -228,7 +228,7 @@
             warm_up_ms: 0.0,
             overload_factor: 1.0,
             overload_window_ms: 1000.0,
-            key_settle_ms: 0.0,
+            order_key_pause_ms: 0.0,
             poll_interval_ms: 10_000.0,
             retry_budget: None,
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -196,8 +196,8 @@
         rules: Rules::from(&env.safety),
         engines: env.family_info.engine_traits()?,
         poll_engine_list: polls_engine_list(&env.discovery)?,
-        health_check_price: env.prices.probe,
-        cross_zone_price: env.prices.cross_zone,
+        health_check_penalty: env.prices.probe,
+        cross_zone_penalty: env.prices.cross_zone,
     };
     Ok(Front {
         settings,
@@ -329,7 +329,7 @@
             warm_up_ms: safety.warm_up_ms,
             overload_factor: safety.overload_factor,
             overload_window_ms: safety.tip_after_ms,
-            key_settle_ms: safety.key_rest_ms,
+            order_key_pause_ms: safety.key_rest_ms,
             poll_interval_ms: safety.ask_within_ms.unwrap_or(f64::INFINITY),
             retry_budget,
         }
--- a/src/upstream/line_protocol/parse.rs
+++ b/src/upstream/line_protocol/parse.rs
@@ -4,7 +4,7 @@
 //! skipped, so that engines can add some.
 
 use crate::core::Row;
-use crate::decision::{AttemptNote, LoadReport, Usage};
+use crate::decision::{LoadReport, ProgressNote, Usage};
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
 use thiserror::Error;
@@ -90,7 +90,7 @@
     /// `sheet`: the number of this page, from 0.
     pub page: Option<u32>,
     /// `n` and `val`: progress of the request.
-    pub note: Option<AttemptNote>,
+    pub note: Option<ProgressNote>,
     /// `toil` and `room`: what the request used.
     pub usage: Option<Usage>,
     /// `l`: the engine's load.
@@ -167,14 +167,14 @@
     })
 }
 
-fn note(name: &str, amount: f64) -> Option<AttemptNote> {
+fn note(name: &str, amount: f64) -> Option<ProgressNote> {
     /// The amount of a `held` note that stands for a load.
     const WAITS_FOR_LOAD: f64 = 2.0;
     match name {
-        "share" => Some(AttemptNote::Progress(amount)),
-        "short" => Some(AttemptNote::Spills(amount)),
-        "held" if amount == WAITS_FOR_LOAD => Some(AttemptNote::WaitsForLoad),
-        "held" => Some(AttemptNote::WaitsForMemory),
+        "share" => Some(ProgressNote::Progress(amount)),
+        "short" => Some(ProgressNote::Spills(amount)),
+        "held" if amount == WAITS_FOR_LOAD => Some(ProgressNote::WaitsForLoad),
+        "held" => Some(ProgressNote::WaitsForMemory),
         _ => None,
     }
 }
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -5,7 +5,7 @@
 use crate::clock::Micros;
 use crate::core::AttemptId;
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
-use crate::decision::{AttemptNote, LoadReport, Usage};
+use crate::decision::{LoadReport, ProgressNote, Usage};
 use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
@@ -285,7 +285,7 @@
 
 /// What an engine reports of a running request.
 enum Progress {
-    Note(AttemptNote),
+    Note(ProgressNote),
     Usage(Usage),
 }
 
@@ -298,13 +298,13 @@
         value.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite())
     };
     let note = if let Some(fraction) = find("share") {
-        AttemptNote::Progress(fraction)
+        ProgressNote::Progress(fraction)
     } else if let Some(megabytes) = find("short") {
-        AttemptNote::Spills(megabytes)
+        ProgressNote::Spills(megabytes)
     } else if let Some(amount) = find("held") {
         match amount == WAITS_FOR_LOAD {
-            true => AttemptNote::WaitsForLoad,
-            false => AttemptNote::WaitsForMemory,
+            true => ProgressNote::WaitsForLoad,
+            false => ProgressNote::WaitsForMemory,
         }
     } else {
         let work_ms = find("toil")?;
--- a/tests/rules/execution.rs
+++ b/tests/rules/execution.rs
@@ -42,7 +42,7 @@
 fn requests_of_one_key_run_in_order_and_the_key_pauses_after_an_unknown_end() {
     let class = ClassSettings { in_order: true, effect: Effect::Once, ..ClassSettings::default() };
     let mut settings = settings(class);
-    settings.rules.key_settle_ms = 100.0;
+    settings.rules.order_key_pause_ms = 100.0;
     let mut gateway = gateway(settings, &[engine(1), engine(2)]);
     let keyed = |id| Request { key: Some(OrderKey(9)), ..request(id) };
     assert_eq!(sends(&arrive(&mut gateway, 1.0, keyed(1))).len(), 1);
@@ -108,8 +108,8 @@
         Event::HealthChecked { engine: EngineId(4), outcome: Outcome::Served, elapsed_ms: 1.0, report: None },
         &mut out,
     );
-    let note = AttemptNote::Progress(0.5);
-    gateway.handle(5.0, Event::AttemptNote { request: RequestId(5), attempt: 0, note }, &mut out);
+    let note = ProgressNote::Progress(0.5);
+    gateway.handle(5.0, Event::ProgressNote { request: RequestId(5), attempt: 0, note }, &mut out);
     assert!(out.is_empty(), "{out:?}");
 }
 
@@ -154,7 +154,7 @@
         let elsewhere = EngineEntry { cell: Some(CellId(2)), ..engine(2) };
         let same_cell = EngineEntry { cell: Some(CellId(1)), ..engine(1) };
         let mut gateway = gateway(settings(class), &[same_cell, elsewhere]);
-        arrive(&mut gateway, now, Request { executed_before: Some(prior), ..request(1) })
+        arrive(&mut gateway, now, Request { prior_execution: Some(prior), ..request(1) })
     };
     let keyed = Effect::Keyed { scope: DedupScope::Cell, window_ms: 1000.0 };
     assert_eq!(sends(&again(500.0, keyed)), [(1, 1)]);
--- a/tests/rules/health.rs
+++ b/tests/rules/health.rs
@@ -101,8 +101,8 @@
     let mut gateway = gateway(settings, &[engine(1)]);
     arrive(&mut gateway, 1.0, request(1));
     answer_check(&mut gateway, 3.0, 1, 2.0);
-    let (mut out, note) = (Vec::new(), AttemptNote::Progress(0.01));
-    gateway.handle(403.0, Event::AttemptNote { request: RequestId(1), attempt: 0, note }, &mut out);
+    let (mut out, note) = (Vec::new(), ProgressNote::Progress(0.01));
+    gateway.handle(403.0, Event::ProgressNote { request: RequestId(1), attempt: 0, note }, &mut out);
     let cancel = |action: &&Action| matches!(action, Action::Cancel { .. });
     assert_eq!(out.iter().filter(cancel).count(), cancelled, "{out:?}");
 }
--- a/tests/rules/shares_and_capacity.rs
+++ b/tests/rules/shares_and_capacity.rs
@@ -34,7 +34,10 @@
     settings.engines.priorities = true;
     let mut gateway = gateway(settings, &[engine(1)]);
     let out = arrive(&mut gateway, 1.0, Request { tenant: Some(TenantId(0)), ..request(1) });
-    assert!(out.iter().any(|action| matches!(action, Action::SetTerms { priority: 1, .. })), "{out:?}");
+    assert!(
+        out.iter().any(|action| matches!(action, Action::SetAttemptOptions { priority: 1, .. })),
+        "{out:?}"
+    );
 }
 
 /// Guards against clients that find no connection, whatever the weight of their request, because requests of little
