--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -12,7 +12,7 @@
 /// Lower bound of a priority weight used as a divisor.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
 /// Number of an attempt of the same request before this arrival.
-const BEFORE_THE_FIRST: u32 = u32::MAX;
+const PRIOR_ATTEMPT_NUMBER: u32 = u32::MAX;
 /// Minimum estimate of a request's work (ms of one thread).
 const MIN_WORK_MS: Millis = 1.0;
 /// Time before its deadline at which a request is answered, in addition to two steps of event handling (ms).
@@ -35,10 +35,10 @@
         self.limit_deadline(request.id, f64::INFINITY);
         self.retries.record_request(self.now);
         self.traffic.record_arrival();
-        if self.is_harmless(&self.requests[&request.id], None) {
+        if self.is_retry_safe(&self.requests[&request.id], None) {
             self.enqueue(request.id);
         } else {
-            self.answer_unserved(request.id);
+            self.reject_or_fail(request.id);
         }
     }
 
@@ -67,7 +67,7 @@
             data_set_lock: class.locks_data_set.then_some(request.data_set),
             rank: QueueRank::new(over_share, self.now + due_after_ms),
             possibly_executed: request.prior_execution.map(|prior| PossiblyExecuted {
-                attempt: BEFORE_THE_FIRST,
+                attempt: PRIOR_ATTEMPT_NUMBER,
                 at: prior.at,
                 zone: prior.zone,
                 cell: prior.cell,
--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -3,14 +3,14 @@
 //! well within it.
 
 use super::bounds::Bounds;
-use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
+use super::latency_budget::{DISENGAGEMENT_TARGET, MAX_TARGET_RATIO, MIN_TARGET_RATIO, latency_budget};
 use super::scheduler::Scheduler;
 use super::types::Millis;
 
 /// Step by which alpha falls, divided by the mean CV (coefficient of variation): gamma in the paper.
-const GAMMA: f64 = 0.05;
+const ALPHA_DECREASE_STEP: f64 = 0.05;
 /// Fraction by which alpha rises: beta in the paper.
-const BETA: f64 = 0.25;
+const ALPHA_INCREASE_FRACTION: f64 = 0.25;
 /// Bounds of alpha, so that neither side is starved.
 pub(super) const ALPHA_BOUNDS: Bounds = Bounds::new(0.05, 0.95);
 /// Alpha until the first completions show which fraction of the requests is sensitive.
@@ -30,7 +30,7 @@
 
 impl AlphaController {
     /// Probability that a free slot goes to the sensitive side.
-    pub(super) fn sensitive_chance(&self) -> f64 {
+    pub(super) fn sensitive_probability(&self) -> f64 {
         self.alpha.unwrap_or(INITIAL_ALPHA)
     }
 
@@ -49,18 +49,18 @@
         if streams.sensitive_streams > 0.0 {
             let alpha = self.alpha.unwrap_or(streams.sensitive_completions / streams.completions);
             let mean_cv = streams.cv_sum / streams.sensitive_streams;
-            self.alpha = Some(next_alpha(alpha, streams.worst, streams.best, mean_cv));
+            self.alpha = Some(next_alpha(alpha, streams.max_target_ratio, streams.min_target_ratio, mean_cv));
         }
     }
 }
 
-/// Next value of alpha. `worst` and `best` are the greatest and the least disengagement of a sensitive
+/// Next value of alpha. `max_target_ratio` and `min_target_ratio` are the greatest and the least disengagement of a sensitive
 /// stream, as a multiple of the target.
-pub(super) fn next_alpha(alpha: f64, worst: f64, best: f64, mean_cv: f64) -> f64 {
-    let next = if worst > THETA {
-        alpha * (1.0 + BETA)
-    } else if best < ZETA {
-        alpha - GAMMA / mean_cv
+pub(super) fn next_alpha(alpha: f64, max_target_ratio: f64, min_target_ratio: f64, mean_cv: f64) -> f64 {
+    let next = if max_target_ratio > MAX_TARGET_RATIO {
+        alpha * (1.0 + ALPHA_INCREASE_FRACTION)
+    } else if min_target_ratio < MIN_TARGET_RATIO {
+        alpha - ALPHA_DECREASE_STEP / mean_cv
     } else {
         alpha
     };
@@ -75,9 +75,9 @@
     /// Completions of sensitive classes among them.
     sensitive_completions: f64,
     /// Greatest disengagement of a sensitive stream, as a multiple of the target.
-    worst: f64,
+    max_target_ratio: f64,
     /// Least disengagement of a sensitive stream, as a multiple of the target.
-    best: f64,
+    min_target_ratio: f64,
     /// Sum of the CVs of the sensitive streams.
     cv_sum: f64,
     /// Number of sensitive streams with enough completions for a CV.
@@ -89,8 +89,8 @@
         StreamSummary {
             completions: 0.0,
             sensitive_completions: 0.0,
-            worst: 0.0,
-            best: f64::INFINITY,
+            max_target_ratio: 0.0,
+            min_target_ratio: f64::INFINITY,
             cv_sum: 0.0,
             sensitive_streams: 0.0,
         }
@@ -100,7 +100,7 @@
 impl Scheduler {
     /// Recomputes the latency budgets and alpha, and the other values that adapt at the same interval.
     pub(super) fn refit(&mut self) {
-        self.forget_idle_tenants();
+        self.expire_idle_tenants();
         let streams = self.refit_streams();
         self.alpha.update(&streams);
         for (state, class) in self.classes.iter_mut().zip(&self.settings.classes) {
@@ -133,8 +133,8 @@
             stream.service_ms = moments.service_ms;
             stream.slack_ms = (budget_ms - moments.service_ms).max(0.0);
             if class.is_sensitive() {
-                summary.worst = summary.worst.max(moments.cost / U_TARGET);
-                summary.best = summary.best.min(moments.cost / U_TARGET);
+                summary.max_target_ratio = summary.max_target_ratio.max(moments.cost / DISENGAGEMENT_TARGET);
+                summary.min_target_ratio = summary.min_target_ratio.min(moments.cost / DISENGAGEMENT_TARGET);
                 summary.cv_sum += moments.cv;
                 summary.sensitive_streams += 1.0;
             }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -21,13 +21,13 @@
     pub(super) fn try_send(&mut self, id: RequestId) -> bool {
         let Some(engine) = self.select_engine(id) else { return false };
         self.dequeue(id);
-        self.set_terms(id);
+        self.set_attempt_options(id);
         self.start_attempt(id, engine);
         true
     }
 
     /// Sets the priority of a request's attempts if engines honor one. The engine chooses the memory.
-    fn set_terms(&mut self, id: RequestId) {
+    fn set_attempt_options(&mut self, id: RequestId) {
         if !self.settings.engines.priorities {
             return;
         }
@@ -97,24 +97,24 @@
         let Some(attempt) = self.attempts.remove(&AttemptId { request: id, number: end.attempt }) else {
             return;
         };
-        self.release(&attempt);
+        self.release_load(&attempt);
         if let Some(report) = end.report {
             self.record_load_report(attempt.engine, report);
         }
         if end.outcome == Outcome::Served {
-            self.learn_from_answer(&attempt, end);
+            self.record_served_attempt(&attempt, end);
         }
         if self.lost_attempts.remove(&AttemptId { request: id, number: end.attempt }).is_none() {
             self.record_outcome(attempt.engine, end.outcome);
         }
         self.engine_sampler.restore(attempt.engine);
-        self.pause_key(attempt.order_key, end.outcome);
-        self.conclude_attempt(end);
-        self.leave_ordered_queue(id, attempt.order_key);
+        self.pause_order_key(attempt.order_key, end.outcome);
+        self.close_or_retry_request(end);
+        self.remove_from_ordered_queue(id, attempt.order_key);
     }
 
     /// Subtracts an attempt from the load of its engine and releases its data-set lock.
-    fn release(&mut self, attempt: &Attempt) {
+    fn release_load(&mut self, attempt: &Attempt) {
         self.local_load -= attempt.load;
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
         engine.local_load -= attempt.load;
@@ -126,7 +126,7 @@
 
     /// Applies the end of an attempt to its request: the request is removed, queued again, or answered
     /// unserved.
-    fn conclude_attempt(&mut self, end: &AttemptEnd) {
+    fn close_or_retry_request(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if end.outcome.never_executed() {
@@ -137,12 +137,12 @@
         if end.request_closed {
             let service_ms = (end.outcome == Outcome::Served).then_some(end.elapsed_ms);
             self.record_completion(id, service_ms);
-            self.forget_request(id);
+            self.remove_request(id);
         } else if !self.has_attempt_in_flight(id) {
             if self.may_retry_after(id, end.outcome) {
                 self.enqueue(id);
             } else {
-                self.answer_unserved(id);
+                self.reject_or_fail(id);
             }
         }
     }
@@ -152,13 +152,13 @@
         let request = &self.requests[&id];
         let attempts_left = request.attempts_sent < self.settings.limits.max_attempts;
         let time_left = self.now < request.deadline;
-        outcome != Outcome::NotSent && attempts_left && time_left && self.is_harmless(request, None)
+        outcome != Outcome::NotSent && attempts_left && time_left && self.is_retry_safe(request, None)
     }
 
     /// Cancels an attempt that has a bad plan or a bad engine: at its present pace the remainder takes far
     /// longer than a fresh attempt. Not done below the minimum cap, where this manager has too little traffic
     /// to know the usual pace.
-    pub(super) fn on_attempt_note(&mut self, id: AttemptId, note: ProgressNote) {
+    pub(super) fn on_progress_note(&mut self, id: AttemptId, note: ProgressNote) {
         let ProgressNote::Progress(progress) = note else { return };
         let Some(attempt) = self.attempts.get(&id) else { return };
         let Some(request) = self.requests.get(&id.request) else { return };
@@ -179,7 +179,7 @@
     /// the engines' median slowdown.
     fn fresh_attempt_ms(&self, tenant: usize, class: usize, work_ms: Millis) -> Millis {
         let usual_ms = self.tenants.get(&tenant).map_or(0.0, |tenant| tenant.streams[class].service_ms);
-        let alone_ms = work_ms / self.settings.classes[class].threads;
-        usual_ms.max(alone_ms * self.capacity.median_slowdown.max(1.0))
+        let idle_engine_ms = work_ms / self.settings.classes[class].threads;
+        usual_ms.max(idle_engine_ms * self.capacity.median_slowdown.max(1.0))
     }
 }
--- a/src/decision/capacity.rs
+++ b/src/decision/capacity.rs
@@ -2,7 +2,7 @@
 
 use super::bounds::Bounds;
 use super::engines::Engine;
-use super::outliers::JAMMED_SLOWDOWN;
+use super::outliers::CONGESTED_SLOWDOWN;
 use super::requests::PendingRequest;
 use super::scheduler::Scheduler;
 use super::types::Settings;
@@ -34,7 +34,7 @@
 /// Health-check latency excess above which the saturation is halved.
 const BUSY_LATENCY_EXCESS: f64 = 0.3;
 /// Health-check latency excess above which an engine is congested.
-const JAMMED_LATENCY_EXCESS: f64 = 0.6;
+const CONGESTED_LATENCY_EXCESS: f64 = 0.6;
 /// Fraction of an engine's memory that may be filled. Above it, queries spill and the engine pages.
 const MAX_MEMORY_FRACTION: f64 = 0.85;
 /// An engine with fewer queries than this counts as empty, and any request fits.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(super) struct FleetCapacity {
     /// This manager's fraction of all traffic.
-    pub(super) gateway_fraction: f64,
+    pub(super) manager_fraction: f64,
     /// Whether this manager's fraction of an engine is below the minimum cap.
     pub(super) below_min_cap: bool,
     /// Threads per core at which an engine counts as saturated.
@@ -60,14 +60,14 @@
 impl FleetCapacity {
     /// Initial capacity, from the settings alone.
     pub(super) fn new(settings: &Settings) -> FleetCapacity {
-        let gateway_fraction = 1.0 / settings.manager_count.max(1) as f64;
+        let manager_fraction = 1.0 / settings.manager_count.max(1) as f64;
         let max_cores = settings.kinds.iter().filter_map(|kind| kind.cores).fold(0.0, f64::max);
-        let cap_threads = max_cores * INITIAL_SATURATION * gateway_fraction;
+        let cap_threads = max_cores * INITIAL_SATURATION * manager_fraction;
         let below_min_cap = settings.limits.health_checks && cap_threads < MIN_CAP_THREADS && max_cores > 0.0;
         let saturation_threads_per_core =
             if below_min_cap { INITIAL_SATURATION_BELOW_MIN_CAP } else { INITIAL_SATURATION };
         FleetCapacity {
-            gateway_fraction,
+            manager_fraction,
             below_min_cap,
             saturation_threads_per_core,
             stretch: 0.0,
@@ -85,16 +85,16 @@
     /// are queued.
     pub(super) fn adjust_saturation(&mut self, best_effort_waits: bool) {
         let has_capacity = best_effort_waits && self.stretch > 0.0 && self.stretch < STRETCH_RANGE.min;
-        let is_crowded = self.stretch > STRETCH_RANGE.max;
-        let step = SATURATION_STEP * (f64::from(has_capacity) - f64::from(is_crowded));
+        let is_overloaded = self.stretch > STRETCH_RANGE.max;
+        let step = SATURATION_STEP * (f64::from(has_capacity) - f64::from(is_overloaded));
         let saturation = self.saturation_threads_per_core * (1.0 + step);
         self.saturation_threads_per_core = SATURATION_BOUNDS.clamp(saturation);
     }
 
     /// The cap of this manager on one engine (threads). It is lower on a congested engine.
     fn cap_threads(&self, engine: &Engine) -> f64 {
-        let healthy_cap = engine.cores * self.saturation_threads_per_core * self.gateway_fraction;
-        let cap = healthy_cap * (JAMMED_SLOWDOWN / engine.health.slowdown).min(1.0);
+        let healthy_cap = engine.cores * self.saturation_threads_per_core * self.manager_fraction;
+        let cap = healthy_cap * (CONGESTED_SLOWDOWN / engine.health.slowdown).min(1.0);
         cap.max(MIN_CAP_THREADS)
     }
 
@@ -119,8 +119,9 @@
     }
 
     /// Whether the engine is so slow that it is sent nothing beyond this manager's cap.
-    fn is_jammed(&self) -> bool {
-        self.health.slowdown > JAMMED_SLOWDOWN || self.health.check_latency_excess > JAMMED_LATENCY_EXCESS
+    fn is_congested(&self) -> bool {
+        self.health.slowdown > CONGESTED_SLOWDOWN
+            || self.health.check_latency_excess > CONGESTED_LATENCY_EXCESS
     }
 }
 
@@ -129,12 +130,12 @@
     /// under pressure or the request is within this manager's cap.
     pub(super) fn has_capacity(&self, request: &PendingRequest, engine: &Engine, mean_query: &Load) -> bool {
         let threads = self.settings.classes[request.class].threads;
-        let pressed = engine.is_jammed() || self.would_saturate(request.class, engine, mean_query);
+        let under_pressure = engine.is_congested() || self.would_saturate(request.class, engine, mean_query);
         let within_cap = !self.capacity.below_min_cap && self.capacity.is_within_cap(engine, threads);
         // Uses the lesser memory of request and class, because the result applies to the whole class until
         // the next upkeep.
         let memory_mb = request.memory_mb.min(self.classes[request.class].statistics.memory_mb);
-        (!pressed || within_cap) && !engine.is_short_of_memory(memory_mb, mean_query)
+        (!under_pressure || within_cap) && !engine.is_short_of_memory(memory_mb, mean_query)
     }
 
     /// Whether half of one more request of this class would saturate the engine.
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -16,9 +16,9 @@
 /// distribution.
 const INITIAL_CV: f64 = 1.0;
 /// Number of answers over which a class's resource needs are averaged.
-pub(super) const LEARNING_ANSWERS: f64 = 200.0;
+pub(super) const RESOURCE_MEAN_ANSWERS: f64 = 200.0;
 /// Number of answers over which a class's mean latency is averaged, and from which on its minimum is tracked.
-const LATENCY_ANSWERS: f64 = 50.0;
+const LATENCY_MEAN_ANSWERS: f64 = 50.0;
 /// Fraction by which the minimum of the mean latency rises per refit, so that old minima expire.
 const BEST_LATENCY_DECAY: f64 = 0.003;
 /// Weight of one disconnect in the patience of its class.
@@ -86,7 +86,7 @@
 /// Running means over a class's answers.
 #[derive(Debug, Default)]
 pub(super) struct ClassStatistics {
-    /// Number of answers in the means, up to [`LEARNING_ANSWERS`].
+    /// Number of answers in the means, up to [`RESOURCE_MEAN_ANSWERS`].
     pub(super) answers: f64,
     /// Work of a request (ms of one thread).
     pub(super) work_ms: Millis,
@@ -122,9 +122,9 @@
     /// Records an answer and returns the resources that the request used. If they are not reported, they are
     /// derived from the minimum of the mean latency.
     fn record_answer(&mut self, attempt: &Attempt, end: &AttemptEnd) -> Usage {
-        self.answers = (self.answers + 1.0).min(LEARNING_ANSWERS);
+        self.answers = (self.answers + 1.0).min(RESOURCE_MEAN_ANSWERS);
         let answer_weight = 1.0 / self.answers;
-        self.record_latency(answer_weight.max(1.0 / LATENCY_ANSWERS), end.elapsed_ms);
+        self.record_latency(answer_weight.max(1.0 / LATENCY_MEAN_ANSWERS), end.elapsed_ms);
 
         let assumed =
             Usage { work_ms: self.best_latency_ms * attempt.load.threads, memory_mb: self.memory_mb };
@@ -140,7 +140,7 @@
     /// Updates the mean latency with an answer, and its minimum with the mean.
     fn record_latency(&mut self, weight: f64, latency_ms: Millis) {
         self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
-        self.best_latency_ms = if self.answers < LATENCY_ANSWERS {
+        self.best_latency_ms = if self.answers < LATENCY_MEAN_ANSWERS {
             self.mean_latency_ms
         } else {
             self.best_latency_ms.min(self.mean_latency_ms)
@@ -150,21 +150,21 @@
 
 impl Scheduler {
     /// Records an answer: the resource needs of its class and the slowdown of its engine.
-    pub(super) fn learn_from_answer(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+    pub(super) fn record_served_attempt(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let statistics = &mut self.classes[attempt.class].statistics;
         let usage = statistics.record_answer(attempt, end);
         self.traffic.record_finished_work(usage.work_ms);
-        let alone_ms = (usage.work_ms / attempt.load.threads).max(1.0);
+        let idle_engine_ms = (usage.work_ms / attempt.load.threads).max(1.0);
         // Without reported usage the latency on an idle engine is a mean, so it is compared with a mean.
         let latency_ms = if end.usage.is_some() { end.elapsed_ms } else { statistics.mean_latency_ms };
         if end.usage.is_none() || !self.settings.classes[attempt.class].is_sensitive() {
-            self.capacity.record_stretch(latency_ms / alone_ms);
+            self.capacity.record_stretch(latency_ms / idle_engine_ms);
         }
         if let Some(engine) = self.engines.get_mut(&attempt.engine) {
             // An answer counts as a report as well: it freed a slot, and an engine that answers is not
             // congested.
             engine.reported.received_at = Some(self.now);
-            engine.health.record_slowdown(end.elapsed_ms / alone_ms);
+            engine.health.record_slowdown(end.elapsed_ms / idle_engine_ms);
         }
     }
 }
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -14,9 +14,9 @@
 
 impl Scheduler {
     /// Closes a request without a result: rejects it if a retry by the client is safe, otherwise fails it.
-    pub(super) fn answer_unserved(&mut self, id: RequestId) {
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.streaming) else { return };
-        let answer = if self.is_harmless_for_client(request) {
+        let answer = if self.is_client_retry_safe(request) {
             let retry_after_ms = self.settings.limits.max_retry_after_ms.unwrap_or(0.0);
             Action::Reject { request: id, retry_after_ms }
         } else {
@@ -24,7 +24,7 @@
         };
         self.actions.push(answer);
         self.record_completion(id, None);
-        self.forget_request(id);
+        self.remove_request(id);
     }
 
     /// The client disconnected. Clients that give up early shorten the time within which their class is worth
@@ -34,7 +34,7 @@
             let waited_ms = self.now - request.arrived_at;
             self.classes[request.class].statistics.record_disconnect(waited_ms);
         }
-        self.forget_request(id);
+        self.remove_request(id);
     }
 
     /// Records the completion of a request in its stream. `service_ms` is the time on its engine, `None` if
@@ -54,7 +54,7 @@
     }
 
     /// Removes a closed request, and cancels its attempts in flight if cancellation is allowed.
-    pub(super) fn forget_request(&mut self, id: RequestId) {
+    pub(super) fn remove_request(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
         if self.settings.limits.cancellation {
@@ -63,6 +63,6 @@
                 in_flight.iter().map(|attempt| Action::Cancel { request: id, attempt: attempt.number });
             self.actions.extend(cancels);
         }
-        self.leave_ordered_queue(id, request.order_key);
+        self.remove_from_ordered_queue(id, request.order_key);
     }
 }
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -29,24 +29,28 @@
         for class in &mut self.classes {
             class.placement_failures = 0;
         }
-        let mut sensitive_open = !self.sensitive_queue.is_empty();
-        let mut best_effort_open = !self.best_effort_queue.is_empty();
-        while sensitive_open || best_effort_open {
-            let side = match self.draw_side() {
-                Side::Sensitive if !sensitive_open => Side::BestEffort,
-                Side::BestEffort if !best_effort_open => Side::Sensitive,
-                drawn => drawn,
+        let mut sensitive_can_send = !self.sensitive_queue.is_empty();
+        let mut best_effort_can_send = !self.best_effort_queue.is_empty();
+        while sensitive_can_send || best_effort_can_send {
+            let side = match self.sample_side() {
+                Side::Sensitive if !sensitive_can_send => Side::BestEffort,
+                Side::BestEffort if !best_effort_can_send => Side::Sensitive,
+                sampled => sampled,
             };
             match side {
-                Side::Sensitive => sensitive_open = self.send_earliest_due(),
-                Side::BestEffort => best_effort_open = self.send_next_in_rotation(),
+                Side::Sensitive => sensitive_can_send = self.send_earliest_due(),
+                Side::BestEffort => best_effort_can_send = self.send_next_in_rotation(),
             }
         }
     }
 
     /// Samples the side of the next free slot with probability alpha.
-    fn draw_side(&mut self) -> Side {
-        if self.rng.rand_float() < self.alpha.sensitive_chance() { Side::Sensitive } else { Side::BestEffort }
+    fn sample_side(&mut self) -> Side {
+        if self.rng.rand_float() < self.alpha.sensitive_probability() {
+            Side::Sensitive
+        } else {
+            Side::BestEffort
+        }
     }
 
     /// Sends the first sensitive request, in order of due time, that can be sent. Returns false if none can.
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -20,7 +20,7 @@
         if self.capacity.below_min_cap && !self.has_fresh_choice(id) {
             return None;
         }
-        let selected = self.pick_less_loaded_of_two(id);
+        let selected = self.select_less_loaded_of_two(id);
         if selected.is_none() {
             self.classes[class].placement_failures += 1;
         }
@@ -29,27 +29,27 @@
 
     /// Samples two engines with capacity and returns the one with less work relative to its present capacity.
     /// An engine that is found unavailable is not sampled again for the class until its state changes.
-    fn pick_less_loaded_of_two(&mut self, id: RequestId) -> Option<EngineId> {
+    fn select_less_loaded_of_two(&mut self, id: RequestId) -> Option<EngineId> {
         let request = &self.requests[&id];
         let mean_query = self.mean_query();
         // Both are moved out while the closures below borrow the scheduler.
         let mut sampler = std::mem::take(&mut self.engine_sampler);
         let mut rng = self.rng;
-        let judge = |engine: &EngineId| self.judge(request, *engine, &mean_query);
+        let suitability = |engine: &EngineId| self.suitability(request, *engine, &mean_query);
         let random_below = |limit: usize| rng.rand_range(0..limit as u64) as usize;
-        let two = sampler.sample_two(request.class, random_below, judge);
-        let weighed = two
+        let candidates = sampler.sample_two(request.class, random_below, suitability);
+        let with_load = candidates
             .into_iter()
             .flatten()
             .map(|engine| (engine, self.relative_load(&self.engines[&engine], request, &mean_query)));
-        let less_loaded = weighed.min_by(|a, b| a.1.total_cmp(&b.1));
+        let less_loaded = with_load.min_by(|a, b| a.1.total_cmp(&b.1));
         self.engine_sampler = sampler;
         self.rng = rng;
         less_loaded.map(|(engine, _)| engine)
     }
 
     /// Whether an engine can be selected for a request, as a result for the sampler.
-    fn judge(&self, request: &PendingRequest, engine: EngineId, mean_query: &Load) -> Suitability {
+    fn suitability(&self, request: &PendingRequest, engine: EngineId, mean_query: &Load) -> Suitability {
         let available =
             self.engines.get(&engine).filter(|engine| self.is_available(request, engine, mean_query));
         match available {
@@ -73,7 +73,7 @@
         let awaits_check = engine.health.down_since.is_some() && self.settings.limits.health_checks;
         let unknown_load = self.capacity.below_min_cap && !engine.reported.is_fresh(self.now);
         !awaits_check
-            && !engine.health.is_silent()
+            && !engine.health.is_unresponsive()
             && !unknown_load
             && !engine.health.is_paused(self.now)
             && self.may_receive_class(request.class, engine)
@@ -86,7 +86,7 @@
         let would_wait = lock.is_some_and(|data_set| self.is_data_set_locked_on(engine, data_set));
         !would_wait
             && !engine.is_short_of_memory(request.memory_mb, mean_query)
-            && self.is_harmless(request, Some(&engine.entry))
+            && self.is_retry_safe(request, Some(&engine.entry))
     }
 
     /// Guard before every send, for class and engine: rules 3, 4 and 6. A scheduler that has just started
@@ -98,15 +98,15 @@
         let zone_allowed =
             class.allowed_zones.as_ref().is_none_or(|zones| zones.contains(&engine.entry.zone));
         let window_start = self.now - self.settings.rules.overload_window_ms;
-        let knows_own_sends = window_start >= self.created_at;
+        let send_history_complete = window_start >= self.created_at;
         let within_budget =
-            engine.slow_start.is_warm(self.now) || (knows_own_sends && engine.slow_start.has_credit());
+            engine.slow_start.is_warm(self.now) || (send_history_complete && engine.slow_start.has_credit());
         engine.is_ready() && kind_allowed && zone_allowed && within_budget
     }
 
     /// Guard before every send, for the request: rules 1, 2, 5 and 7.
     fn may_send(&self, id: RequestId, request: &PendingRequest) -> bool {
-        self.is_next_of_its_key(id, request)
+        self.is_next_for_order_key(id, request)
             && self.may_attempt_again(request)
             && !request.streaming
             && self.now < request.deadline
--- a/src/decision/engines.rs
+++ b/src/decision/engines.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether the retention period after removal has passed and no attempt is in flight.
-    fn is_forgettable(&self, now: Millis) -> bool {
+    fn is_expired(&self, now: Millis) -> bool {
         let is_removed_for_long = self.removed_at.is_some_and(|at| now - at > REMOVED_RETENTION_MS);
         is_removed_for_long && self.local_load.queries <= IN_FLIGHT_QUERIES
     }
@@ -73,7 +73,7 @@
 
 /// Assumed start time of an engine that is new in the list, if the list states none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Newcomers {
+enum NewEngines {
     /// Now, because the list has changed.
     JustStarted,
     /// Long ago, because this is the first list or a saved one.
@@ -84,17 +84,17 @@
     /// The engine list changed, or could not be fetched.
     pub(super) fn on_engine_list(&mut self, update: EngineListEvent) {
         match update {
-            EngineListEvent::Update(entries) => self.apply_entries(entries, Newcomers::JustStarted),
+            EngineListEvent::Update(entries) => self.apply_entries(entries, NewEngines::JustStarted),
             EngineListEvent::Replace(entries) => {
                 let is_first_list = self.engines.is_empty();
-                let newcomers =
-                    if is_first_list { Newcomers::StartedLongAgo } else { Newcomers::JustStarted };
+                let new_engines =
+                    if is_first_list { NewEngines::StartedLongAgo } else { NewEngines::JustStarted };
                 self.mark_all_removed();
-                self.apply_entries(entries, newcomers);
+                self.apply_entries(entries, new_engines);
             }
             EngineListEvent::Restored(entries) => {
                 self.mark_all_removed();
-                self.apply_entries(entries, Newcomers::StartedLongAgo);
+                self.apply_entries(entries, NewEngines::StartedLongAgo);
             }
             EngineListEvent::Unavailable => {}
         }
@@ -108,22 +108,22 @@
     }
 
     /// Applies entries of the list.
-    fn apply_entries(&mut self, entries: Vec<EngineEntry>, newcomers: Newcomers) {
+    fn apply_entries(&mut self, entries: Vec<EngineEntry>, new_engines: NewEngines) {
         let mean_work_ms = self.mean_work_ms();
         for entry in entries {
-            self.update_engine(entry, newcomers, mean_work_ms);
+            self.update_engine(entry, new_engines, mean_work_ms);
         }
-        self.forget_removed_engines();
+        self.expire_removed_engines();
         self.capacity.listed_engines = self.engines.values().filter(|engine| engine.is_listed()).count();
         self.reset_engine_sampler();
     }
 
     /// Applies an entry of the list, and starts or continues the engine's slow start.
-    fn update_engine(&mut self, entry: EngineEntry, newcomers: Newcomers, mean_work_ms: Millis) {
+    fn update_engine(&mut self, entry: EngineEntry, new_engines: NewEngines, mean_work_ms: Millis) {
         let rules = &self.settings.rules;
         let kind = self.settings.kinds.get(entry.kind.0).copied().unwrap_or_default();
         let is_new = !self.engines.contains_key(&entry.id);
-        let just_started = is_new && newcomers == Newcomers::JustStarted;
+        let just_started = is_new && new_engines == NewEngines::JustStarted;
         let engine = self.engines.entry(entry.id).or_insert_with(|| Engine::new(kind));
         let started_at = entry.started_at.or(just_started.then_some(self.now));
         let warm_at = started_at.map_or(0.0, |at| at + rules.warm_up_ms);
@@ -134,11 +134,11 @@
 
     /// Expires engines that were removed long ago. New engines constantly arrive under new names, so the map
     /// would grow otherwise.
-    fn forget_removed_engines(&mut self) {
+    fn expire_removed_engines(&mut self) {
         let now = self.now;
         self.engines.retain(|_, engine| {
             engine.track_removal(now);
-            !engine.is_forgettable(now)
+            !engine.is_expired(now)
         });
         for (index, engine) in self.engines.values_mut().enumerate() {
             engine.index = index;
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -38,7 +38,7 @@
 
 impl Engine {
     /// Records the load at which a health check is sent. Its report will refer to this load.
-    pub(super) fn begin_check(&mut self) {
+    pub(super) fn begin_health_check(&mut self) {
         self.reported.local_load_at_check = Some(self.local_load);
     }
 }
@@ -88,7 +88,7 @@
         for engine in self.engines.values_mut() {
             let is_due = !self.capacity.below_min_cap || engine.health.is_unreachable();
             if is_due && engine.is_listed() {
-                engine.begin_check();
+                engine.begin_health_check();
                 self.actions.push(Action::HealthCheck(engine.entry.id));
             }
         }
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -9,7 +9,7 @@
 use super::alpha::ALPHA_BOUNDS;
 use super::bounds::Bounds;
 use super::capacity::{MAX_STRETCH, SATURATION_BOUNDS};
-use super::classes::{ClassState, LEARNING_ANSWERS};
+use super::classes::{ClassState, RESOURCE_MEAN_ANSWERS};
 use super::engines::Engine;
 use super::outliers::MAX_SLOWDOWN;
 use super::scheduler::Scheduler;
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Upper bound of any restored work, memory or rate.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_RESTORED_VALUE: f64 = 1e9;
 /// Bounds of the hint bias.
 const HINT_BIAS_BOUNDS: Bounds = Bounds::new(0.01, 100.0);
 /// Minimum work of a request (ms of one thread), and minimum patience (ms).
@@ -109,9 +109,9 @@
 }
 
 /// Restores a value, clamped to its bounds. A value that is NaN or infinite is ignored.
-fn restore_figure(target: &mut f64, figure: f64, bounds: Bounds) {
-    if let Some(figure) = bounds.clamp_finite(figure) {
-        *target = figure;
+fn restore_value(target: &mut f64, value: f64, bounds: Bounds) {
+    if let Some(value) = bounds.clamp_finite(value) {
+        *target = value;
     }
 }
 
@@ -119,9 +119,9 @@
     /// Learned state of the class, with the means over the streams of the tenants that sent requests
     /// recently.
     fn learned(&self, streams: &[&Stream]) -> LearnedClass {
-        let mean = |figure: fn(&Stream) -> f64| match streams.len() {
-            0 => figure(&self.initial_stream),
-            count => streams.iter().map(|stream| figure(stream)).sum::<f64>() / count as f64,
+        let mean = |value: fn(&Stream) -> f64| match streams.len() {
+            0 => value(&self.initial_stream),
+            count => streams.iter().map(|stream| value(stream)).sum::<f64>() / count as f64,
         };
         LearnedClass {
             answers: self.statistics.answers,
@@ -138,19 +138,19 @@
 
     /// Restores the learned state of the class. Its latencies are bounded by its deadline.
     fn restore(&mut self, learned: &LearnedClass, deadline_ms: Millis) {
-        let figure = Bounds::new(0.0, MAX_FIGURE);
+        let non_negative = Bounds::new(0.0, MAX_RESTORED_VALUE);
         let latency = Bounds::new(0.0, deadline_ms);
         let statistics = &mut self.statistics;
-        restore_figure(&mut statistics.answers, learned.answers, Bounds::new(0.0, LEARNING_ANSWERS));
-        restore_figure(&mut statistics.work_ms, learned.work_ms, Bounds::new(MIN_TIME_MS, MAX_FIGURE));
-        restore_figure(&mut statistics.memory_mb, learned.memory_mb, figure);
-        restore_figure(&mut statistics.hint_bias, learned.hint_bias, HINT_BIAS_BOUNDS);
-        restore_figure(&mut statistics.mean_latency_ms, learned.mean_latency_ms, latency);
-        restore_figure(&mut statistics.best_latency_ms, learned.best_latency_ms, latency);
+        restore_value(&mut statistics.answers, learned.answers, Bounds::new(0.0, RESOURCE_MEAN_ANSWERS));
+        restore_value(&mut statistics.work_ms, learned.work_ms, Bounds::new(MIN_TIME_MS, MAX_RESTORED_VALUE));
+        restore_value(&mut statistics.memory_mb, learned.memory_mb, non_negative);
+        restore_value(&mut statistics.hint_bias, learned.hint_bias, HINT_BIAS_BOUNDS);
+        restore_value(&mut statistics.mean_latency_ms, learned.mean_latency_ms, latency);
+        restore_value(&mut statistics.best_latency_ms, learned.best_latency_ms, latency);
         let patience = Bounds::new(MIN_TIME_MS, deadline_ms);
-        restore_figure(&mut statistics.patience_ms, learned.patience_ms, patience);
-        restore_figure(&mut self.initial_stream.service_ms, learned.service_ms, latency);
-        restore_figure(&mut self.initial_stream.slack_ms, learned.slack_ms, latency);
+        restore_value(&mut statistics.patience_ms, learned.patience_ms, patience);
+        restore_value(&mut self.initial_stream.service_ms, learned.service_ms, latency);
+        restore_value(&mut self.initial_stream.slack_ms, learned.slack_ms, latency);
     }
 }
 
@@ -213,12 +213,12 @@
         if let Some(alpha) = learned.alpha.and_then(|alpha| ALPHA_BOUNDS.clamp_finite(alpha)) {
             self.alpha.alpha = Some(alpha);
         }
-        let figure = Bounds::new(0.0, MAX_FIGURE);
+        let non_negative = Bounds::new(0.0, MAX_RESTORED_VALUE);
         let saturation = learned.saturation_threads_per_core;
-        restore_figure(&mut self.capacity.saturation_threads_per_core, saturation, SATURATION_BOUNDS);
-        restore_figure(&mut self.capacity.stretch, learned.stretch, Bounds::new(0.0, MAX_STRETCH));
-        restore_figure(&mut self.traffic.work_per_ms, learned.work_per_ms, figure);
-        restore_figure(&mut self.traffic.requests_per_ms, learned.requests_per_ms, figure);
+        restore_value(&mut self.capacity.saturation_threads_per_core, saturation, SATURATION_BOUNDS);
+        restore_value(&mut self.capacity.stretch, learned.stretch, Bounds::new(0.0, MAX_STRETCH));
+        restore_value(&mut self.traffic.work_per_ms, learned.work_per_ms, non_negative);
+        restore_value(&mut self.traffic.requests_per_ms, learned.requests_per_ms, non_negative);
     }
 
     /// Restores the learned state of one engine, whose warm-up has continued in the meantime.
@@ -226,7 +226,7 @@
         let rules = &self.settings.rules;
         let Some(engine) = self.engines.get_mut(&entry.id) else { return };
         let slowdown_bounds = Bounds::new(1.0, MAX_SLOWDOWN);
-        restore_figure(&mut engine.health.slowdown, entry.learned.slowdown, slowdown_bounds);
+        restore_value(&mut engine.health.slowdown, entry.learned.slowdown, slowdown_bounds);
         let remaining_ms = entry.learned.warm_up_remaining_ms - age_ms.max(0.0);
         let warm_up = Bounds::new(0.0, rules.warm_up_ms);
         let warm_at = self.now + warm_up.clamp_finite(remaining_ms).unwrap_or(0.0);
--- a/src/decision/load_reports.rs
+++ b/src/decision/load_reports.rs
@@ -18,9 +18,9 @@
 /// cannot exceed 1.
 const BUSY_FRACTION_LIMIT: f64 = 0.75;
 /// Time for which a report counts as fresh (ms).
-const FRESH_MS: Millis = 200.0;
+const REPORT_FRESH_MS: Millis = 200.0;
 /// Maximum age of the last report with which a new one is smoothed (ms).
-const SMOOTH_MS: Millis = 2.0 * FRESH_MS;
+const REPORT_SMOOTHING_MS: Millis = 2.0 * REPORT_FRESH_MS;
 /// Number of engines that are sampled for a fresh report at once: the two of the two-choice selection.
 const SAMPLE_SIZE: usize = 2;
 /// Minimum time between two samples (ms).
@@ -51,13 +51,13 @@
 
 impl ReportedLoad {
     /// Whether the last report is younger than this.
-    fn is_within(&self, now: Millis, age_ms: Millis) -> bool {
+    fn is_younger_than(&self, now: Millis, age_ms: Millis) -> bool {
         self.received_at.is_some_and(|at| now - at < age_ms)
     }
 
     /// Whether the last report is recent enough to base a decision on.
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
-        self.is_within(now, FRESH_MS)
+        self.is_younger_than(now, REPORT_FRESH_MS)
     }
 }
 
@@ -116,14 +116,14 @@
     pub(super) fn record_load_report(&mut self, id: EngineId, report: LoadReport) {
         let threads_per_query = self.mean_query().threads;
         let local_per_engine = self.local_load.queries / self.capacity.listed_engines.max(1) as f64;
-        let expected_queries = local_per_engine * (1.0 / self.capacity.gateway_fraction - 1.0);
+        let expected_queries = local_per_engine * (1.0 / self.capacity.manager_fraction - 1.0);
         let below_min_cap = self.capacity.below_min_cap;
         let Some(engine) = self.engines.get_mut(&id) else { return };
 
         engine.health.reset_check_timeouts();
         let reported = &mut engine.reported;
         let local_load = reported.local_load_at_check.take().unwrap_or(engine.local_load);
-        let smooth = !below_min_cap || reported.is_within(self.now, SMOOTH_MS);
+        let smooth = !below_min_cap || reported.is_younger_than(self.now, REPORT_SMOOTHING_MS);
         reported.received_at = Some(self.now);
         if below_min_cap {
             // Each observer sends its fraction of the free memory. This manager is at a random position among
@@ -149,9 +149,9 @@
         let tenants = self.tenant_settings.iter().flatten();
         let quota_per_ms: f64 = tenants.map(|tenant| tenant.quota_per_s / 1000.0).sum();
         let quota_per_ms = if quota_per_ms > 0.0 { quota_per_ms } else { f64::MAX };
-        let gateways = 1.0 / self.capacity.gateway_fraction;
-        let as_busy = gateways.min(quota_per_ms / self.traffic.requests_per_ms);
-        let observing = f64::from(self.capacity.below_min_cap) * as_busy;
+        let managers = 1.0 / self.capacity.manager_fraction;
+        let equally_busy = managers.min(quota_per_ms / self.traffic.requests_per_ms);
+        let observing = f64::from(self.capacity.below_min_cap) * equally_busy;
         let listed = self.capacity.listed_engines.max(1) as f64;
         self.observers.per_report = observing * SAMPLE_SIZE as f64 / listed * self.observers.correction;
     }
@@ -164,7 +164,7 @@
         let class = request.class;
         let mean_query = self.mean_query();
         let is_usable = |engine: &&Engine| {
-            self.may_receive_class(class, engine) && self.is_harmless(request, Some(&engine.entry))
+            self.may_receive_class(class, engine) && self.is_retry_safe(request, Some(&engine.entry))
         };
         let usable = self.engines.values().filter(is_usable);
         let (fresh, stale): (Vec<&Engine>, Vec<&Engine>) =
@@ -193,7 +193,7 @@
             let index = self.rng.rand_range(0..candidates.len() as u64) as usize;
             let id = candidates.swap_remove(index);
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.begin_check();
+                engine.begin_health_check();
             }
             self.actions.push(Action::HealthCheck(id));
             self.health_checks.next_sample_at = self.now + SAMPLE_INTERVAL_MS;
--- a/src/decision/lost_attempts.rs
+++ b/src/decision/lost_attempts.rs
@@ -7,7 +7,7 @@
 
 /// Time that a request waits for an engine to discard its lost attempt before it is rejected (ms). An engine
 /// that still reads its connection discards the attempt within one round trip.
-const DROP_TIMEOUT_MS: Millis = 500.0;
+const DISCARD_TIMEOUT_MS: Millis = 500.0;
 
 impl Scheduler {
     /// An attempt is lost: records its outcome for its engine, and answers its request if that cannot be
@@ -21,21 +21,21 @@
         self.record_outcome(engine, outcome);
         self.engine_sampler.restore(engine);
         if self.requests.contains_key(&id.request) && !self.may_retry_after(id.request, outcome) {
-            self.answer_unserved(id.request);
+            self.reject_or_fail(id.request);
         }
     }
 
     /// Rejects requests whose lost attempts are not discarded in time, if a client's retry is safe: the retry
     /// is another request and goes to another engine. A retry with an idempotency key is the same request, so
     /// requests of such classes keep waiting.
-    pub(super) fn answer_stranded(&mut self) {
-        let overdue = self.lost_attempts.iter().filter(|(_, since)| self.now - **since >= DROP_TIMEOUT_MS);
-        let stranded: Vec<RequestId> = overdue
+    pub(super) fn reject_on_discard_timeout(&mut self) {
+        let overdue = self.lost_attempts.iter().filter(|(_, since)| self.now - **since >= DISCARD_TIMEOUT_MS);
+        let rejected: Vec<RequestId> = overdue
             .map(|(id, _)| id.request)
             .filter(|id| self.requests.get(id).is_some_and(|request| self.is_repeatable(request.class)))
             .collect();
-        for id in stranded {
-            self.answer_unserved(id);
+        for id in rejected {
+            self.reject_or_fail(id);
         }
     }
 
--- a/src/decision/ordered_queues.rs
+++ b/src/decision/ordered_queues.rs
@@ -23,7 +23,7 @@
 impl Scheduler {
     /// Whether it is the request's turn. A request that already had an attempt may be retried during the
     /// pause of its key.
-    pub(super) fn is_next_of_its_key(&self, id: RequestId, request: &PendingRequest) -> bool {
+    pub(super) fn is_next_for_order_key(&self, id: RequestId, request: &PendingRequest) -> bool {
         let Some(key) = request.order_key else { return true };
         let Some(queue) = self.ordered_queues.get(&key) else { return true };
         let may_start = request.attempts_sent > 0 || self.now >= queue.paused_until;
@@ -31,7 +31,7 @@
     }
 
     /// Pauses an order key after an attempt if it is unknown whether the attempt is still executing.
-    pub(super) fn pause_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
+    pub(super) fn pause_order_key(&mut self, key: Option<OrderKey>, outcome: Outcome) {
         let end_known = outcome.never_executed() || matches!(outcome, Outcome::Served | Outcome::ServerError);
         let pause_ms = if end_known { 0.0 } else { self.settings.rules.order_key_pause_ms };
         if let Some(queue) = key.and_then(|key| self.ordered_queues.get_mut(&key)) {
@@ -40,7 +40,7 @@
     }
 
     /// Removes a request from the queue of its order key, once it is closed and has no attempt in flight.
-    pub(super) fn leave_ordered_queue(&mut self, id: RequestId, key: Option<OrderKey>) {
+    pub(super) fn remove_from_ordered_queue(&mut self, id: RequestId, key: Option<OrderKey>) {
         let Some(key) = key else { return };
         if self.requests.contains_key(&id) || self.has_attempt_in_flight(id) {
             return;
--- a/src/decision/outliers.rs
+++ b/src/decision/outliers.rs
@@ -7,7 +7,7 @@
 /// answers.
 pub(super) const EJECT_AFTER_FAILURES: u32 = 2;
 /// Attempts lost within this time of each other were lost with the same connection (ms).
-const SAME_LOSS_MS: Millis = 50.0;
+const SAME_CONNECTION_LOSS_MS: Millis = 50.0;
 /// Pause of an engine after a connection failure (ms).
 const FAILURE_PAUSE_MS: Millis = 500.0;
 /// Pause of an engine that rejected an attempt because it was full (ms).
@@ -15,13 +15,13 @@
 /// An engine that was down for longer than this has restarted and is warming up (ms).
 const RESTART_AFTER_MS: Millis = 1500.0;
 /// Slowdown above which an engine is congested: "latency far above best" on the design page.
-pub(super) const JAMMED_SLOWDOWN: f64 = 3.0;
+pub(super) const CONGESTED_SLOWDOWN: f64 = 3.0;
 /// Weight of one answer in an engine's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
 /// Maximum slowdown with which one answer counts.
 pub(super) const MAX_SLOWDOWN: f64 = 50.0;
 /// Time in which a slowdown decays if there are no answers (ms).
-const SLOWDOWN_FADE_MS: Millis = 8000.0;
+const SLOWDOWN_DECAY_MS: Millis = 8000.0;
 
 /// Health of one engine.
 #[derive(Debug, Default)]
@@ -50,13 +50,13 @@
     }
 
     /// Whether the engine is ejected because it leaves health checks unanswered.
-    pub(super) fn is_silent(&self) -> bool {
+    pub(super) fn is_unresponsive(&self) -> bool {
         self.check_timeouts >= EJECT_AFTER_FAILURES
     }
 
     /// Whether the engine is ejected because of connection failures or unanswered health checks.
     pub(super) fn is_unreachable(&self) -> bool {
-        self.down_since.is_some() || self.is_silent()
+        self.down_since.is_some() || self.is_unresponsive()
     }
 
     /// Whether the engine is briefly sent nothing because it was full or a connection failed.
@@ -70,8 +70,8 @@
     }
 
     /// Moves the slowdown towards 1, because an engine that is sent nothing has no answers to lower it.
-    pub(super) fn fade_slowdown(&mut self, elapsed_ms: Millis) {
-        let fraction = (elapsed_ms / SLOWDOWN_FADE_MS).min(1.0);
+    pub(super) fn decay_slowdown(&mut self, elapsed_ms: Millis) {
+        let fraction = (elapsed_ms / SLOWDOWN_DECAY_MS).min(1.0);
         self.slowdown += (1.0 - self.slowdown).min(0.0) * fraction;
     }
 
@@ -96,21 +96,22 @@
     /// Records that a connection broke or could not be made. Returns true if the engine goes down because of
     /// it. Attempts that were lost with the same connection count as one failure.
     fn record_connection_failure(&mut self, now: Millis, established: bool) -> bool {
-        let lost_before = self.connection_lost_at;
-        let is_same_loss = established && lost_before.is_some_and(|before| now - before < SAME_LOSS_MS);
+        let previous_loss_at = self.connection_lost_at;
+        let is_same_connection =
+            established && previous_loss_at.is_some_and(|before| now - before < SAME_CONNECTION_LOSS_MS);
         if established {
             self.connection_lost_at = Some(now);
         }
         self.paused_until = now + FAILURE_PAUSE_MS;
-        if is_same_loss {
+        if is_same_connection {
             return false;
         }
         self.connection_failures += 1;
-        let goes_down = self.connection_failures == EJECT_AFTER_FAILURES;
-        if goes_down {
+        let is_ejected = self.connection_failures == EJECT_AFTER_FAILURES;
+        if is_ejected {
             self.down_since = Some(now);
         }
-        goes_down
+        is_ejected
     }
 }
 
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -54,7 +54,7 @@
 
     /// Rule 2: whether one more attempt is safe on this engine, or on the most suitable one if `engine` is
     /// `None`.
-    pub(super) fn is_harmless(&self, request: &PendingRequest, engine: Option<&EngineEntry>) -> bool {
+    pub(super) fn is_retry_safe(&self, request: &PendingRequest, engine: Option<&EngineEntry>) -> bool {
         let Some(executed) = request.possibly_executed else { return true };
         match self.settings.classes[request.class].effect {
             Effect::Repeatable => true,
@@ -72,10 +72,10 @@
 
     /// Whether the client may safely retry the request, whichever engine it reaches. Only then is the request
     /// rejected, otherwise it fails.
-    pub(super) fn is_harmless_for_client(&self, request: &PendingRequest) -> bool {
+    pub(super) fn is_client_retry_safe(&self, request: &PendingRequest) -> bool {
         let effect = self.settings.classes[request.class].effect;
         let limited_scope = matches!(effect, Effect::Keyed { scope, .. } if scope != DedupScope::All);
         let may_miss_scope = limited_scope && request.possibly_executed.is_some();
-        self.is_harmless(request, None) && !may_miss_scope
+        self.is_retry_safe(request, None) && !may_miss_scope
     }
 }
--- a/src/decision/scheduler.rs
+++ b/src/decision/scheduler.rs
@@ -78,7 +78,7 @@
     /// decisions.
     pub fn new(mut settings: Settings, seed: u64, now: Millis) -> Self {
         let tenants = std::mem::take(&mut settings.tenants);
-        let mut gateway = Scheduler {
+        let mut scheduler = Scheduler {
             classes: settings.classes.iter().map(ClassState::new).collect(),
             engine_sampler: TwoChoiceSampler::new(settings.classes.len()),
             capacity: FleetCapacity::new(&settings),
@@ -104,13 +104,13 @@
             actions: Vec::new(),
             settings,
         };
-        gateway.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
+        scheduler.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
         // Requests without a tenant count as requests of tenant 0.
-        gateway.best_effort_queue.set(0, None, 1.0);
+        scheduler.best_effort_queue.set(0, None, 1.0);
         for (number, tenant) in tenants.into_iter().enumerate() {
-            gateway.on_tenant_changed(TenantId(number), Some(tenant));
+            scheduler.on_tenant_changed(TenantId(number), Some(tenant));
         }
-        gateway
+        scheduler
     }
 
     /// Handles one event and appends the resulting actions to `out`, in order.
@@ -126,7 +126,7 @@
             Event::AttemptEnded(end) => self.on_attempt_ended(&end),
             Event::StreamStarted { request } => self.on_stream_started(request),
             Event::ProgressNote { request, attempt, note } => {
-                self.on_attempt_note(AttemptId { request, number: attempt }, note);
+                self.on_progress_note(AttemptId { request, number: attempt }, note);
             }
             Event::HealthChecked { engine, outcome, elapsed_ms, report } => {
                 self.on_health_checked(engine, outcome, elapsed_ms, report);
@@ -135,7 +135,7 @@
             Event::ShutdownBy(at) => self.on_shutdown_by(at),
             Event::Timer(token) => match TimerPurpose::from(token) {
                 TimerPurpose::Upkeep => self.on_upkeep(),
-                TimerPurpose::RequestDeadline(request) => self.answer_unserved(request),
+                TimerPurpose::RequestDeadline(request) => self.reject_or_fail(request),
             },
         }
         self.dispatch();
@@ -150,9 +150,9 @@
     /// Mean work of recently finished requests (ms of one thread), but no less than that of the class with
     /// the least work.
     pub(super) fn mean_work_ms(&self) -> Millis {
-        let lightest =
+        let min_class_work_ms =
             self.classes.iter().map(|class| class.statistics.work_ms).fold(f64::INFINITY, f64::min);
-        self.traffic.work_per_request_ms().max(lightest)
+        self.traffic.work_per_request_ms().max(min_class_work_ms)
     }
 
     /// Mean of this manager's queries in flight. The load of other managers is estimated from it.
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to
 //! their deadline. When clients have few connections left, requests of low weight are shed as well.
 
-use super::outliers::JAMMED_SLOWDOWN;
+use super::outliers::CONGESTED_SLOWDOWN;
 use super::requests::PendingRequest;
 use super::scheduler::Scheduler;
 use super::types::{Millis, RequestId};
@@ -13,7 +13,7 @@
 const MIN_WORK_RATE: f64 = 0.01;
 /// Fraction of the maximum open requests above which requests of low weight and loads that wait for a lock
 /// are shed.
-const CROWDED_FRACTION: f64 = 0.85;
+const OPEN_REQUEST_THRESHOLD: f64 = 0.85;
 
 /// Predicted end of a queued best-effort request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,12 +24,12 @@
     Late,
     /// The request cannot be served usefully: it ends after its deadline, only waits for a lock, or is late
     /// and beyond its tenant's share.
-    Hopeless,
+    Unservable,
 }
 
 /// Predicts the ends of queued best-effort requests, in the order in which they are sent.
 struct Forecast<'a> {
-    gateway: &'a Scheduler,
+    scheduler: &'a Scheduler,
     /// Work finished per ms.
     work_rate: f64,
     /// Slowdown that attempts are assumed to encounter.
@@ -44,17 +44,17 @@
 
 impl<'a> Forecast<'a> {
     /// A forecast that starts at the head of the queue.
-    fn new(gateway: &'a Scheduler) -> Forecast<'a> {
-        let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
+    fn new(scheduler: &'a Scheduler) -> Forecast<'a> {
+        let slowdown = scheduler.capacity.median_slowdown.clamp(1.0, CONGESTED_SLOWDOWN);
         let reachable = || {
-            let engines = gateway.engines.values();
+            let engines = scheduler.engines.values();
             engines.filter(|engine| engine.is_ready() && engine.health.down_since.is_none())
         };
         let cores: f64 = reachable().map(|engine| engine.cores).sum();
-        let assured_rate = ASSURED_WORK_RATE * cores * gateway.capacity.gateway_fraction / slowdown;
+        let assured_rate = ASSURED_WORK_RATE * cores * scheduler.capacity.manager_fraction / slowdown;
         Forecast {
-            gateway,
-            work_rate: gateway.traffic.work_per_ms.max(assured_rate).max(MIN_WORK_RATE),
+            scheduler,
+            work_rate: scheduler.traffic.work_per_ms.max(assured_rate).max(MIN_WORK_RATE),
             slowdown,
             reachable_engines: reachable().count().max(1) as f64,
             work_ahead_ms: 0.0,
@@ -65,13 +65,13 @@
     /// Predicts the end of the next request. A request that ends in time, or is already ranked as late,
     /// counts as ahead of those that follow.
     fn predict(&mut self, request: &PendingRequest) -> Prediction {
-        let now = self.gateway.now;
-        let alone_ms = self.gateway.time_alone_ms(request);
-        let end_at = now + self.work_ahead_ms / self.work_rate + alone_ms * self.slowdown;
+        let now = self.scheduler.now;
+        let idle_engine_ms = self.scheduler.idle_engine_time_ms(request);
+        let end_at = now + self.work_ahead_ms / self.work_rate + idle_engine_ms * self.slowdown;
         let is_late = end_at > request.objective_at;
-        let waits_for_lock = self.waits_for_lock(request, alone_ms);
+        let waits_for_lock = self.waits_for_lock(request, idle_engine_ms);
         if waits_for_lock || end_at > request.deadline || (is_late && request.rank.is_over_share()) {
-            Prediction::Hopeless
+            Prediction::Unservable
         } else if is_late && !request.rank.is_late() {
             Prediction::Late
         } else {
@@ -81,16 +81,16 @@
     }
 
     /// Whether a load would only wait for the lock on its data set, with its client's connection open.
-    fn waits_for_lock(&mut self, request: &PendingRequest, alone_ms: Millis) -> bool {
+    fn waits_for_lock(&mut self, request: &PendingRequest, idle_engine_ms: Millis) -> bool {
         let Some(data_set) = request.data_set_lock else { return false };
         let loads_ahead = self.loads_ahead.entry(data_set).or_default();
         let position = *loads_ahead;
         *loads_ahead += 1.0;
-        let latency_ms = self.gateway.classes[request.class].statistics.mean_latency_ms.max(alone_ms);
+        let latency_ms = self.scheduler.classes[request.class].statistics.mean_latency_ms.max(idle_engine_ms);
         let turn_ms = latency_ms * (1.0 + position / self.reachable_engines);
-        let turn_is_late = position > 0.0 && self.gateway.now + turn_ms > request.objective_at;
-        let crowded = self.gateway.open_request_excess() > 0;
-        turn_is_late || (crowded && self.gateway.is_data_set_locked_everywhere(data_set))
+        let turn_is_late = position > 0.0 && self.scheduler.now + turn_ms > request.objective_at;
+        let connections_scarce = self.scheduler.open_request_excess() > 0;
+        turn_is_late || (connections_scarce && self.scheduler.is_data_set_locked_everywhere(data_set))
     }
 }
 
@@ -104,20 +104,20 @@
             match forecast.predict(&self.requests[&id]) {
                 Prediction::InTime => {}
                 Prediction::Late => late.push(id),
-                Prediction::Hopeless => shed.push(id),
+                Prediction::Unservable => shed.push(id),
             }
         }
-        shed.extend(self.least_weighty(self.open_request_excess().saturating_sub(shed.len())));
+        shed.extend(self.lowest_weight_queued(self.open_request_excess().saturating_sub(shed.len())));
         for id in late {
             self.demote(id);
         }
         for id in shed {
-            self.answer_unserved(id);
+            self.reject_or_fail(id);
         }
     }
 
     /// Time that a request takes on an idle engine (ms).
-    fn time_alone_ms(&self, request: &PendingRequest) -> Millis {
+    fn idle_engine_time_ms(&self, request: &PendingRequest) -> Millis {
         request.work_ms / self.settings.classes[request.class].threads
     }
 
@@ -126,14 +126,14 @@
         let queued = self.sensitive_queue.iter().map(|(_, id)| *id);
         let past_objective = queued.filter(|id| {
             let request = &self.requests[id];
-            self.now + self.time_alone_ms(request) > request.objective_at
+            self.now + self.idle_engine_time_ms(request) > request.objective_at
         });
         past_objective.collect()
     }
 
     /// Queued requests whose weight is below the mean of all open requests, from the tail of the queue. When
     /// clients have few connections left, a connection is worth that mean.
-    fn least_weighty(&self, count: usize) -> Vec<RequestId> {
+    fn lowest_weight_queued(&self, count: usize) -> Vec<RequestId> {
         let weight = |id: &RequestId| self.settings.classes[self.requests[id].class].priority_weight;
         let total_weight = self.requests.keys().map(weight).sum::<f64>();
         let mean_weight = total_weight / self.requests.len().max(1) as f64;
@@ -155,7 +155,7 @@
     /// Number of open requests beyond the threshold at which clients soon find no free connection.
     pub(super) fn open_request_excess(&self) -> usize {
         let limit = self.settings.limits.max_open_requests;
-        let crowded_at = limit.map_or(usize::MAX, |limit| (CROWDED_FRACTION * limit as f64) as usize);
-        self.requests.len().saturating_sub(crowded_at)
+        let threshold = limit.map_or(usize::MAX, |limit| (OPEN_REQUEST_THRESHOLD * limit as f64) as usize);
+        self.requests.len().saturating_sub(threshold)
     }
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -48,12 +48,12 @@
         elapsed_ms: Millis,
         cores: f64,
         rules: &Rules,
-        gateways: usize,
+        managers: usize,
     ) {
-        let coldness = ((self.warm_at - now) / rules.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
-        self.effective_cores = cores * (1.0 - coldness * (1.0 - rules.initial_capacity_fraction));
+        let cold_fraction = ((self.warm_at - now) / rules.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
+        self.effective_cores = cores * (1.0 - cold_fraction * (1.0 - rules.initial_capacity_fraction));
         let capacity = BUDGET_FRACTION * rules.overload_factor * self.effective_cores;
-        let credit_per_ms = capacity / gateways.max(1) as f64;
+        let credit_per_ms = capacity / managers.max(1) as f64;
         let max_credit_ms = credit_per_ms * rules.overload_window_ms / 2.0;
         self.credit_ms = (self.credit_ms + elapsed_ms * credit_per_ms).min(max_credit_ms);
     }
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -10,7 +10,7 @@
 /// Factor by which traffic may exceed a tenant's share before it counts as beyond the share.
 const SHARE_TOLERANCE: f64 = 1.15;
 /// A tenant's token bucket holds as many tokens as its rate adds in this time (ms).
-const BURST_MS: Millis = 2000.0;
+const BURST_WINDOW_MS: Millis = 2000.0;
 /// Minimum size of a token bucket (requests).
 const MIN_BURST: f64 = 1.0;
 /// Time without requests after which a tenant's state expires (ms).
@@ -28,15 +28,15 @@
 impl TokenRate {
     /// Rate and size that correspond to a tenant's share at this manager; unlimited for a tenant without
     /// settings.
-    pub(super) fn of(
+    pub(super) fn for_tenant(
         tenant: Option<&TenantSettings>,
         traffic: &TrafficRates,
         capacity: &FleetCapacity,
     ) -> TokenRate {
         let Some(tenant) = tenant else { return TokenRate { per_ms: 0.0, burst: f64::INFINITY } };
-        let quota_per_ms = tenant.quota_per_s / 1000.0 * capacity.gateway_fraction;
+        let quota_per_ms = tenant.quota_per_s / 1000.0 * capacity.manager_fraction;
         let per_ms = SHARE_TOLERANCE * (tenant.share * traffic.requests_per_ms).max(quota_per_ms);
-        TokenRate { per_ms, burst: (BURST_MS * per_ms).max(MIN_BURST) }
+        TokenRate { per_ms, burst: (BURST_WINDOW_MS * per_ms).max(MIN_BURST) }
     }
 }
 
@@ -108,7 +108,7 @@
     pub(super) fn activate_tenant(&mut self, index: usize) -> &mut ActiveTenant {
         let tenant = self.tenants.entry(index).or_insert_with(|| {
             let settings = self.tenant_settings[index].as_ref();
-            let burst = TokenRate::of(settings, &self.traffic, &self.capacity).burst;
+            let burst = TokenRate::for_tenant(settings, &self.traffic, &self.capacity).burst;
             let tokens = if self.traffic.requests_per_ms > 0.0 { burst } else { f64::INFINITY };
             ActiveTenant::new(&self.classes, tokens)
         });
@@ -116,16 +116,16 @@
         tenant
     }
 
-    /// Adds the tokens of `elapsed_ms` to the buckets of all active tenants.
+    /// Adds the tokens of `elapsed_ms` to the buckets for_tenant all active tenants.
     pub(super) fn refill_token_buckets(&mut self, elapsed_ms: Millis) {
         for (index, tenant) in &mut self.tenants {
             let settings = self.tenant_settings[*index].as_ref();
-            tenant.refill(TokenRate::of(settings, &self.traffic, &self.capacity), elapsed_ms);
+            tenant.refill(TokenRate::for_tenant(settings, &self.traffic, &self.capacity), elapsed_ms);
         }
     }
 
     /// Expires tenants that have sent no request for long and have no completion in a window.
-    pub(super) fn forget_idle_tenants(&mut self) {
+    pub(super) fn expire_idle_tenants(&mut self) {
         let now = self.now;
         self.tenants.retain(|_, tenant| {
             now - tenant.last_request_at < IDLE_TENANT_RETENTION_MS || tenant.has_completions()
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -1,23 +1,26 @@
 //! Latency budgets and alpha, compared with values computed by hand.
 
 use super::alpha::next_alpha;
-use super::latency_budget::{THETA, U_TARGET, ZETA, latency_budget};
+use super::latency_budget::{DISENGAGEMENT_TARGET, MAX_TARGET_RATIO, MIN_TARGET_RATIO, latency_budget};
 
 #[test]
-fn the_budget_meets_the_target_under_the_exponential() {
-    let (aim, deadline) = (400.0, 1500.0);
-    let budget = latency_budget(1.0, aim, deadline);
-    let u = 0.5 * (-aim / budget).exp() + 0.5 * (-deadline / budget).exp();
-    assert!((ZETA - 0.01..=THETA + 0.01).contains(&(u / U_TARGET)), "{budget} {u}");
+fn latency_budget_meets_the_target_for_exponential_latencies() {
+    let (objective, deadline) = (400.0, 1500.0);
+    let budget = latency_budget(1.0, objective, deadline);
+    let u = 0.5 * (-objective / budget).exp() + 0.5 * (-deadline / budget).exp();
+    assert!(
+        (MIN_TARGET_RATIO - 0.01..=MAX_TARGET_RATIO + 0.01).contains(&(u / DISENGAGEMENT_TARGET)),
+        "{budget} {u}"
+    );
 }
 
 #[test]
-fn a_wider_spread_lowers_the_budget() {
+fn latency_budget_falls_as_the_cv_rises() {
     assert!(latency_budget(1.5, 400.0, 1500.0) < latency_budget(0.5, 400.0, 1500.0));
 }
 
 #[test]
-fn alpha_follows_its_rule_and_bounds() {
+fn alpha_rises_and_falls_by_its_rule_within_its_bounds() {
     assert!((next_alpha(0.4, 1.2, 1.0, 1.0) - 0.5).abs() < 1e-12);
     assert!((next_alpha(0.4, 0.97, 0.5, 0.5) - 0.3).abs() < 1e-12);
     assert!((next_alpha(0.4, 0.97, 0.96, 0.5) - 0.4).abs() < 1e-12);
--- a/src/decision/upkeep.rs
+++ b/src/decision/upkeep.rs
@@ -12,7 +12,7 @@
     /// Runs one round of upkeep. The order matters: later steps use values that earlier ones have updated.
     pub(super) fn on_upkeep(&mut self) {
         self.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
-        self.recount_local_load();
+        self.recompute_local_load();
         self.reset_engine_sampler();
         let elapsed_ms = self.traffic.update(self.now);
         self.refill_token_buckets(elapsed_ms);
@@ -22,14 +22,14 @@
         if self.alpha.refit_is_due(self.now) {
             self.refit();
         }
-        self.answer_stranded();
+        self.reject_on_discard_timeout();
         self.shed();
         self.retries.trim(self.settings.rules.retry_budget, self.now);
     }
 
     /// Recomputes the total local load, because repeated additions and subtractions accumulate rounding
     /// errors.
-    fn recount_local_load(&mut self) {
+    fn recompute_local_load(&mut self) {
         let mut total = Load::default();
         for engine in self.engines.values() {
             total += engine.local_load;
@@ -41,9 +41,9 @@
     fn update_engines(&mut self, elapsed_ms: Millis) {
         let rules = &self.settings.rules;
         for engine in self.engines.values_mut() {
-            engine.health.fade_slowdown(elapsed_ms);
-            let gateways = self.settings.manager_count;
-            engine.slow_start.update(self.now, elapsed_ms, engine.cores, rules, gateways);
+            engine.health.decay_slowdown(elapsed_ms);
+            let managers = self.settings.manager_count;
+            engine.slow_start.update(self.now, elapsed_ms, engine.cores, rules, managers);
         }
         let ready = self.engines.values().filter(|engine| engine.is_ready());
         let mut slowdowns: Vec<f64> = ready.map(|engine| engine.health.slowdown).collect();
