--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Next value of alpha. `max_target_ratio` and `min_target_ratio` are the greatest and the least disengagement of a sensitive
-/// stream, as a multiple of the target.
+/// Next value of alpha. `max_target_ratio` and `min_target_ratio` are the greatest and the least disengagement
+/// of a sensitive stream, as a multiple of the target.
 pub(super) fn next_alpha(alpha: f64, max_target_ratio: f64, min_target_ratio: f64, mean_cv: f64) -> f64 {
     let next = if max_target_ratio > MAX_TARGET_RATIO {
         alpha * (1.0 + ALPHA_INCREASE_FRACTION)
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Applies the end of an attempt to its request: the request is removed, queued again, or answered
-    /// unserved.
+    /// Applies the end of an attempt to its request: the request is removed, queued again, rejected or
+    /// failed.
     fn close_or_retry_request(&mut self, end: &AttemptEnd) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -157,7 +157,7 @@
 
     /// Cancels an attempt that has a bad plan or a bad engine: at its present pace the remainder takes far
     /// longer than a fresh attempt. Not done below the minimum cap, where this manager has too little traffic
-    /// to know the usual pace.
+    /// to know how long attempts usually take.
     pub(super) fn on_progress_note(&mut self, id: AttemptId, note: ProgressNote) {
         let ProgressNote::Progress(progress) = note else { return };
         let Some(attempt) = self.attempts.get(&id) else { return };
@@ -178,8 +178,9 @@
     /// Expected time of a fresh attempt (ms): the mean of the tenant's stream, but no less than the work at
     /// the engines' median slowdown.
     fn fresh_attempt_ms(&self, tenant: usize, class: usize, work_ms: Millis) -> Millis {
-        let usual_ms = self.tenants.get(&tenant).map_or(0.0, |tenant| tenant.streams[class].service_ms);
+        let mean_service_ms =
+            self.tenants.get(&tenant).map_or(0.0, |tenant| tenant.streams[class].service_ms);
         let idle_engine_ms = work_ms / self.settings.classes[class].threads;
-        usual_ms.max(idle_engine_ms * self.capacity.median_slowdown.max(1.0))
+        mean_service_ms.max(idle_engine_ms * self.capacity.median_slowdown.max(1.0))
     }
 }
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -96,7 +96,7 @@
     pub(super) hint_bias: f64,
     /// Time from sending an attempt to its answer (ms).
     pub(super) mean_latency_ms: Millis,
-    /// Minimum of the mean latency, which decays slowly (ms).
+    /// Minimum of the mean latency (ms). It rises slowly, so that old minima expire.
     pub(super) best_latency_ms: Millis,
     /// Time that its clients wait before they disconnect (ms).
     pub(super) patience_ms: Millis,
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -1,5 +1,5 @@
-//! Final answers: the one path on which a queued or running request is rejected or failed, and the record of each
-//! completion.
+//! Final answers: the one path on which a queued or running request is rejected or failed, and the record of
+//! each completion.
 
 use super::requests::AttemptId;
 use super::scheduler::Scheduler;
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -62,7 +62,7 @@
     /// Time from sending an attempt to its answer (ms).
     #[serde(rename = "elapsed")]
     pub mean_latency_ms: f64,
-    /// Minimum of the mean latency, which decays slowly (ms).
+    /// Minimum of the mean latency (ms). It rises slowly, so that old minima expire.
     #[serde(rename = "best")]
     pub best_latency_ms: f64,
     /// Time that clients wait before they disconnect (ms).
--- a/src/decision/tenants.rs
+++ b/src/decision/tenants.rs
@@ -116,7 +116,7 @@
         tenant
     }
 
-    /// Adds the tokens of `elapsed_ms` to the buckets for_tenant all active tenants.
+    /// Adds the tokens of `elapsed_ms` to the buckets of all active tenants.
     pub(super) fn refill_token_buckets(&mut self, elapsed_ms: Millis) {
         for (index, tenant) in &mut self.tenants {
             let settings = self.tenant_settings[*index].as_ref();
