--- a/src/decision/alpha.rs
+++ b/src/decision/alpha.rs
@@ -1,6 +1,6 @@
-//! Alpha: the probability that a free slot goes to the sensitive side. It is multiplied by a factor while a
-//! sensitive stream exceeds its disengagement target, and reduced by a step while all sensitive streams are
-//! well within it.
+//! Alpha: the probability that a free slot goes to the sensitive side. It rises by a factor while the
+//! disengagement of a sensitive stream is above the accepted range of its target. Otherwise it falls by a step
+//! while that of a sensitive stream is below this range.
 
 use super::bounds::Bounds;
 use super::latency_budget::{DISENGAGEMENT_TARGET, MAX_TARGET_RATIO, MIN_TARGET_RATIO, latency_budget};
--- a/src/decision/capacity.rs
+++ b/src/decision/capacity.rs
@@ -33,7 +33,8 @@
 const SENSITIVE_HEADROOM: f64 = 0.4;
 /// Health-check latency excess above which the saturation is halved.
 const BUSY_LATENCY_EXCESS: f64 = 0.3;
-/// Health-check latency excess above which an engine is congested.
+/// Health-check latency excess above which an engine is congested. The excess is only used below the minimum
+/// cap, where a congested engine is sent nothing.
 const CONGESTED_LATENCY_EXCESS: f64 = 0.6;
 /// Fraction of an engine's memory that may be filled. Above it, queries spill and the engine pages.
 const MAX_MEMORY_FRACTION: f64 = 0.85;
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -6,8 +6,7 @@
 use super::types::{Action, Millis, RequestId};
 use sanddyke_statistics::ServedTimes;
 
-/// Disengagement of an answer after the latency objective: the middle step of the staircase on the design
-/// page.
+/// Disengagement of an answer after the latency objective: a step of the staircase on the design page.
 pub(super) const LATE_DISENGAGEMENT: f64 = 0.5;
 /// Disengagement of an answer after the deadline, or of no answer.
 pub(super) const UNSERVED_DISENGAGEMENT: f64 = 1.0;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -36,7 +36,8 @@
 //! - *Alpha*: the probability that a free slot goes to the sensitive side instead of the best-effort side.
 //! - *Slowdown* of an engine and *stretch* of answers: the latency of answers divided by their latency on an
 //!   idle engine.
-//! - *Cap*: the maximum of threads that this manager uses on one engine that is under pressure.
+//! - *Cap*: the maximum number of threads that this manager uses on an engine under pressure (saturated or
+//!   congested).
 //! - *Below the minimum cap*: with many managers, one manager's fraction of an engine is less than the
 //!   minimum cap. Such a manager is not bound by caps and uses fresh load reports instead.
 //!
