--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -4,8 +4,9 @@
 use crate::lines::{EventMessage, Fields};
 use sanddyke::settings::{self, Front, number};
 use sanddyke::{
-    AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event,
-    Gateway, KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
+    AttemptEnd, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event, KindId,
+    LoadReport, Millis, OrderKey, Outcome, ProgressNote, Request, RequestId, Scheduler, TenantId, Usage,
+    ZoneId,
 };
 use std::collections::HashMap;
 
@@ -21,7 +22,7 @@
 /// One simulated workload manager.
 pub struct Instance {
     /// Its decisions.
-    pub gateway: Gateway,
+    pub gateway: Scheduler,
     /// Names of its requests, by id.
     pub requests: Vec<String>,
     front: Front,
@@ -34,7 +35,7 @@
     pub fn launch(fields: &Fields, now: Millis) -> Result<Instance, LineError> {
         let front = settings::parse(fields.required_text(2)?).map_err(|error| fields.error(2, error))?;
         Ok(Instance {
-            gateway: Gateway::new(front.settings.clone(), fields.required(1)?, now),
+            gateway: Scheduler::new(front.settings.clone(), fields.required(1)?, now),
             requests: Vec::new(),
             front,
             request_ids: HashMap::new(),
@@ -128,7 +129,7 @@
             work_ms: fields.amount(4)?.filter(|work_ms| has_estimate && *work_ms > 0.0),
             memory_mb: fields.amount(6)?.filter(|memory_mb| *memory_mb > 0.0),
             remaining_ms: fields.required_amount(7)?,
-            executed_before: None, // a client's retry has another id there
+            prior_execution: None, // a client's retry has another id there
         })
     }
 
@@ -141,7 +142,7 @@
             attempt: fields.required(2)?,
             outcome: outcome(fields, 4)?,
             elapsed_ms: fields.required_amount(5)?,
-            settled: fields.required::<u8>(6)? != 0,
+            request_closed: fields.required::<u8>(6)? != 0,
             usage: usage(bill).filter(|_| self.front.says_cost),
             report: load_report(fields, 8, &self.front.columns)?,
         }))
@@ -161,15 +162,15 @@
     fn attempt_note(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let amount = fields.amount(5)?.unwrap_or(0.0);
         let note = match fields.required::<u32>(4)? {
-            1 => AttemptNote::Progress(amount),
-            2 => AttemptNote::Spills(amount),
-            3 if amount == WAITS_FOR_LOAD => AttemptNote::WaitsForLoad,
-            3 => AttemptNote::WaitsForMemory,
+            1 => ProgressNote::Progress(amount),
+            2 => ProgressNote::Spills(amount),
+            3 if amount == WAITS_FOR_LOAD => ProgressNote::WaitsForLoad,
+            3 => ProgressNote::WaitsForMemory,
             other => return Err(fields.error(4, FieldError::UnknownNote(other))),
         };
         let attempt = fields.required(2)?;
         let request = self.known_request(fields, 1)?;
-        Ok(request.map(|request| Event::AttemptNote { request, attempt, note }))
+        Ok(request.map(|request| Event::ProgressNote { request, attempt, note }))
     }
 }
 
@@ -210,7 +211,7 @@
     Ok(match fields.required_text(index)? {
         "served" => Outcome::Served,
         "server_error" => Outcome::ServerError,
-        "turned_away" => Outcome::Full,
+        "turned_away" => Outcome::EngineFull,
         "no_answer" => Outcome::TimedOut,
         "no_connection" => Outcome::NoConnection,
         "connection_lost" => Outcome::ConnectionLost,
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -16,7 +16,9 @@
         out: &mut Vec<Command>,
     ) {
         match &event {
-            AttemptEvent::Ended { end, .. } => self.attempt_ended(now, attempt, end.outcome().never_ran()),
+            AttemptEvent::Ended { end, .. } => {
+                self.attempt_ended(now, attempt, end.outcome().never_executed())
+            }
             AttemptEvent::Served { .. } => self.attempt_ended(now, attempt, false),
             AttemptEvent::ProgressNote(_) | AttemptEvent::Lost { .. } => {}
         }
@@ -28,7 +30,7 @@
                 let request = RequestId(attempt.request);
                 self.notify_scheduler(
                     now,
-                    Event::AttemptNote { request, attempt: attempt.number, note },
+                    Event::ProgressNote { request, attempt: attempt.number, note },
                     out,
                 );
             }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,5 +1,6 @@
 //! Starts, cancels and ends attempts.
 
+use super::accounting::outcome_name;
 use super::execution_guard::{ProposedAttempt, SendPermit, Violation};
 use super::{AttemptId, Call, Command, Core, OpenRequest, RequestState, Timer};
 use crate::clock::Micros;
@@ -135,7 +136,7 @@
         log::debug!(
             request:% = attempt,
             engine = self.engines.get(&running.engine).map_or("?", |known| known.name.as_str()),
-            reason:? = outcome,
+            reason = outcome_name(outcome),
             awaits_confirmation = confirm;
             "attempt cancelled"
         );
@@ -160,7 +161,7 @@
         let outcome = *running.pending_outcome.get_or_insert(outcome);
         running.permit.revoke();
         self.timers.set(now + UNCONFIRMED_RETENTION, Timer::UnconfirmedAttemptExpired(attempt));
-        log::debug!(request:% = attempt, reason:? = outcome; "attempt lost");
+        log::debug!(request:% = attempt, reason = outcome_name(outcome); "attempt lost");
         let request = RequestId(attempt.request);
         self.notify_scheduler(now, Event::AttemptLost { request, attempt: attempt.number, outcome }, out);
     }
@@ -210,7 +211,7 @@
         }
         self.accounting.count_attempt(outcome);
         self.log_attempt(now, attempt, &ended, outcome);
-        let settled = !self.requests.contains_key(&attempt.request);
+        let request_closed = !self.requests.contains_key(&attempt.request);
         self.guard.record_outcome(attempt, outcome);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
             engine.attempts_in_flight -= 1;
@@ -221,7 +222,7 @@
             attempt: attempt.number,
             outcome,
             elapsed_ms: (now - ended.started_at).as_ms(),
-            settled,
+            request_closed,
             usage,
             report,
         });
@@ -240,9 +241,10 @@
         let class = open.map_or("-", |open| &open.incoming.class);
         let client_request_id = open.map_or("-", |open| &open.incoming.client_request_id);
         log::debug!(
-            "attempt at={} us={} engine={engine} end={outcome:?} request={attempt} class={class} name={client_request_id}",
+            "attempt at={} us={} engine={engine} end={} request={attempt} class={class} name={client_request_id}",
             ended.started_at.0,
-            (now - ended.started_at).0
+            (now - ended.started_at).0,
+            outcome_name(outcome)
         );
     }
 }
--- a/src/core/execution_guard/history.rs
+++ b/src/core/execution_guard/history.rs
@@ -58,7 +58,8 @@
     /// Records an attempt's outcome. If it shows that the attempt was never executed, the attempt is no longer the
     /// first possibly executed one.
     pub(super) fn record_outcome(&mut self, number: u32, outcome: Outcome) {
-        let was_never_executed = |first: &PossiblyExecuted| outcome.never_ran() && first.number == number;
+        let was_never_executed =
+            |first: &PossiblyExecuted| outcome.never_executed() && first.number == number;
         self.possibly_executed = self.possibly_executed.filter(|first| !was_never_executed(first));
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -33,7 +33,7 @@
 pub use validation::Invalid;
 
 use crate::clock::Micros;
-use crate::decision::{Action, Event, Gateway};
+use crate::decision::{Action, Event, Scheduler};
 use crate::settings::Front;
 use attempts::Attempt;
 use engines::KnownEngine;
@@ -51,7 +51,7 @@
 /// - `attempts` has an attempt from its start until the scheduler is notified of its end.
 #[derive(Debug)]
 pub struct Core {
-    scheduler: Gateway,
+    scheduler: Scheduler,
     service_settings: Front,
     /// The limit of open requests. Further requests are rejected.
     max_open_requests: usize,
@@ -87,7 +87,7 @@
             roster: tenants::roster(&service_settings),
             tenant_shares: service_settings.settings.tenants.iter().map(TenantShare::new).collect(),
             has_tenant_store: false,
-            scheduler: Gateway::new(service_settings.settings.clone(), seed, now.as_ms()),
+            scheduler: Scheduler::new(service_settings.settings.clone(), seed, now.as_ms()),
             accounting: Accounting::default(),
             service_settings,
             max_open_requests,
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the core's handling of attempts, without sockets.
 
 use super::*;
-use crate::decision::{AttemptNote, EngineState};
+use crate::decision::{EngineState, ProgressNote};
 use std::net::{Ipv4Addr, SocketAddr};
 
 fn core() -> (Core, Vec<Command>) {
@@ -58,7 +58,7 @@
 fn the_next_attempt_waits_until_the_cancellation_was_read() {
     let (mut core, out) = core();
     assert_eq!(started_attempts(&out), 1);
-    let slow_progress = AttemptEvent::ProgressNote(AttemptNote::Progress(0.001));
+    let slow_progress = AttemptEvent::ProgressNote(ProgressNote::Progress(0.001));
     let out = attempt_event(&mut core, 1_000_000, 0, slow_progress);
     assert!(out.iter().any(|one| matches!(one, Command::CancelAttempt { confirm: true, .. })), "{out:?}");
     let mut out = Vec::new();
--- a/src/core/types/attempt.rs
+++ b/src/core/types/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::Table;
 use crate::core::SendPermit;
-use crate::decision::{AttemptNote, LoadReport, Outcome, Usage};
+use crate::decision::{LoadReport, Outcome, ProgressNote, Usage};
 use std::fmt;
 use std::sync::Arc;
 
@@ -81,7 +81,7 @@
         match self {
             ConnectionEnd::Answered => Outcome::Served,
             ConnectionEnd::AnsweredError => Outcome::ServerError,
-            ConnectionEnd::AnsweredFull => Outcome::Full,
+            ConnectionEnd::AnsweredFull => Outcome::EngineFull,
             ConnectionEnd::AnsweredOver => Outcome::NotSent,
             ConnectionEnd::ConnectRefused | ConnectionEnd::ConnectTimeout | ConnectionEnd::NeverWritten => {
                 Outcome::NoConnection
@@ -93,7 +93,7 @@
             | ConnectionEnd::Broken
             | ConnectionEnd::Silent => Outcome::ConnectionLost,
             // The engine reads and answers, so the fault is the connection's and not the engine's.
-            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::Spoilt,
+            ConnectionEnd::Malformed | ConnectionEnd::RequestSilent => Outcome::CorruptedResponse,
             ConnectionEnd::TimedOut => Outcome::TimedOut,
             ConnectionEnd::Cancelled => Outcome::Cancelled,
         }
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
     /// The engine is executing the attempt, and sent a progress note.
-    ProgressNote(AttemptNote),
+    ProgressNote(ProgressNote),
     /// The attempt ended with a result.
     Served {
         /// The complete result.
--- a/src/decision/shedding.rs
+++ b/src/decision/shedding.rs
@@ -1,59 +1,60 @@
-//! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to their
-//! deadline, and once clients have few connections left, requests of little weight make way.
+//! Load shedding: at each upkeep, requests that cannot end in time are answered at once instead of queued to
+//! their deadline. When clients have few connections left, requests of low weight are shed as well.
 
-use super::gateway::Gateway;
-use super::outliers::JAMMED_SLOWDOWN;
+use super::outliers::CONGESTED_SLOWDOWN;
 use super::requests::PendingRequest;
+use super::scheduler::Scheduler;
 use super::types::{Millis, RequestId};
 use std::collections::BTreeMap;
 
-/// Work per core and ms that this gateway surely gets of its fraction of the fleet. Ours.
+/// Work per core and ms that this manager is assumed to get at least from its fraction of the fleet.
 const ASSURED_WORK_RATE: f64 = 0.7;
-/// Rate of work that is reckoned with at least (work per ms).
+/// Lower bound of the work rate used in predictions (work per ms).
 const MIN_WORK_RATE: f64 = 0.01;
-/// Fraction of the requests that clients can have open above which requests make way: those of little weight, and loads
-/// that wait for a lock. Ours.
-const CROWDED_FRACTION: f64 = 0.85;
+/// Fraction of the maximum open requests above which requests of low weight and loads that wait for a lock
+/// are shed.
+const OPEN_REQUEST_THRESHOLD: f64 = 0.85;
 
-/// What is predicted for a queued best-effort request.
+/// Predicted end of a queued best-effort request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Prediction {
-    /// It ends in time.
+    /// The request keeps its rank: it ends in time, or is already ranked as late.
     InTime,
-    /// It ends past its latency objective: it goes behind all that are in time.
+    /// The request ends after its latency objective. It is ranked behind all that end in time.
     Late,
-    /// It ends past its deadline, or only waits for a lock.
-    Hopeless,
+    /// The request cannot be served usefully: it ends after its deadline, only waits for a lock, or is late
+    /// and beyond its tenant's share.
+    Unservable,
 }
 
 /// Predicts the ends of queued best-effort requests, in the order in which they are sent.
 struct Forecast<'a> {
-    gateway: &'a Gateway,
+    scheduler: &'a Scheduler,
     /// Work finished per ms.
     work_rate: f64,
-    /// Slowdown that attempts are taken to meet.
+    /// Slowdown that attempts are assumed to encounter.
     slowdown: f64,
-    /// Engines that take loads on one data set beside each other.
+    /// Number of engines that can run loads on one data set in parallel.
     reachable_engines: f64,
-    /// Work of the requests before (ms of one thread).
+    /// Work of the requests ahead in the queue (ms of one thread).
     work_ahead_ms: Millis,
-    /// Loads before, by data set: they run one after another on each engine.
+    /// Number of loads ahead in the queue, by data set. They run one after another on each engine.
     loads_ahead: BTreeMap<u64, f64>,
 }
 
 impl<'a> Forecast<'a> {
-    /// A forecast that begins with the first request in the queue.
-    fn new(gateway: &'a Gateway) -> Forecast<'a> {
-        let slowdown = gateway.capacity.median_slowdown.clamp(1.0, JAMMED_SLOWDOWN);
+    /// A forecast that starts at the head of the queue.
+    fn new(scheduler: &'a Scheduler) -> Forecast<'a> {
+        let slowdown = scheduler.capacity.median_slowdown.clamp(1.0, CONGESTED_SLOWDOWN);
         let reachable = || {
-            let engines = gateway.engines.values();
+            let engines = scheduler.engines.values();
             engines.filter(|engine| engine.is_ready() && engine.health.down_since.is_none())
         };
         let cores: f64 = reachable().map(|engine| engine.cores).sum();
-        let assured_rate = ASSURED_WORK_RATE * cores * gateway.capacity.gateway_fraction / slowdown;
+        let assured_rate = ASSURED_WORK_RATE * cores * scheduler.capacity.manager_fraction / slowdown;
         Forecast {
-            gateway,
-            work_rate: gateway.traffic.work_per_ms.max(assured_rate).max(MIN_WORK_RATE),
+            scheduler,
+            work_rate: scheduler.traffic.work_per_ms.max(assured_rate).max(MIN_WORK_RATE),
             slowdown,
             reachable_engines: reachable().count().max(1) as f64,
             work_ahead_ms: 0.0,
@@ -61,15 +62,16 @@
         }
     }
 
-    /// Predicts the next request's end, and counts it as ahead of those that follow unless it gives way to them.
+    /// Predicts the end of the next request. A request that ends in time, or is already ranked as late,
+    /// counts as ahead of those that follow.
     fn predict(&mut self, request: &PendingRequest) -> Prediction {
-        let now = self.gateway.now;
-        let alone_ms = self.gateway.time_alone_ms(request);
-        let end_at = now + self.work_ahead_ms / self.work_rate + alone_ms * self.slowdown;
+        let now = self.scheduler.now;
+        let idle_engine_ms = self.scheduler.idle_engine_time_ms(request);
+        let end_at = now + self.work_ahead_ms / self.work_rate + idle_engine_ms * self.slowdown;
         let is_late = end_at > request.objective_at;
-        let waits_for_lock = self.waits_for_lock(request, alone_ms);
+        let waits_for_lock = self.waits_for_lock(request, idle_engine_ms);
         if waits_for_lock || end_at > request.deadline || (is_late && request.rank.is_over_share()) {
-            Prediction::Hopeless
+            Prediction::Unservable
         } else if is_late && !request.rank.is_late() {
             Prediction::Late
         } else {
@@ -79,21 +81,21 @@
     }
 
     /// Whether a load would only wait for the lock on its data set, with its client's connection open.
-    fn waits_for_lock(&mut self, request: &PendingRequest, alone_ms: Millis) -> bool {
+    fn waits_for_lock(&mut self, request: &PendingRequest, idle_engine_ms: Millis) -> bool {
         let Some(data_set) = request.data_set_lock else { return false };
         let loads_ahead = self.loads_ahead.entry(data_set).or_default();
         let position = *loads_ahead;
         *loads_ahead += 1.0;
-        let latency_ms = self.gateway.classes[request.class].statistics.mean_latency_ms.max(alone_ms);
+        let latency_ms = self.scheduler.classes[request.class].statistics.mean_latency_ms.max(idle_engine_ms);
         let turn_ms = latency_ms * (1.0 + position / self.reachable_engines);
-        let turn_is_late = position > 0.0 && self.gateway.now + turn_ms > request.objective_at;
-        let crowded = self.gateway.open_request_excess() > 0;
-        turn_is_late || (crowded && self.gateway.is_data_set_locked_everywhere(data_set))
+        let turn_is_late = position > 0.0 && self.scheduler.now + turn_ms > request.objective_at;
+        let connections_scarce = self.scheduler.open_request_excess() > 0;
+        turn_is_late || (connections_scarce && self.scheduler.is_data_set_locked_everywhere(data_set))
     }
 }
 
-impl Gateway {
-    /// Sheds what cannot end in time, and puts what will be late behind all others.
+impl Scheduler {
+    /// Sheds requests that cannot end in time, and ranks requests that will be late behind all others.
     pub(super) fn shed(&mut self) {
         let mut shed = self.sensitive_past_objective();
         let mut late = Vec::new();
@@ -102,36 +104,36 @@
             match forecast.predict(&self.requests[&id]) {
                 Prediction::InTime => {}
                 Prediction::Late => late.push(id),
-                Prediction::Hopeless => shed.push(id),
+                Prediction::Unservable => shed.push(id),
             }
         }
-        shed.extend(self.least_weighty(self.open_request_excess().saturating_sub(shed.len())));
+        shed.extend(self.lowest_weight_queued(self.open_request_excess().saturating_sub(shed.len())));
         for id in late {
             self.demote(id);
         }
         for id in shed {
-            self.answer_unserved(id);
+            self.reject_or_fail(id);
         }
     }
 
-    /// Time that a request takes on an engine of its own (ms).
-    fn time_alone_ms(&self, request: &PendingRequest) -> Millis {
+    /// Time that a request takes on an idle engine (ms).
+    fn idle_engine_time_ms(&self, request: &PendingRequest) -> Millis {
         request.work_ms / self.settings.classes[request.class].threads
     }
 
-    /// Queued sensitive requests that would end past their latency objective even if they were sent now.
+    /// Queued sensitive requests that would end after their latency objective even if they were sent now.
     fn sensitive_past_objective(&self) -> Vec<RequestId> {
         let queued = self.sensitive_queue.iter().map(|(_, id)| *id);
         let past_objective = queued.filter(|id| {
             let request = &self.requests[id];
-            self.now + self.time_alone_ms(request) > request.objective_at
+            self.now + self.idle_engine_time_ms(request) > request.objective_at
         });
         past_objective.collect()
     }
 
-    /// Queued requests, the last first, of less weight than the mean of what is open: once clients have few
-    /// connections left, each is worth that mean.
-    fn least_weighty(&self, count: usize) -> Vec<RequestId> {
+    /// Queued requests whose weight is below the mean of all open requests, from the tail of the queue. When
+    /// clients have few connections left, a connection is worth that mean.
+    fn lowest_weight_queued(&self, count: usize) -> Vec<RequestId> {
         let weight = |id: &RequestId| self.settings.classes[self.requests[id].class].priority_weight;
         let total_weight = self.requests.keys().map(weight).sum::<f64>();
         let mean_weight = total_weight / self.requests.len().max(1) as f64;
@@ -141,7 +143,7 @@
         queued.rev().filter(|id| weight(id) < mean_weight).take(count).collect()
     }
 
-    /// Puts a request behind all that are in time.
+    /// Ranks a request behind all that will be in time.
     fn demote(&mut self, id: RequestId) {
         self.dequeue(id);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -150,10 +152,10 @@
         self.enqueue(id);
     }
 
-    /// Open requests beyond those that clients can have here before they find no connection.
+    /// Number of open requests beyond the threshold at which clients soon find no free connection.
     pub(super) fn open_request_excess(&self) -> usize {
         let limit = self.settings.limits.max_open_requests;
-        let crowded_at = limit.map_or(usize::MAX, |limit| (CROWDED_FRACTION * limit as f64) as usize);
-        self.requests.len().saturating_sub(crowded_at)
+        let threshold = limit.map_or(usize::MAX, |limit| (OPEN_REQUEST_THRESHOLD * limit as f64) as usize);
+        self.requests.len().saturating_sub(threshold)
     }
 }
--- a/src/decision/upkeep.rs
+++ b/src/decision/upkeep.rs
@@ -1,18 +1,18 @@
-//! Upkeep: the one timer that always runs, so that queued requests never wait for an event.
+//! Upkeep: the one timer that always runs, so that queued requests never depend on another event.
 
-use super::gateway::Gateway;
+use super::scheduler::Scheduler;
 use super::timers::TimerPurpose;
 use super::types::Millis;
 use sanddyke_statistics::Load;
 
-/// Time between two rounds of upkeep (ms). Ours.
+/// Time between two rounds of upkeep (ms).
 pub(super) const UPKEEP_INTERVAL_MS: Millis = 20.0;
 
-impl Gateway {
-    /// One round of upkeep, in this order: later steps go by what earlier ones have brought up to date.
+impl Scheduler {
+    /// Runs one round of upkeep. The order matters: later steps use values that earlier ones have updated.
     pub(super) fn on_upkeep(&mut self) {
         self.set_timer(TimerPurpose::Upkeep, UPKEEP_INTERVAL_MS);
-        self.recount_local_load();
+        self.recompute_local_load();
         self.reset_engine_sampler();
         let elapsed_ms = self.traffic.update(self.now);
         self.refill_token_buckets(elapsed_ms);
@@ -22,13 +22,14 @@
         if self.alpha.refit_is_due(self.now) {
             self.refit();
         }
-        self.answer_stranded();
+        self.reject_on_discard_timeout();
         self.shed();
         self.retries.trim(self.settings.rules.retry_budget, self.now);
     }
 
-    /// Sums the local load anew: what is added and taken off all day drifts.
-    fn recount_local_load(&mut self) {
+    /// Recomputes the total local load, because repeated additions and subtractions accumulate rounding
+    /// errors.
+    fn recompute_local_load(&mut self) {
         let mut total = Load::default();
         for engine in self.engines.values() {
             total += engine.local_load;
@@ -36,13 +37,13 @@
         self.local_load = total;
     }
 
-    /// Lets slowdowns fade and engines warm up, and takes the median slowdown.
+    /// Advances the decay of slowdowns and the warm-up of engines, and computes the median slowdown.
     fn update_engines(&mut self, elapsed_ms: Millis) {
         let rules = &self.settings.rules;
         for engine in self.engines.values_mut() {
-            engine.health.fade_slowdown(elapsed_ms);
-            let gateways = self.settings.gateway_count;
-            engine.slow_start.update(self.now, elapsed_ms, engine.cores, rules, gateways);
+            engine.health.decay_slowdown(elapsed_ms);
+            let managers = self.settings.manager_count;
+            engine.slow_start.update(self.now, elapsed_ms, engine.cores, rules, managers);
         }
         let ready = self.engines.values().filter(|engine| engine.is_ready());
         let mut slowdowns: Vec<f64> = ready.map(|engine| engine.health.slowdown).collect();
--- a/src/upstream/tds/connection.rs
+++ b/src/upstream/tds/connection.rs
@@ -5,7 +5,7 @@
 use crate::clock::Micros;
 use crate::core::AttemptId;
 use crate::core::{AttemptEvent, Call, ConnectionEnd, Row, Table};
-use crate::decision::{AttemptNote, LoadReport, Usage};
+use crate::decision::{LoadReport, ProgressNote, Usage};
 use crate::service::ServiceEnded;
 use crate::tds::packet;
 use crate::tds::token::{self, Token};
@@ -295,7 +295,7 @@
 
 /// Content of an INFO token about a running request.
 enum InfoContent {
-    Note(AttemptNote),
+    Note(ProgressNote),
     Usage(Usage),
 }
 
@@ -308,13 +308,13 @@
         value.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite())
     };
     let note = if let Some(fraction) = find("share") {
-        AttemptNote::Progress(fraction)
+        ProgressNote::Progress(fraction)
     } else if let Some(megabytes) = find("short") {
-        AttemptNote::Spills(megabytes)
+        ProgressNote::Spills(megabytes)
     } else if let Some(amount) = find("held") {
         match amount == WAITS_FOR_LOAD {
-            true => AttemptNote::WaitsForLoad,
-            false => AttemptNote::WaitsForMemory,
+            true => ProgressNote::WaitsForLoad,
+            false => ProgressNote::WaitsForMemory,
         }
     } else {
         let work_ms = find("toil")?;
--- a/tests/rules/shares_and_capacity.rs
+++ b/tests/rules/shares_and_capacity.rs
@@ -34,7 +34,10 @@
     settings.engines.priorities = true;
     let mut gateway = gateway(settings, &[engine(1)]);
     let out = arrive(&mut gateway, 1.0, Request { tenant: Some(TenantId(0)), ..request(1) });
-    assert!(out.iter().any(|action| matches!(action, Action::SetTerms { priority: 1, .. })), "{out:?}");
+    assert!(
+        out.iter().any(|action| matches!(action, Action::SetAttemptOptions { priority: 1, .. })),
+        "{out:?}"
+    );
 }
 
 /// Guards against clients that find no connection, whatever the weight of their request, because requests of little
@@ -51,7 +54,7 @@
     let limits = Limits { max_open_requests: Some(20), ..Settings::default().limits };
     let rejected_beside = |beside: usize, cheap: u64, expensive: u64| {
         let settings = Settings { classes: classes.clone(), limits, ..Settings::default() };
-        let mut gateway = Gateway::new(settings, 1, 0.0);
+        let mut gateway = Scheduler::new(settings, 1, 0.0);
         gateway.set_max_open_requests(Some(20 - beside));
         let one =
             |id: u64| Request { class: ClassId(usize::from(id >= 100)), remaining_ms: 1e14, ..request(id) };
