--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -1,37 +1,37 @@
-//! Why a snapshot is not written or not used.
+//! Errors of writing and reading a snapshot.
 
 use crate::format::{MAX_PAYLOAD_BYTES, VERSION};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a snapshot is not written or not used.
+/// An error of writing or reading a snapshot.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// It is incomplete, or not what was written.
-    #[error("damaged: {0}")]
+    /// The bytes are incomplete or differ from what was written.
+    #[error("snapshot is corrupted: {0}")]
     Damaged(#[from] Damage),
-    /// It was written by a later version of this format.
-    #[error("of version {version}, newer than {VERSION}")]
+    /// The snapshot has a later version of the format than [`VERSION`].
+    #[error("snapshot has format version {version}, newer than {VERSION}")]
     NewerVersion {
-        /// Its version.
+        /// The snapshot's version.
         version: u32,
     },
-    /// It was written too long ago.
-    #[error("{} s old", .age.as_secs())]
+    /// The snapshot was written longer ago than the reader allows.
+    #[error("snapshot is too old: {} s old", .age.as_secs())]
     TooOld {
         /// The time since it was written.
         age: Duration,
     },
-    /// It was written later than now, by more than clocks differ.
-    #[error("{} ms from the future", .ahead.as_millis())]
+    /// The snapshot's time is later than now by more than a step of the clock explains.
+    #[error("snapshot has a time {} ms in the future", .ahead.as_millis())]
     FromFuture {
-        /// How far its time is ahead of now.
+        /// The difference between the snapshot's time and now.
         ahead: Duration,
     },
-    /// Its payload is longer than [`MAX_PAYLOAD_BYTES`].
-    #[error("of {bytes} bytes, more than {MAX_PAYLOAD_BYTES}")]
+    /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("snapshot payload has {bytes} bytes, more than {MAX_PAYLOAD_BYTES}")]
     TooLong {
-        /// The payload's length.
+        /// The length of the payload.
         bytes: usize,
     },
     /// The file can't be read or written.
@@ -39,19 +39,19 @@
     File(#[from] std::io::Error),
 }
 
-/// How the bytes of a snapshot differ from what was written.
+/// The way in which the bytes of a snapshot differ from what was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Damage {
     /// The header is incomplete.
-    #[error("cut short")]
+    #[error("the header is incomplete")]
     IncompleteHeader,
-    /// The magic number is not there.
-    #[error("not a snapshot")]
+    /// The bytes do not begin with the magic number.
+    #[error("not a snapshot file")]
     NotASnapshot,
-    /// The payload is not as long as the header says.
-    #[error("its length differs")]
+    /// The payload does not have the length that the header states.
+    #[error("the payload length differs from the header")]
     LengthMismatch,
-    /// The checksum is not that of the bytes.
-    #[error("its checksum differs")]
+    /// The checksum in the header is not that of the bytes.
+    #[error("the checksum does not match")]
     ChecksumMismatch,
 }
--- a/crates/snapshot/src/file.rs
+++ b/crates/snapshot/src/file.rs
@@ -1,4 +1,4 @@
-//! The file that holds the latest snapshot of one name.
+//! The file with the latest snapshot of one name.
 
 use crate::error::SnapshotError;
 use crate::format::{HEADER_BYTES, MAX_PAYLOAD_BYTES, Snapshot, decode, encode};
@@ -7,19 +7,21 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Of a name, so many characters are used in file names.
+/// Maximum of characters of a name that are used in file names.
 const MAX_NAME_CHARS: usize = 64;
 
-/// The file of the latest snapshot of one name.
+/// The file with the latest snapshot of one name. Several processes may read and write it.
 #[derive(Debug, Clone)]
 pub struct SnapshotFile {
     path: PathBuf,
-    /// Where this process writes a snapshot until it is complete: two processes may write at once.
+    /// The file to which this process writes a snapshot before it renames it. Its name contains the process id,
+    /// because two processes may write at once.
     temporary_path: PathBuf,
 }
 
 impl SnapshotFile {
-    /// The file for `name` in `folder`. Characters of the name that can't be part of a file name are left out.
+    /// Creates the value for `name` in `folder`; no file is opened. Characters other than ASCII letters, digits, `-`
+    /// and `_` are removed from the name.
     pub fn new(folder: &Path, name: &str) -> SnapshotFile {
         let is_usable = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
         let name: String = name.chars().filter(is_usable).take(MAX_NAME_CHARS).collect();
@@ -28,10 +30,10 @@
         SnapshotFile { path, temporary_path }
     }
 
-    /// Replaces the snapshot by a new one, written at `now_ms` (Unix time in milliseconds).
+    /// Replaces the snapshot with a new one, written at `now_ms` (Unix time in milliseconds).
     ///
     /// # Errors
-    /// Where the payload is too long or the file can't be written. The snapshot from before then remains.
+    /// The payload is too long, or the file can't be written. Then the previous snapshot stays.
     pub fn write(&self, payload: &[u8], now_ms: u64) -> Result<(), SnapshotError> {
         let bytes = encode(payload, now_ms)?;
         let result =
@@ -43,7 +45,8 @@
     }
 
     fn write_temporary(&self, bytes: &[u8]) -> std::io::Result<()> {
-        // A killed process of this number may have left its file. A symbolic link is removed, not followed.
+        // A killed process with the same process id may have left its temporary file. A symbolic link is removed and
+        // not followed.
         match std::fs::remove_file(&self.temporary_path) {
             Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
             _ => {}
@@ -52,16 +55,16 @@
         file.write_all(bytes)
     }
 
-    /// The snapshot, read at `now_ms` (Unix time in milliseconds); `None` where there is no file.
+    /// Reads the snapshot at `now_ms` (Unix time in milliseconds). Returns `None` if there is no file.
     ///
     /// # Errors
-    /// Where the file can't be read, or its snapshot can't be used (see [`decode`]).
+    /// The file can't be read, or [`decode`] rejects its content.
     pub fn read(&self, now_ms: u64, max_age: Duration) -> Result<Option<Snapshot<Vec<u8>>>, SnapshotError> {
         let file = match File::open(&self.path) {
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             file => file?,
         };
-        // One byte above the limit is enough to find a file too long.
+        // One byte more than the limit, so that a longer file is detected.
         let max_file_bytes = HEADER_BYTES + MAX_PAYLOAD_BYTES + 1;
         let mut bytes = Vec::new();
         file.take(max_file_bytes as u64).read_to_end(&mut bytes)?;
@@ -69,10 +72,10 @@
         Ok(Some(Snapshot { payload: snapshot.payload.to_vec(), age: snapshot.age }))
     }
 
-    /// Removes the temporary files of this name whose processes were killed.
+    /// Removes the temporary files of this name whose processes no longer exist.
     ///
     /// # Errors
-    /// Where the folder can't be listed or a file can't be removed.
+    /// The folder can't be listed, or a file can't be removed.
     pub fn remove_stale_parts(&self) -> std::io::Result<()> {
         let Some(folder) = self.path.parent() else { return Ok(()) };
         for entry in std::fs::read_dir(folder)? {
@@ -84,7 +87,8 @@
         Ok(())
     }
 
-    /// The process whose temporary file of this name `path` is.
+    /// Returns the process id in the name of a temporary file, or `None` if `path` is not a temporary file of this
+    /// name.
     fn writer_of(&self, path: &Path) -> Option<String> {
         let stem = self.path.file_stem()?.to_string_lossy();
         let file_name = path.file_name()?.to_string_lossy();
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,12 +1,12 @@
-//! The bytes of a snapshot.
+//! Encoding and decoding of a snapshot.
 
 use crate::error::{Damage, SnapshotError};
 use std::ops::Range;
 use std::time::Duration;
 
-/// The longest payload: a file in `$TMPDIR` counts as memory on the platform.
+/// Limit of the payload. On the platform, a file in `$TMPDIR` counts as memory.
 pub const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
-/// The version that is written, and the newest that is read.
+/// The format version that is written, and the newest one that is read.
 pub const VERSION: u32 = 1;
 
 const MAGIC: [u8; 8] = *b"SANDSNAP";
@@ -14,25 +14,26 @@
 const WRITTEN_RANGE: Range<usize> = 12..20;
 const LENGTH_RANGE: Range<usize> = 20..24;
 const CHECKSUM_RANGE: Range<usize> = 24..28;
-/// Length of all that comes before the payload.
+/// Length of the header, which precedes the payload.
 pub(crate) const HEADER_BYTES: usize = 28;
 
-/// Two processes of one machine share its clock; a step of the clock by so much is no reason to reject a snapshot.
+/// A snapshot whose time is ahead of now by at most this is accepted. The two processes share the machine's clock, so
+/// only a step of the clock explains a difference.
 const CLOCK_STEP_TOLERANCE: Duration = Duration::from_secs(2);
 
-/// A snapshot that was read.
+/// A decoded snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot<P> {
-    /// What was written.
+    /// The bytes that were passed to [`encode`].
     pub payload: P,
-    /// The time since then; 0 where the clock was set back a little.
+    /// The time since the snapshot was written; 0 if the clock was set back since then.
     pub age: Duration,
 }
 
-/// The bytes of a snapshot that is written at `now_ms`, a Unix time in milliseconds.
+/// Returns the bytes of a snapshot that is written at `now_ms`, a Unix time in milliseconds.
 ///
 /// # Errors
-/// [`SnapshotError::TooLong`] where the payload is longer than [`MAX_PAYLOAD_BYTES`].
+/// [`SnapshotError::TooLong`] if the payload is longer than [`MAX_PAYLOAD_BYTES`].
 pub fn encode(payload: &[u8], now_ms: u64) -> Result<Vec<u8>, SnapshotError> {
     let length = u32::try_from(payload.len()).ok().filter(|_| payload.len() <= MAX_PAYLOAD_BYTES);
     let length = length.ok_or(SnapshotError::TooLong { bytes: payload.len() })?;
@@ -47,17 +48,17 @@
     Ok(bytes)
 }
 
-/// Reads a snapshot at `now_ms`, a Unix time in milliseconds. It must be complete, of a version that is understood,
-/// and not older than `max_age`.
+/// Decodes a snapshot at `now_ms`, a Unix time in milliseconds. It must be complete, of a supported version, and not
+/// older than `max_age`.
 ///
 /// # Errors
-/// The first of these conditions that is not met.
+/// The first condition that is not met.
 pub fn decode(bytes: &[u8], now_ms: u64, max_age: Duration) -> Result<Snapshot<&[u8]>, SnapshotError> {
     let (header, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(Damage::IncompleteHeader)?;
     if !header.starts_with(&MAGIC) {
         return Err(Damage::NotASnapshot.into());
     }
-    // A later version may lay out the rest differently, but not its number.
+    // A later version may change the rest of the format, but not the position of the version.
     let version = u32::from_le_bytes(field(header, VERSION_RANGE));
     if version > VERSION {
         return Err(SnapshotError::NewerVersion { version });
@@ -77,7 +78,7 @@
     Ok(Snapshot { payload, age })
 }
 
-/// The age of what was written at `written_ms`.
+/// Returns the age of a snapshot that was written at `written_ms`, or an error if it is too old or from the future.
 fn age(written_ms: u64, now_ms: u64, max_age: Duration) -> Result<Duration, SnapshotError> {
     let ahead = Duration::from_millis(written_ms.saturating_sub(now_ms));
     if ahead > CLOCK_STEP_TOLERANCE {
@@ -90,12 +91,12 @@
     Ok(age)
 }
 
-/// The bytes of a field of the header.
+/// Returns the bytes of a field of the header.
 fn field<const N: usize>(header: &[u8], range: Range<usize>) -> [u8; N] {
     std::array::from_fn(|index| header[range.start + index])
 }
 
-/// The checksum of the header's fields, without magic and the checksum itself, and the payload.
+/// Returns the checksum of the payload and of the header's fields except the magic number and the checksum itself.
 fn checksum(header: &[u8], payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&header[VERSION_RANGE.start..LENGTH_RANGE.end]);
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,5 +1,5 @@
-//! Snapshot files: what one process passes on to the next, versioned, checksummed, of bounded size, and with the
-//! time at which it was written.
+//! Snapshot files, through which one process passes state to the next. A snapshot has a version, a checksum, a bounded
+//! size and the time at which it was written.
 //!
 //! ```text
 //! magic  version  written, Unix ms  payload length  CRC-32  payload
@@ -7,8 +7,8 @@
 //! ```
 //!
 //! Numbers are little-endian. The checksum covers version, time, length and payload. A file is written under a
-//! temporary name and renamed, so that a reader finds a complete one, old or new, whenever the writer is killed.
-//! Nothing is flushed to a disk: a snapshot need not outlive the machine.
+//! temporary name and then renamed, so that a reader always finds a complete file, even if the writer is killed.
+//! Nothing is flushed to disk, because a snapshot does not have to survive a failure of the machine.
 //!
 //! ```
 //! use sanddyke_snapshot::{Snapshot, SnapshotError, decode, encode};
--- a/crates/snapshot/tests/files.rs
+++ b/crates/snapshot/tests/files.rs
@@ -1,4 +1,4 @@
-//! Snapshots that are cut, damaged, too old, too new, or written by several processes at once.
+//! Snapshots that are truncated, corrupted, too old, of a later version, or written by several processes at once.
 
 use sanddyke_snapshot::{MAX_PAYLOAD_BYTES, SnapshotError, SnapshotFile, VERSION, decode, encode};
 use std::path::PathBuf;
@@ -99,8 +99,8 @@
     assert!(matches!(SnapshotFile::new(&folder.0, "n1").read(NOW, MINUTE), Err(SnapshotError::File(_))));
 }
 
-/// A reader beside writers, one of which is killed at random moments (it stops in the middle of its file), finds
-/// a complete snapshot at every moment once there was one.
+/// Guards against a reader that finds an incomplete snapshot while a writer is killed. A killed writer leaves a
+/// temporary file that is truncated at a random byte.
 #[test]
 fn a_reader_finds_a_complete_snapshot_whatever_writers_do() {
     let folder = Folder::new("writers");
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -1,8 +1,9 @@
-//! Handover of state between two processes of one manager, which share the clients' socket: the old one writes a
-//! snapshot of its learned state once a second while it serves, and the new one restores it at its start. While the
-//! old one shuts down it publishes its open connections, which count against the new one's limit.
+//! Handover of state between two consecutive processes of one manager that share the listening socket for clients.
+//! The old process writes a snapshot of its learned state once a second while it serves, and the new one restores it
+//! at its start. While the old process shuts down, it publishes the number of its open connections, which count
+//! against the new process's limit.
 //!
-//! It is off where the socket belongs to one process alone, and where `$TMPDIR` is not set.
+//! The handover is off if the socket is exclusive to one process, or if `$TMPDIR` is not set.
 
 use crate::clock::{Clock, Micros};
 use crate::core::{HandoverState, Input};
@@ -13,23 +14,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Time between two snapshots.
+/// Interval between two snapshots.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// An older snapshot describes other traffic: rates are over 2 s and windows over 10 s. A new version is up within
-/// 6 s.
+/// An older snapshot is rejected, because its rates (measured over 2 s) and windows (10 s) describe outdated traffic.
+/// A new version starts within 6 s.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(30);
-/// A new process reports ready after this time at the latest, also where engines do not answer: the platform gives
-/// it 6 s.
+/// A new process reports ready after this time even if engines do not answer. The platform allows 6 s for a start.
 const MAX_ENGINE_WAIT: Micros = Micros(2_000_000);
-/// Time between two looks whether engines have answered.
+/// Interval at which the new process checks whether engines have answered.
 const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two counts that a process publishes while it shuts down; the next process reads as often.
+/// Interval at which a process that shuts down publishes its connection count, and at which the next process reads it.
 const CONNECTIONS_INTERVAL: Duration = Duration::from_millis(100);
-/// An older count is of a process that has ended.
+/// An older connection count is from a process that has ended.
 const MAX_CONNECTIONS_AGE: Duration = Duration::from_secs(1);
 
-/// Why a snapshot was not written or not restored.
+/// An error of writing or restoring a snapshot.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error(transparent)]
@@ -40,18 +40,19 @@
     WriterTask(#[from] tokio::task::JoinError),
 }
 
-/// Where the learned state of a manager of this name is stored; `None` where `$TMPDIR` is not set.
+/// Returns the file for the learned state of the manager with this name, or `None` if `$TMPDIR` is not set.
 pub fn snapshot_file(name: &str) -> Option<SnapshotFile> {
     let folder = PathBuf::from(std::env::var_os("TMPDIR")?);
     Some(SnapshotFile::new(&folder, name))
 }
 
-/// Where a process of this name that shuts down publishes its open connections.
+/// Returns the file in which a process of the manager with this name publishes its open connections while it shuts
+/// down, or `None` if `$TMPDIR` is not set.
 pub fn connections_file(name: &str) -> Option<SnapshotFile> {
     snapshot_file(&format!("{name}-leaving"))
 }
 
-/// Publishes the number of clients' connections that this process still has, until it ends.
+/// Publishes the number of this process's open client connections until the process ends or a write fails.
 pub async fn publish_connections(file: SnapshotFile, clock: Clock, lifecycle: LifecycleHandle) {
     loop {
         let count = (lifecycle.open_connections() as u64).to_le_bytes();
@@ -63,8 +64,8 @@
     }
 }
 
-/// Notifies the service of the clients' connections that another process of this manager still has: both count
-/// against one limit. It ends when this process shuts down itself.
+/// Notifies the service of the number of client connections that another process of this manager still has, as both
+/// count against one limit. Ends when this process shuts down.
 pub async fn watch_peer_connections(
     file: SnapshotFile,
     service: ServiceHandle,
@@ -84,7 +85,8 @@
     }
 }
 
-/// The published connections; 0 where the file is missing, outdated or unreadable, as no process is there then.
+/// Returns the published connection count. It is 0 if the file is missing, outdated or unreadable, because then there
+/// is no other process.
 fn read_connections(file: &SnapshotFile, clock: &Clock) -> usize {
     let snapshot = file.read(clock.unix_ms(), MAX_CONNECTIONS_AGE).ok().flatten();
     let bytes = snapshot.and_then(|snapshot| <[u8; 8]>::try_from(snapshot.payload).ok());
@@ -92,8 +94,8 @@
     usize::try_from(connections).unwrap_or(usize::MAX)
 }
 
-/// Restores the service's learned state from the snapshot, if there is one. One that can't be used costs a line in
-/// the log.
+/// Restores the service's learned state from the snapshot, if there is one. A snapshot that is invalid or too old is
+/// logged and ignored.
 pub async fn restore_snapshot(
     file: &SnapshotFile,
     service: &ServiceHandle,
@@ -106,12 +108,12 @@
         Ok(Some(found)) => found,
         Ok(None) => return Ok(()),
         Err(error) => {
-            log::warn!("handover: a snapshot is left out: {error}");
+            log::warn!("handover: snapshot ignored: {error}");
             return Ok(());
         }
     };
     log::info!(
-        "handover: goes on from {} classes and {} engines, {} ms old",
+        "handover: learned state restored: {} classes, {} engines, {} ms old",
         state.classes.len(),
         state.engines.len(),
         age.as_millis()
@@ -129,7 +131,7 @@
     Ok(Some((state, snapshot.age)))
 }
 
-/// Writes snapshots until this process shuts down: from then on, the file is the next process's to write.
+/// Writes snapshots until this process shuts down. From then on only the next process writes the file.
 pub async fn write_snapshots(
     file: SnapshotFile,
     service: ServiceHandle,
@@ -144,10 +146,11 @@
             return;
         }
         let result = write_snapshot(file.clone(), state, clock).await;
-        // Only a change is logged: a full disk would fill the log once a second.
+        // Only the first failure and the first success after it are logged: a full disk would otherwise cause a log
+        // line a second.
         match &result {
             Err(error) if last_write_succeeded => log::warn!("handover: writing a snapshot failed: {error}"),
-            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are written again"),
+            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are written again after a failure"),
             _ => {}
         }
         last_write_succeeded = result.is_ok();
@@ -164,12 +167,13 @@
     tokio::task::spawn_blocking(write).await?
 }
 
-/// Waits until enough engines have answered a health check, or 2 s have passed.
+/// Waits until enough engines have answered a health check, at most for 2 s.
 pub async fn wait_for_engines(service: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
         if clock.now() >= give_up_at {
-            log::warn!("too few engines have answered a health check: ready without them");
+            log::warn!("too few engines have answered a health check after {} ms; starting without them",
+                MAX_ENGINE_WAIT.as_ms());
             break;
         }
         tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -281,12 +281,12 @@
 /// The new version starts with the learned state of the old one. A snapshot that is damaged, of a later version or of
 /// the day before is ignored with one line in the log, and the new version starts all the same.
 #[rstest]
-#[case("whole", "goes on from")]
-#[case("cut", "damaged")]
-#[case("spoilt", "damaged")]
+#[case("whole", "learned state restored")]
+#[case("cut", "corrupted")]
+#[case("spoilt", "corrupted")]
 #[case("newer", "newer than")]
 #[case("old", "s old")]
-#[case("unread", "left out")]
+#[case("unread", "snapshot ignored")]
 fn a_new_version_restores_the_learned_state_of_the_old_one(#[case] what: &str, #[case] logged: &str) {
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
@@ -333,7 +333,7 @@
         std::thread::sleep(Duration::from_micros(990_000 + u64::from(rng.rand_range(0..20_000))));
         program.kill();
         let lines = std::fs::read_to_string(&log).unwrap();
-        assert!(!lines.contains("left out"), "round {round}: {lines}");
+        assert!(!lines.contains("snapshot ignored"), "round {round}: {lines}");
     }
     let _last = platform.start();
     let parts = || {
