--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lifecycle of a server as one state machine without I/O and clock: the one source for accept loops, health
-//! checks and signal handlers.
+//! The lifecycle of a server as a state machine without I/O and clock. Accept loops, health checks and signal handlers
+//! all use this one state machine.
 //!
 //! ```text
 //!      EngineListLoaded + EnginesChecked     Quiesce
@@ -13,8 +13,8 @@
 //!                    +--------> Ended <---------+
 //! ```
 //!
-//! What each event does in each phase (`=`: nothing, and that is no error; a phase: the one that follows; `error`:
-//! a [`TransitionError`] of this name, and nothing changes):
+//! The effect of each event in each phase. `=` means that the event is allowed and changes nothing; a phase is the
+//! next phase; `error` means that nothing changes and the result is the [`TransitionError`] of this name.
 //!
 //! | event | Starting | Ready | Drained | Stopping, HandedOver | Ended |
 //! | --- | --- | --- | --- | --- | --- |
@@ -42,31 +42,31 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Who accepts on the socket to which clients connect.
+/// Which processes accept on the listening socket for clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenSocket {
-    /// This process alone: the socket closes with it, and clients connect until they notice.
+    /// Only this process. The socket closes with it, and clients continue to connect until they detect the shutdown.
     Exclusive,
-    /// Other processes too: no client is rejected when this one stops accepting.
+    /// Other processes too. No connection is refused when this process stops accepting.
     Shared,
 }
 
-/// What happens to a server.
+/// An event in the lifecycle of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// It has read the list of engines.
+    /// The endpoint list is loaded.
     EngineListLoaded,
-    /// Enough engines have answered a health check, or the wait for them is over.
+    /// Enough engines have answered a health check, or the wait for them has timed out.
     EnginesChecked,
-    /// An operator drains it: clients are to go elsewhere.
+    /// An operator starts a drain: clients have to switch to other servers.
     Quiesce,
     /// An operator ends the drain.
     Resume,
-    /// It is to shut down gracefully (SIGTERM).
+    /// A graceful shutdown begins (SIGTERM).
     Terminate,
-    /// It is to read its configuration again (SIGHUP).
+    /// The configuration is reloaded (SIGHUP).
     Reload,
-    /// After [`Event::Terminate`], the last response is sent.
+    /// The last response after [`Event::Terminate`] is sent.
     LastResponseSent,
 }
 
@@ -86,22 +86,23 @@
 /// The phase of a server's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It can't serve well yet.
+    /// The endpoint list is not loaded yet, or too few engines have answered a health check.
     Starting,
-    /// It serves.
+    /// The server accepts new clients and serves requests.
     Ready,
-    /// It serves, and asks clients to go elsewhere, until it is resumed.
+    /// The server serves requests, but its health check fails so that clients switch to other servers, until it is
+    /// resumed.
     Drained,
-    /// It shuts down gracefully, and its socket closes with it.
+    /// The server shuts down gracefully, and its socket closes with it.
     Stopping,
-    /// It shuts down gracefully, and another process accepts on its socket.
+    /// The server shuts down gracefully, and another process accepts on its socket.
     HandedOver,
-    /// Everything is answered.
+    /// The last response is sent.
     Ended,
 }
 
 impl Phase {
-    /// The name in health checks and the log.
+    /// Returns the name of the phase, as health checks and the log print it.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -120,21 +121,21 @@
     }
 }
 
-/// Why an event is not allowed in the present phase.
+/// The reason why an event is not allowed in the current phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TransitionError {
-    /// The server shuts down already.
+    /// The server is shutting down.
     #[error("the program is stopping")]
     Stopping,
     /// The server has ended.
     #[error("the program has ended")]
     Ended,
-    /// The server was not terminated.
+    /// The server has not received [`Event::Terminate`].
     #[error("the program is serving")]
     Serving,
 }
 
-/// How far a server's lifecycle has come; it never goes back.
+/// The stages of a server's lifecycle, in order. A server never returns to an earlier stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Serving,
@@ -153,7 +154,7 @@
 }
 
 impl Lifecycle {
-    /// The lifecycle of a server that has just started.
+    /// Creates the lifecycle of a server that has just started.
     pub fn new(socket: ListenSocket) -> Lifecycle {
         Lifecycle {
             socket,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match (self.stage, self.socket) {
             (Stage::Ended, _) => Phase::Ended,
@@ -176,10 +177,10 @@
         }
     }
 
-    /// Applies an event, and gives the phase that follows where it is another.
+    /// Applies an event. Returns the new phase, or `None` if the phase stays the same.
     ///
     /// # Errors
-    /// Where the present phase does not allow the event; then nothing changes.
+    /// The current phase does not allow the event. Then nothing changes.
     pub fn apply(&mut self, event: Event) -> Result<Option<Phase>, TransitionError> {
         let before = self.phase();
         match self.stage {
@@ -222,22 +223,23 @@
         }
     }
 
-    /// Whether a health check finds it ready for new clients.
+    /// Returns whether health checks report the server as ready for new clients.
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
-    /// Whether it shuts down, or has ended.
+    /// Returns whether the server is shutting down or has ended.
     pub fn is_shutting_down(&self) -> bool {
         self.stage != Stage::Serving
     }
 
-    /// Whether it accepts new connections. A drained server does: clients connect until they notice.
+    /// Returns whether the server accepts new connections. A drained server does, because clients continue to connect
+    /// until they detect the drain.
     pub fn accepts_connections(&self) -> bool {
         !matches!(self.phase(), Phase::HandedOver | Phase::Ended)
     }
 
-    /// Whether a connection stays open for the client's next request.
+    /// Returns whether a connection stays open after a response, for its client's next request.
     pub fn keeps_idle_connections(&self) -> bool {
         matches!(self.phase(), Phase::Starting | Phase::Ready)
     }
--- a/crates/lifecycle/tests/transitions.rs
+++ b/crates/lifecycle/tests/transitions.rs
@@ -1,5 +1,5 @@
-//! The table in `lib.rs`, compared with the code: each event in each phase, each pair of events in either order, and
-//! the invariants under any order of events.
+//! Checks the state machine against the table in `lib.rs`: each event in each phase, each pair of events in both
+//! orders, and the invariants for any order of events.
 
 use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 
@@ -13,7 +13,7 @@
 
 const STARTED: [Event; 2] = [Event::EngineListLoaded, Event::EnginesChecked];
 
-/// A lifecycle in each phase.
+/// Returns one lifecycle in each phase.
 fn phases() -> Vec<Lifecycle> {
     use Event::{LastResponseSent, Quiesce, Terminate};
     let with = |socket, more: &[Event]| after(socket, &[&STARTED[..], more].concat());
@@ -52,13 +52,13 @@
             let found = lifecycle.apply(event);
             assert_eq!(found, expected, "{event:?} when {}", before.phase());
             if found.is_err() {
-                assert_eq!(lifecycle, before, "{event:?} was rejected and changed something");
+                assert_eq!(lifecycle, before, "{event:?} was rejected but changed the lifecycle");
             }
         }
     }
 }
 
-/// Pairs in either order that lead to one phase, and those in which the order counts.
+/// Covers the pairs that lead to the same phase in both orders, and those whose order matters.
 #[test]
 fn every_pair_of_events_leads_to_its_phase() {
     use Event::{EngineListLoaded, EnginesChecked, LastResponseSent, Quiesce, Resume, Terminate};
@@ -77,14 +77,14 @@
                 assert_eq!(pair(first, second), expected, "{first:?} then {second:?}");
             }
         }
-        // Drained before it could serve: once resumed, it still has to learn of its engines.
+        // A drain before the start is complete: after the resume, the start still has to be completed.
         assert_eq!(after(socket, &[Quiesce, EngineListLoaded, Resume]).phase(), Phase::Starting);
         assert_eq!(after(socket, &[Quiesce, EnginesChecked, EngineListLoaded, Resume]).phase(), Phase::Ready);
     }
 }
 
-/// Under any order of events a terminated server is never ready again, one that is not ready never reports so, and
-/// the phases after SIGTERM never go back.
+/// For every order of five events: a terminated or drained server never reports ready, and the stages after SIGTERM
+/// are never left for an earlier one.
 #[test]
 fn no_order_of_events_makes_a_terminated_server_serve_again() {
     for number in 0..7usize.pow(5) {
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Takes over a listening TCP socket that the process was started with, by the number of its descriptor.
+//! Takes ownership of an inherited listening TCP socket, which is identified by the number of its descriptor.
 //!
-//! Libraries for socket activation by a service manager (`listenfd`, `sd-notify`) read variables of their own and count
-//! from descriptor 3. Here the caller gives the number, the socket is checked, and an error names what is wrong with
-//! it. This crate has the one line of the program that the compiler can't check.
+//! Libraries for socket activation by a service manager (`listenfd`, `sd-notify`) read environment variables of their
+//! own and count from descriptor 3. Here the caller passes the number, the socket is checked, and an error states
+//! which check failed. This crate has the only `unsafe` code of the program.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,82 +14,82 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use thiserror::Error;
 
-/// Lower numbers are standard input, output and error.
+/// The lowest number of an inherited socket. Lower numbers are standard input, output and error.
 const FIRST_INHERITED: RawFd = 3;
 
-/// Descriptors that were taken over; each can be taken once.
+/// The descriptors that this process has taken ownership of. Each can be taken only once.
 static TAKEN: Mutex<BTreeSet<RawFd>> = Mutex::new(BTreeSet::new());
 
-/// Why a descriptor can't be taken over.
+/// The reason why a descriptor can't be used as the inherited socket.
 #[derive(Debug, Error)]
 pub enum SocketActivationError {
-    /// The text is not the number of a descriptor that a process can inherit.
+    /// The text is not a number, or it is the number of standard input, output or error.
     #[error("must be the number of a descriptor, at least {FIRST_INHERITED}, is {text:?}")]
     InvalidNumber {
-        /// The text.
+        /// The text that was parsed.
         text: String,
     },
-    /// No descriptor of this number is open.
+    /// No descriptor with this number is open.
     #[error("descriptor {fd} is not open")]
     NotOpen {
         /// The number.
         fd: RawFd,
     },
-    /// The descriptor is a file, a pipe or the like.
+    /// The descriptor is not a socket, for example a file or a pipe.
     #[error("descriptor {fd} is not a socket")]
     NotASocket {
         /// The number.
         fd: RawFd,
     },
-    /// The socket does not accept TCP connections.
+    /// The socket is not a listening TCP socket.
     #[error("descriptor {fd} is not a listening TCP socket")]
     NotListening {
         /// The number.
         fd: RawFd,
     },
-    /// The socket listens at another address.
-    #[error("descriptor {fd} listens at {found}, not at {expected}")]
+    /// The socket listens on another address than the configured one.
+    #[error("descriptor {fd} listens on {found}, expected {expected}")]
     WrongAddress {
         /// The number.
         fd: RawFd,
-        /// Where it listens.
+        /// The address on which the socket listens.
         found: SocketAddr,
-        /// Where it should listen.
+        /// The configured address.
         expected: SocketAddr,
     },
-    /// This process has taken the descriptor over before.
-    #[error("descriptor {fd} is taken over already")]
+    /// This process has already taken ownership of the descriptor.
+    #[error("descriptor {fd} is already in use by this process")]
     AlreadyTaken {
         /// The number.
         fd: RawFd,
     },
     /// A system call on the socket failed.
-    #[error("descriptor {fd}: {source}")]
+    #[error("descriptor {fd}: a system call on the socket failed: {source}")]
     System {
         /// The number.
         fd: RawFd,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Parses the number of a descriptor, for example the value of an environment variable.
+/// Parses the number of a descriptor, for example from an environment variable.
 ///
 /// # Errors
-/// Where it is no number, or that of standard input, output or error.
+/// The text is not a number, or it is the number of standard input, output or error.
 pub fn parse_descriptor(text: &str) -> Result<RawFd, SocketActivationError> {
     let number = text.trim().parse().ok().filter(|number| *number >= FIRST_INHERITED);
     number.ok_or_else(|| SocketActivationError::InvalidNumber { text: text.to_owned() })
 }
 
-/// Takes over the socket under `fd`, which must listen at `address`. It is set to non-blocking mode, for every process
-/// that shares it, and is closed in programs that this process executes.
+/// Takes ownership of the socket with the descriptor `fd`, which must listen on `address`. The socket is set to
+/// non-blocking mode, which affects every process that shares it, and to close-on-exec.
 ///
-/// Call this before the process opens anything: then a number under which nothing was inherited is found closed, and
-/// is not a file of the process itself.
+/// Call this before the process opens any descriptor. Otherwise a descriptor that the process itself has opened could
+/// have the number of one that was not inherited.
 ///
 /// # Errors
-/// Where the descriptor is not a TCP socket that listens at `address`. A socket that is not accepted is closed.
+/// The descriptor is not a TCP socket that listens on `address`. A socket that fails the check is closed.
 pub fn take_listener(fd: RawFd, address: SocketAddr) -> Result<TcpListener, SocketActivationError> {
     if fd < FIRST_INHERITED {
         return Err(SocketActivationError::InvalidNumber { text: fd.to_string() });
@@ -103,14 +103,14 @@
     if !newly_taken {
         return Err(SocketActivationError::AlreadyTaken { fd });
     }
-    // SAFETY: the descriptor is open and a socket, as was just checked. Nothing else in this process owns it: the
-    // caller comes before all that opens descriptors, and each number is taken once.
+    // SAFETY: the descriptor is open and a socket, as checked above. Nothing else in this process owns it: this
+    // function is called before anything opens descriptors, and each number is taken only once.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
     match prepare(&socket, fd, address) {
         Ok(()) => Ok(socket.into()),
         Err(error) => {
-            // The socket is closed here, and a later one may get its number.
+            // The socket is closed here, so a later descriptor may get its number.
             taken().remove(&fd);
             drop(socket);
             Err(error)
@@ -122,7 +122,7 @@
     TAKEN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks that the socket listens at `address`, and sets its modes.
+/// Checks that the socket listens on `address`, and sets non-blocking mode and close-on-exec.
 fn prepare(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
     let system = |source| SocketActivationError::System { fd, source };
     let is_stream = socket.r#type().map_err(system)? == Type::STREAM;
--- a/crates/socket-activation/tests/take_listener.rs
+++ b/crates/socket-activation/tests/take_listener.rs
@@ -1,6 +1,6 @@
-//! Taking over a listening socket by the number of its descriptor.
+//! Taking ownership of an inherited listening socket.
 //!
-//! Numbers of descriptors belong to the whole process, so all that opens some is in one test.
+//! Descriptor numbers are shared by the whole process, so everything that opens descriptors is in one test.
 
 use sanddyke_socket_activation::{SocketActivationError, parse_descriptor, take_listener};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: `serve` runs the server, the other commands help to operate it.
+//! The command line. `serve` runs the server; the other commands check configurations and manage stores. Doc comments
+//! of arguments and commands are the help texts.
 
 use clap::{Parser, Subcommand};
 use sanddyke::admin::openapi;
@@ -82,40 +83,40 @@
     },
 }
 
-/// The configuration can't be used.
+/// Exit code: the configuration is invalid or can't be read.
 const EXIT_CONFIG: u8 = 3;
-/// The store can't be used.
+/// Exit code: the store can't be opened, read or written.
 const EXIT_STORE: u8 = 4;
-/// A change was rejected.
+/// Exit code: a change or a document was rejected.
 const EXIT_CHANGE_REJECTED: u8 = 5;
 
-/// Why a command failed.
+/// An error that ends a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The configuration can't be used.
+    /// The configuration is invalid or can't be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The store can't be used.
+    /// The store can't be opened, read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The changes are not allowed.
-    #[error("nothing was changed: {0}")]
+    /// A change of the document is not allowed, so none is made.
+    #[error("no change was made: {0}")]
     ChangeRejected(#[from] ChangeError),
-    /// A document of tenants can't be read or written.
+    /// A document of tenants can't be read, parsed or serialized.
     #[error("{path}: {reason}", path = .path.display())]
     Document {
-        /// The file, or the store that the document was made of.
+        /// The file of the document, or the store from which it was exported.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error message of the cause.
         reason: String,
     },
-    /// Output can't be written.
+    /// The standard output can't be written.
     #[error(transparent)]
     Output(#[from] std::io::Error),
 }
 
 impl CommandError {
-    /// The exit code.
+    /// Returns the exit code of the process.
     pub fn code(&self) -> ExitCode {
         match self {
             CommandError::Output(_) => ExitCode::FAILURE,
@@ -184,7 +185,7 @@
     print(&format!("{} is restored{replaced}\n", store.display()))
 }
 
-/// Reads a document of tenants and groups; `-` is standard input.
+/// Reads a document of tenants and groups. The path `-` is the standard input.
 fn read_document(path: &Path) -> Result<Document, CommandError> {
     let error = |reason: String| CommandError::Document { path: path.to_owned(), reason };
     let text = if path.as_os_str() == "-" {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,26 +1,27 @@
-//! Time: whole microseconds on the monotonic clock, and its conversion from and to Unix time.
+//! Time in whole microseconds of the monotonic clock, and its conversion from and to Unix time.
 
 use std::ops::{Add, Sub};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A point in time since the program's start, or a duration, in microseconds. Points before the start, for example
-/// the start of an engine, are negative.
+/// A point in time, counted from the program's start, or a duration, in microseconds. Points in time before the start
+/// are negative, for example the start of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub i64);
 
 impl Micros {
-    /// From milliseconds, the unit of the decision module; limited to a day in either direction.
+    /// Converts from milliseconds, the unit of the decision module. The value is limited to one day in either
+    /// direction.
     pub fn from_ms(ms: f64) -> Micros {
         const DAY_MS: f64 = 86_400_000.0;
         Micros((ms.clamp(-DAY_MS, DAY_MS) * 1000.0) as i64)
     }
 
-    /// In milliseconds, the unit of the decision module.
+    /// Converts to milliseconds, the unit of the decision module.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// As a duration; a negative one becomes 0.
+    /// Converts to a [`Duration`]. A negative value becomes 0.
     pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0).unsigned_abs())
     }
@@ -40,7 +41,8 @@
     }
 }
 
-/// The program's clock: monotonic, and related to Unix time once, at the start.
+/// The program's clock. It is monotonic: Unix time is read once, at the start, so later steps of the system clock
+/// have no effect.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -54,37 +56,38 @@
         Clock { origin: Instant::now(), origin_unix_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX) }
     }
 
-    /// A seed for random numbers where none is configured: the time of the start, so another at each start.
+    /// Returns the seed of random numbers that applies if none is configured. It is the time of the start, so it
+    /// differs between starts.
     pub fn seed(&self) -> u64 {
         self.origin_unix_us.unsigned_abs()
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         Micros(i64::try_from(self.origin.elapsed().as_micros()).unwrap_or(i64::MAX))
     }
 
-    /// The Unix time now, in microseconds.
+    /// Returns the current Unix time, in microseconds.
     pub fn unix_us(&self) -> u64 {
         self.unix_us_of(self.now())
     }
 
-    /// The Unix time of a point in time, in microseconds.
+    /// Returns the Unix time of a point in time, in microseconds.
     pub fn unix_us_of(&self, at: Micros) -> u64 {
         self.origin_unix_us.saturating_add(at.0).unsigned_abs()
     }
 
-    /// The Unix time now, in milliseconds.
+    /// Returns the current Unix time, in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         self.unix_us() / 1000
     }
 
-    /// A point in time as an instant, for the runtime's timers.
+    /// Converts a point in time to an [`Instant`], for the runtime's timers.
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + at.to_duration()
     }
 
-    /// The point in time at a Unix time in milliseconds.
+    /// Converts a Unix time in milliseconds to a point in time.
     pub fn from_unix_ms(&self, unix_ms: i64) -> Micros {
         Micros(unix_ms.saturating_mul(1000).saturating_sub(self.origin_unix_us))
     }
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -9,48 +9,50 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// A lease has to outlive two lost renewals and an election of the voters (1 to 2 s).
+/// A lease must not expire during two lost renewals and an election of the voters (1 to 2 s).
 const DEFAULT_LEASE_MS: u64 = 3000;
+/// The allowed lengths of a lease.
 const LEASE_MS: RangeInclusive<u64> = 500..=600_000;
 const MIN_BACKUP_INTERVAL_MS: u64 = 1000;
-/// The longest name of a manager or cluster, as messages between managers have it.
+/// Limit of a manager's or cluster's name in the messages between managers.
 const MAX_NAME_BYTES: usize = 64;
-/// Sizes of a voter group: with one voter more than an odd number no more may fail.
+/// The allowed numbers of voters. An even number is not allowed: it tolerates no more failed voters than the odd
+/// number below it.
 const VOTER_COUNTS: [usize; 4] = [1, 3, 5, 7];
 
-/// A cluster of managers that communicate.
+/// The settings of a cluster of managers, from the `[cluster]` section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fleet {
-    /// The cluster's name: messages of others are rejected.
+    /// The cluster's name. Messages from other clusters are rejected.
     pub name: String,
-    /// Where other managers connect.
+    /// The address on which this manager accepts connections from other managers.
     pub listen: SocketAddr,
-    /// The address that other managers are given.
+    /// The address that is announced to other managers.
     pub advertise: SocketAddr,
-    /// Where some other managers may be found at the start.
+    /// Addresses of other managers, some of which may be reachable at the start.
     pub seeds: Vec<SocketAddr>,
-    /// The names of the voters: 1, 3, 5 or 7.
+    /// The names of the voters: 1, 3, 5 or 7 managers.
     pub voters: Vec<String>,
-    /// The voter's own file.
+    /// The file in which this manager stores its voter state. Required for a voter, otherwise unused.
     pub path: Option<PathBuf>,
-    /// This manager's zone.
+    /// This manager's zone; empty if none is configured.
     pub zone: String,
-    /// The leases that this manager tries to acquire.
+    /// The names of the leases that this manager tries to acquire.
     pub duties: Vec<String>,
-    /// The length of a lease, in microseconds.
+    /// The duration of a lease, in microseconds.
     pub lease_us: u64,
-    /// Time between two scheduled backups, in ms.
+    /// The interval between two scheduled backups, in ms; `None` if there are no scheduled backups.
     pub backup_every_ms: Option<u64>,
 }
 
-/// Checks the section. `manager` is this manager's name, `has_backup_folder` whether `store.backups` is set.
+/// Checks the section. `manager` is this manager's name; `has_backup_folder` tells whether `store.backups` is set.
 pub(super) fn cluster(
     keys: ClusterKeys,
     manager: &str,
     has_backup_folder: bool,
 ) -> Result<Fleet, ConfigError> {
     if cfg!(not(feature = "cluster")) {
-        return Err(invalid("cluster", "this build has no fleet: build it with --features cluster"));
+        return Err(invalid("cluster", "this build has no cluster support: build it with --features cluster"));
     }
     let listen = loopback("cluster.listen", keys.listen)?;
     let advertise = loopback("cluster.advertise", keys.advertise.unwrap_or(listen))?;
@@ -86,10 +88,12 @@
 fn check_names(keys: &ClusterKeys, manager: &str) -> Result<(), ConfigError> {
     let fits = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     if !fits(manager) {
-        return Err(invalid("name", format!("must have 1 to {MAX_NAME_BYTES} bytes in a fleet")));
+        let reason = format!("must have 1 to {MAX_NAME_BYTES} bytes in a cluster, has {}", manager.len());
+        return Err(invalid("name", reason));
     }
     if !fits(&keys.name) {
-        return Err(invalid("cluster.name", format!("must have 1 to {MAX_NAME_BYTES} bytes")));
+        let reason = format!("must have 1 to {MAX_NAME_BYTES} bytes, has {}", keys.name.len());
+        return Err(invalid("cluster.name", reason));
     }
     Ok(())
 }
@@ -97,10 +101,10 @@
 fn check_voters(keys: &ClusterKeys, manager: &str) -> Result<(), ConfigError> {
     let distinct: BTreeSet<&str> = keys.voters.iter().map(String::as_str).collect();
     if !VOTER_COUNTS.contains(&keys.voters.len()) || distinct.len() != keys.voters.len() {
-        return Err(invalid("cluster.voters", "must be 1, 3, 5 or 7 names, each once"));
+        return Err(invalid("cluster.voters", "must be 1, 3, 5 or 7 different names"));
     }
     if keys.path.is_none() && distinct.contains(manager) {
-        return Err(invalid("cluster.path", format!("is missing, and {manager} is a voter")));
+        return Err(invalid("cluster.path", format!("missing, but this manager ({manager}) is a voter")));
     }
     Ok(())
 }
@@ -108,10 +112,11 @@
 fn check_backups(keys: &ClusterKeys, has_backup_folder: bool) -> Result<(), ConfigError> {
     let Some(interval_ms) = keys.backup_every_ms else { return Ok(()) };
     if interval_ms < MIN_BACKUP_INTERVAL_MS {
-        return Err(invalid("cluster.backup_every_ms", "must be at least 1000"));
+        let reason = format!("must be at least {MIN_BACKUP_INTERVAL_MS}, is {interval_ms}");
+        return Err(invalid("cluster.backup_every_ms", reason));
     }
     if !has_backup_folder {
-        return Err(invalid("cluster.backup_every_ms", "is set, and no folder is (store.backups)"));
+        return Err(invalid("cluster.backup_every_ms", "set, but store.backups names no folder for backups"));
     }
     Ok(())
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,48 +1,48 @@
-//! Why a configuration can't be used; each message names the key.
+//! Errors of reading and checking the configuration. Each message begins with the key that it is about.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a configuration can't be used.
+/// An error of reading or checking the configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No source of a configuration is given.
-    #[error("LB_CONFIG: neither it nor SANDDYKE_CONFIG is set, and no --config is given")]
+    /// Neither the command line nor the environment names a configuration file.
+    #[error("LB_CONFIG: no configuration file: set LB_CONFIG or SANDDYKE_CONFIG, or pass --config")]
     Unset,
     /// A file can't be read.
     #[error("{key}: can't read {path}: {source}")]
     File {
-        /// The key that names the file.
+        /// The key, variable or option that names the file.
         key: &'static str,
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A configuration file is neither JSON nor TOML.
+    /// The configuration file is not valid JSON or TOML.
     #[error("{key}: {reason}")]
     Syntax {
         /// The variable or option that names the file.
         key: &'static str,
-        /// The parser's message.
+        /// The parser's error message.
         reason: String,
     },
-    /// A key's value can't be used.
+    /// The value of a key is invalid.
     #[error("{key}: {reason}")]
     Key {
-        /// The key, with its path.
+        /// The path of the key, for example `cluster.lease_ms`.
         key: String,
-        /// What is wrong with its value.
+        /// What is expected of the value, and what was found as far as it helps.
         reason: String,
     },
 }
 
-/// The error of a key whose value can't be used.
+/// Creates the error for a key with an invalid value.
 pub(super) fn invalid(key: impl Into<String>, reason: impl ToString) -> ConfigError {
     ConfigError::Key { key: key.into(), reason: reason.to_string() }
 }
 
-/// The content of a file that a key names.
+/// Reads the file that the key `key` names.
 pub(super) fn read_file(key: &'static str, path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|source| ConfigError::File { key, path: path.to_owned(), source })
 }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,6 +1,6 @@
-//! The keys of a configuration file, as serde reads them.
+//! The keys of a configuration file, as serde deserializes them.
 //!
-//! Their doc comments are the descriptions in the JSON schema (`sanddyke schema`).
+//! Names of types and fields and their doc comments are part of the JSON schema that `sanddyke schema` prints.
 
 use crate::settings;
 use crate::tenant_directory::Ldap;
@@ -177,7 +177,7 @@
     1.0
 }
 
-/// The JSON schema of a configuration file.
+/// Returns the JSON schema of a configuration file.
 pub fn schema() -> Value {
     serde_json::to_value(schemars::schema_for!(File)).unwrap_or_default()
 }
--- a/src/config/initial_list.rs
+++ b/src/config/initial_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list at the start, from the events under `known`.
+//! The endpoint list at the start, built from the watch events under the key `known`.
 
 use super::file::{Endpoint, KnownKeys, Status};
 use crate::clock::Clock;
@@ -6,7 +6,8 @@
 use crate::decision::EngineState;
 use crate::discovery::EngineList;
 
-/// Applies the events in order. The first replaces the empty list, and so does each complete one.
+/// Applies the events in order. The first event and each event marked as a snapshot replace the whole list; the others
+/// update it.
 pub(super) fn initial_list(known: KnownKeys, clock: &Clock) -> EngineList {
     let mut list = EngineList::default();
     for (index, notice) in known.notices.into_iter().enumerate() {
--- a/src/config/listeners.rs
+++ b/src/config/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners for TDS clients and for the administration API, and the login for engines.
+//! The settings of the listeners for TDS clients and for the administration API, and of the protocol of the engines.
 
 use super::error::{ConfigError, invalid, read_file};
 use super::file::{AdminKeys, EngineKeys, TdsKeys};
@@ -13,42 +13,44 @@
 use std::sync::Arc;
 use tokio_rustls::rustls::{ServerConfig, version};
 
-/// The shortest token of the root operator, in characters.
+/// Lower limit of the length of the root operator's token, in bytes.
 const MIN_TOKEN_LENGTH: usize = 16;
-/// The shortest time budget of a request over TDS.
+/// Lower limit of the default time budget of a request over TDS.
 const MIN_BUDGET_MS: f64 = 1.0;
-/// LDAP has no encryption here: the directory must be on this machine.
+/// The allowed beginnings of the directory's URL. LDAP is used without encryption, so the directory must be on this
+/// machine.
 const LOCAL_LDAP_URLS: [&str; 3] = ["ldap://127.", "ldap://localhost", "ldap://[::1]"];
-/// The program's name in its logins at engines.
+/// The application name in logins to engines.
 const APPLICATION: &str = "sanddyke";
 
-/// The listener for TDS clients.
+/// The settings of the listener for TDS clients.
 #[derive(Debug)]
 pub struct TdsFront {
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// The class of a request that names none.
+    /// The class of a request that does not name one.
     pub class: String,
-    /// The time budget of a request that names none.
+    /// The time budget of a request that does not set one.
     pub budget: Micros,
-    /// Finds the tenant of a login.
+    /// The directory that maps a login to a tenant.
     pub directory: Directory,
-    /// TLS, where the listener has it.
+    /// The TLS configuration; `None` if the listener is not encrypted.
     pub tls: Option<Arc<ServerConfig>>,
 }
 
-/// The listener for the administration API.
+/// The settings of the administration API.
 #[derive(Debug)]
 pub struct AdminApi {
-    /// Where operators connect.
+    /// The address on which operators connect.
     pub listen: SocketAddr,
     /// The token of the root operator.
     pub token: String,
-    /// TLS, where the listener has it.
+    /// The TLS configuration; `None` if the listener is not encrypted.
     pub tls: Option<Arc<ServerConfig>>,
 }
 
-/// Checks an address whose protocol has no encryption and carries passwords: it must be on this machine.
+/// Checks that an address is a loopback address. This holds for protocols without encryption or authentication, which
+/// must be reachable from this machine only.
 pub(super) fn loopback(key: &str, address: SocketAddr) -> Result<SocketAddr, ConfigError> {
     match address.ip().is_loopback() {
         true => Ok(address),
@@ -68,15 +70,17 @@
         private_key: keys.private_key.as_deref(),
         client_ca: None,
     };
-    // TLS 1.2, as TDS 7 has it: the server sends the handshake's last message, so that what follows is told from it.
+    // TDS 7 requires TLS 1.2: there the server sends the last message of the handshake, so the end of the handshake is
+    // distinguishable from the data that follows.
     let tls = files.server_config(&[&version::TLS12])?;
     let class = keys.default_class.or(front.classes.first().cloned());
-    let class = class.ok_or_else(|| invalid("settings.classes", "empty"))?;
+    let class = class.ok_or_else(|| invalid("settings.classes", "must have a class for TDS clients, is empty"))?;
     let index = front.classes.iter().position(|name| *name == class);
-    let index = index.ok_or_else(|| invalid("tds.default_class", format!("unknown class {class:?}")))?;
+    let index =
+        index.ok_or_else(|| invalid("tds.default_class", format!("no such class in settings.classes: {class:?}")))?;
     let budget_ms = keys.default_ttl_ms.unwrap_or(front.settings.classes[index].deadline_ms);
     if budget_ms < MIN_BUDGET_MS {
-        return Err(invalid("tds.default_ttl_ms", "must be at least 1"));
+        return Err(invalid("tds.default_ttl_ms", format!("must be at least {MIN_BUDGET_MS}, is {budget_ms}")));
     }
     let directory = directory(ldap, tenants.clone())?;
     let listen = if tls.is_some() { keys.listen } else { loopback("tds.listen", keys.listen)? };
@@ -86,7 +90,7 @@
 fn directory(ldap: Option<Ldap>, tenants: KnownTenants) -> Result<Directory, ConfigError> {
     let Some(ldap) = ldap else { return Ok(Directory::Database(tenants)) };
     if !LOCAL_LDAP_URLS.iter().any(|prefix| ldap.url.starts_with(prefix)) {
-        return Err(invalid("ldap.url", "must be ldap:// on a loopback address"));
+        return Err(invalid("ldap.url", format!("must be ldap:// on a loopback address, is {}", ldap.url)));
     }
     Ok(Directory::Ldap(ldap, tenants))
 }
@@ -94,7 +98,8 @@
 pub(super) fn admin_api(keys: AdminKeys) -> Result<AdminApi, ConfigError> {
     let token = read_file("admin.token_file", &keys.token_file)?.trim().to_owned();
     if token.len() < MIN_TOKEN_LENGTH {
-        return Err(invalid("admin.token_file", "must hold a token of at least 16 characters"));
+        let reason = format!("must have a token of at least {MIN_TOKEN_LENGTH} bytes");
+        return Err(invalid("admin.token_file", reason));
     }
     let files = TlsFiles {
         section: "admin",
@@ -107,7 +112,7 @@
     Ok(AdminApi { listen, token, tls })
 }
 
-/// The protocol of the engines; the platform's where none is configured.
+/// Returns the protocol of the engines. Without an `[engines]` section it is the platform's line protocol.
 pub(super) fn upstream_protocol(keys: Option<EngineKeys>) -> Result<UpstreamProtocol, ConfigError> {
     let Some(keys) = keys else { return Ok(UpstreamProtocol::LineProtocol) };
     match keys.wire.as_str() {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,16 +1,17 @@
-//! The one place where the configuration is read, checked and given defaults.
+//! Reading and checking of the configuration, with all defaults.
 //!
-//! On the platform it comes in `LB_CONFIG` (a JSON file), `LB_NAME`, `LB_LISTEN` and `LB_OPS`; elsewhere in an operator's
-//! TOML file, named by `--config` or `SANDDYKE_CONFIG`. A message names the key that can't be used.
+//! On the platform, the variable `LB_CONFIG` names a JSON file, and `LB_NAME`, `LB_LISTEN` and `LB_OPS` override its
+//! keys. Elsewhere, `--config` or the variable `SANDDYKE_CONFIG` names an operator's TOML file. Each error message
+//! names the invalid key.
 //!
-//! | module | what it has |
+//! | module | content |
 //! | --- | --- |
-//! | `source` | where the configuration comes from, its values as they were read |
+//! | `source` | the file and the variables of the configuration, and the values as they were read |
 //! | `file` | the keys of a file, and their JSON schema |
-//! | `listeners`, `tls` | listeners for TDS and the administration API, login for engines |
+//! | `listeners`, `tls` | the listeners for TDS and the administration API, the protocol of the engines |
 //! | `cluster` | the `[cluster]` section |
 //! | `initial_list` | the endpoint list at the start |
-//! | `error` | errors, each with its key |
+//! | `error` | the errors |
 
 mod cluster;
 mod error;
@@ -39,9 +40,9 @@
 const DEFAULT_NAME: &str = "sanddyke";
 const DEFAULT_SERVICE: &str = "_api._tcp.svc.local";
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// With fewer descriptors there would be none left for clients.
+/// With fewer descriptors, none would be left for clients.
 const MIN_DESCRIPTORS: usize = 64;
-/// Above the longest result of the platform's engines: each further page costs a call and memory.
+/// Larger than the longest result of the platform's engines, because each further page costs a call and memory.
 const DEFAULT_PAGE_BYTES: usize = 256 * 1024;
 const DEFAULT_MAX_OPEN: f64 = 20_000.0;
 const DEFAULT_STREAMS: f64 = 100.0;
@@ -52,47 +53,47 @@
 /// The checked configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The values as they were read.
+    /// The values as they were read, to find the keys that a reload changes.
     pub read: RawConfig,
-    /// The workload manager's name.
+    /// The name of this manager.
     pub name: String,
-    /// Where HTTP clients connect, if they do.
+    /// The address on which HTTP clients connect; `None` if HTTP is off.
     pub listen: Option<SocketAddr>,
-    /// Where the operations endpoint listens, if there is one.
+    /// The address of the operations endpoint; `None` if it is off.
     pub ops: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// File descriptors that the process may have.
+    /// The maximum of file descriptors that the process may have open.
     pub sockets: usize,
-    /// The name service.
+    /// The address of the name service; `None` if the initial endpoint list never changes.
     pub resolver: Option<SocketAddr>,
-    /// The name to query.
+    /// The name of the engines' service, for which the name service is queried.
     pub service: String,
     /// The endpoint list at the start.
     pub listed: EngineList,
-    /// The decision module's settings and the names in them.
+    /// The settings of the decision module, and the names of its classes, tenants, kinds and zones.
     pub front: Front,
-    /// Requests that may be open at once.
+    /// The maximum of open requests.
     pub max_open: usize,
-    /// Attempts that one connection to an engine carries at once.
+    /// The maximum of attempts in flight on one connection to an engine.
     pub streams: usize,
-    /// A connection to an engine has to be established within this time, in ms.
+    /// The timeout for establishing a connection to an engine, in ms. Health checks have the same timeout.
     pub connect_ms: f64,
-    /// Engines close idle connections after this time, in ms.
+    /// The time after which engines close idle connections, in ms.
     pub keepalive_ms: f64,
-    /// Results of more bytes go out in pages.
+    /// Results of more bytes are sent to clients in pages.
     pub page_bytes: usize,
-    /// The engines' protocol.
+    /// The protocol for connections to engines.
     pub wire: UpstreamProtocol,
-    /// The listener for TDS clients, if there is one.
+    /// The listener for TDS clients; `None` if TDS is off.
     pub tds: Option<TdsFront>,
-    /// The administration API, if there is one.
+    /// The administration API; `None` if it is off.
     pub admin: Option<AdminApi>,
-    /// Where tenants are stored, if they are managed while the program runs.
+    /// The store of the tenants; `None` if the tenants are those of the settings and never change.
     pub store: Option<StoreKeys>,
-    /// The names of the tenants, shared with the frontends.
+    /// The names of the known tenants, shared with the frontends and the tenant service.
     pub known: KnownTenants,
-    /// The cluster, where managers communicate.
+    /// The cluster of managers; `None` if this manager is in none.
     pub fleet: Option<Fleet>,
 }
 
@@ -100,20 +101,20 @@
     /// Reads and checks the configuration.
     ///
     /// # Errors
-    /// A file that can't be read, or a key that can't be used.
+    /// The configuration file can't be read, or a key is missing or invalid.
     pub fn from(source: &Source, clock: &Clock) -> Result<Config, ConfigError> {
         let config = Config::from_value(&source.read()?, clock)?;
         if let (Some(address), false) = (config.ops, source.is_platform()) {
-            // Anybody who reaches it can send all clients away.
+            // The operations endpoint has no authentication: whoever reaches it can drain this manager.
             listeners::loopback("ops", address)?;
         }
         Ok(config)
     }
 
-    /// Checks a configuration that is read already.
+    /// Checks a configuration whose values were read before.
     ///
     /// # Errors
-    /// A key that can't be used.
+    /// A key is missing or invalid.
     pub fn from_value(value: &Value, clock: &Clock) -> Result<Config, ConfigError> {
         let file: File = serde_path_to_error::deserialize(value)
             .map_err(|error| invalid(error.path().to_string(), error.inner()))?;
@@ -124,7 +125,7 @@
         let page_bytes = page_bytes(file.page_bytes)?;
         let known = KnownTenants::new(front.tenants.iter().cloned());
         if file.store.is_some() {
-            // Until the store is read no tenant is known.
+            // No tenant is known until the store is read.
             known.replace([]);
         }
         let name = file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned());
@@ -164,7 +165,7 @@
         })
     }
 
-    /// The tenants of the settings, with which a new store begins.
+    /// Returns the tenants of the settings. They initialize a new store.
     pub fn document(&self) -> Document {
         let tenants = self.front.tenants.iter().zip(&self.front.settings.tenants);
         let entries = tenants.map(|(name, tenant)| {
@@ -187,21 +188,21 @@
     let descriptors = configured.unwrap_or(DEFAULT_DESCRIPTORS);
     match descriptors >= MIN_DESCRIPTORS {
         true => Ok(descriptors),
-        false => Err(invalid("limits.sockets", format!("must be at least 64, is {descriptors}"))),
+        false => Err(invalid("limits.sockets", format!("must be at least {MIN_DESCRIPTORS}, is {descriptors}"))),
     }
 }
 
 fn page_bytes(configured: Option<usize>) -> Result<usize, ConfigError> {
     match configured.unwrap_or(DEFAULT_PAGE_BYTES) {
-        0 => Err(invalid("page_bytes", "must be above 0")),
+        0 => Err(invalid("page_bytes", "must be above 0, is 0")),
         bytes => Ok(bytes),
     }
 }
 
-/// A number of `settings.allowed` with its default and lower bound.
+/// Checks a number of `settings.allowed` against its lower bound; `default` applies if it is not configured.
 fn at_least(key: &str, configured: Option<f64>, default: f64, minimum: f64) -> Result<f64, ConfigError> {
     let value = configured.unwrap_or(default);
-    // The comparison is false for what is not a number.
+    // NaN is not in the range.
     if (minimum..).contains(&value) {
         return Ok(value);
     }
--- a/src/config/source.rs
+++ b/src/config/source.rs
@@ -1,33 +1,34 @@
-//! Where the configuration comes from, and its values as they were read.
+//! The file and the environment variables of the configuration, and its values as they were read.
 
 use super::error::{ConfigError, read_file};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// Names the platform's file (JSON).
+/// The variable that names the platform's file (JSON).
 const PLATFORM_FILE: &str = "LB_CONFIG";
-/// Names an operator's file (TOML).
+/// The variable that names an operator's file (TOML).
 const OPERATOR_FILE: &str = "SANDDYKE_CONFIG";
-/// The command line's option for a file.
+/// The command line option that names a file.
 const FILE_OPTION: &str = "--config";
-/// Keys that variables of the environment set.
+/// Keys that environment variables override, with the names of the variables.
 const VARIABLES: [(&str, &str); 3] = [("name", "LB_NAME"), ("listen", "LB_LISTEN"), ("ops", "LB_OPS")];
-/// The keys that are read of the platform's file. It has more, under names that may be this program's too (an `admin`
-/// that is an address was seen), and what they would configure is off on the platform.
+/// The keys that are read from the platform's file. The file also has keys of other programs, which may have the name
+/// of a key of this program: one file had an `admin` that was an address. The features of the ignored keys are off on
+/// the platform.
 const PLATFORM_KEYS: [&str; 9] =
     ["name", "listen", "ops", "seed", "limits", "resolver", "service", "known", "settings"];
 
-/// Where the configuration comes from.
+/// The source of the configuration.
 #[derive(Debug, Clone)]
 pub enum Source {
-    /// The files that `LB_CONFIG` or `SANDDYKE_CONFIG` name.
+    /// The file that the variable `LB_CONFIG` names, or else the one that `SANDDYKE_CONFIG` names.
     Environment,
-    /// A file: JSON where its name ends so, else TOML.
+    /// A file: JSON if its name ends in `.json`, else TOML.
     File(PathBuf),
 }
 
-/// A file, and how it is written.
+/// A configuration file, its format, and the variable or option that names it.
 struct Location {
     key: &'static str,
     path: PathBuf,
@@ -35,12 +36,12 @@
 }
 
 impl Source {
-    /// Whether the platform provides the configuration, and decides who reaches which address.
+    /// Whether the platform provides the configuration. If so, it also decides who can connect to which address.
     pub fn is_platform(&self) -> bool {
         matches!(self, Source::Environment) && std::env::var_os(PLATFORM_FILE).is_some()
     }
 
-    /// Reads the file, and applies the variables of the environment.
+    /// Reads the file and applies the environment variables.
     pub(super) fn read(&self) -> Result<Value, ConfigError> {
         let location = self.location()?;
         let text = read_file(location.key, &location.path)?;
@@ -84,12 +85,12 @@
     }
 }
 
-/// The configuration's values as they were read, to find the keys that have changed since.
+/// The values of a configuration as they were read. Two of them are compared to find the changed keys.
 #[derive(Debug, Clone)]
 pub struct RawConfig(pub(super) Value);
 
 impl RawConfig {
-    /// The keys whose values differ from those of an earlier configuration.
+    /// Returns the keys whose values differ from those of the earlier configuration `before`.
     pub fn changed(&self, before: &RawConfig) -> Vec<String> {
         let keys: BTreeSet<String> = self.keys().chain(before.keys()).cloned().collect();
         keys.into_iter().filter(|key| self.0.get(key) != before.0.get(key)).collect()
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,8 +1,9 @@
-//! Configurations that can be used, and those that cannot.
+//! Valid and invalid configurations.
 
 use super::*;
 use serde_json::json;
 
+/// Guards against an error message that does not name the invalid key.
 #[test]
 fn a_message_names_the_faulty_key() {
     let settings = json!({
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of a listener, from the files that its keys name.
+//! The TLS configuration of a listener, built from the certificate and key files that its configuration keys name.
 
 use super::error::{ConfigError, invalid};
 use std::path::Path;
@@ -10,30 +10,30 @@
 use tokio_rustls::rustls::server::danger::ClientCertVerifier;
 use tokio_rustls::rustls::{RootCertStore, ServerConfig, SupportedProtocolVersion};
 
-/// The files of a listener's TLS.
+/// The files of a listener's TLS configuration.
 pub(super) struct TlsFiles<'a> {
-    /// The section that has the keys.
+    /// The configuration section of the listener, for error messages.
     pub section: &'static str,
     pub certificate: Option<&'a Path>,
     pub private_key: Option<&'a Path>,
-    /// Signs the clients' certificates; without it, none are asked for.
+    /// The certificate authority of the clients' certificates. Without it, client certificates are not requested.
     pub client_ca: Option<&'a Path>,
 }
 
 impl TlsFiles<'_> {
-    /// The TLS configuration; `None` where neither certificate nor key is set.
+    /// Returns the TLS configuration, or `None` if neither certificate nor private key is set.
     pub(super) fn server_config(
         &self,
         versions: &[&'static SupportedProtocolVersion],
     ) -> Result<Option<Arc<ServerConfig>>, ConfigError> {
         let (certificate, private_key) = match (self.certificate, self.private_key) {
             (None, None) if self.client_ca.is_some() => {
-                return Err(invalid(self.key("certificate"), "missing, with a client_ca"));
+                return Err(invalid(self.key("certificate"), "missing, required by client_ca"));
             }
             (None, None) => return Ok(None),
             (Some(certificate), Some(private_key)) => (certificate, private_key),
-            (None, Some(_)) => return Err(invalid(self.key("certificate"), "missing, with a private key")),
-            (Some(_), None) => return Err(invalid(self.key("private_key"), "missing, with a certificate")),
+            (None, Some(_)) => return Err(invalid(self.key("certificate"), "missing, required by private_key")),
+            (Some(_), None) => return Err(invalid(self.key("private_key"), "missing, required by certificate")),
         };
         let chain = self.certificates("certificate", certificate)?;
         let private_key = PrivateKeyDer::from_pem_file(private_key)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,23 @@
-//! A workload manager in front of query engines with limited memory: it decides when, and on which engine, each query
-//! or load of many tenants is executed, and gives each request one final answer.
+//! A workload manager in front of query engines with limited memory. It decides when and on which engine each query or
+//! load of many tenants is executed, and returns exactly one final answer for each request.
 //!
-//! [`decision`] decides, without I/O and clock; [`core`] surrounds it with requests, attempts and tenants, also without
-//! I/O; [`service`] runs the core as a task; [`frontend`] serves clients, [`upstream`] engines; [`discovery`] follows
-//! the list of engines; [`tenants`] and [`admin`] manage tenants; [`lifecycle`], [`state_handover`] and
-//! [`operations_endpoint`] are for starts, drains and ends of the process.
+//! | module | task |
+//! | --- | --- |
+//! | [`decision`] | scheduling decisions, without I/O and clock |
+//! | [`core`] | requests, attempts and tenants around the decision module, without I/O |
+//! | [`service`] | the task that runs the core |
+//! | [`frontend`] | connections of clients (HTTP, TDS) |
+//! | [`upstream`] | connections to engines |
+//! | [`discovery`] | updates of the endpoint list |
+//! | [`tenants`], [`admin`] | management of tenants |
+//! | [`cluster`] | leases and rolling restarts among several managers |
+//! | [`lifecycle`], [`state_handover`], [`operations_endpoint`] | start, drain and shutdown of the process |
+//! | [`config`], [`settings`] | configuration |
 //!
 //! # The decision module
 //!
-//! [`Gateway`] is a state machine. Its caller passes it every [`Event`] with the time at which it happened, and
-//! carries out the resulting [`Action`]s in order. The same events always give the same actions.
+//! [`Gateway`] is a state machine. Its caller passes every [`Event`] with the time at which it happened, and applies
+//! the resulting [`Action`]s in order. The same events always result in the same actions.
 //!
 //! ```
 //! use sanddyke::{Action, ClassSettings, EngineEntry, EngineId, EngineState, Event, Gateway};
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The program's lifecycle ([`sanddyke_lifecycle`]) as its tasks share it: accept loops and health checks read it,
-//! signals and the operations endpoint change it, and connections wait here until they are to close.
+//! The lifecycle of the program ([`sanddyke_lifecycle`]), shared by its tasks. Accept loops and health checks read it,
+//! signals and the operations endpoint change it, and connections wait for the phase in which they have to close.
 
 use sanddyke_lifecycle::{Event, Lifecycle, ListenSocket, Phase, TransitionError};
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// An idle connection is closed this long after clients were first asked to go elsewhere. Until then a request on it
-/// is answered, and the connection closes with the answer: fewer requests cross a close. Clients stop within 0.3 s
-/// (they check health ten times a second, and stop 0.2 s after).
+/// Delay between the start of a drain or shutdown and the close of idle connections. A request that arrives before
+/// the close is answered and its connection is closed with the response, so fewer requests are lost to a close.
+/// Clients stop within 0.3 s: they check health ten times a second and stop 0.2 s after a failed check.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Where the socket closes with the process, clients still use it this long after SIGTERM: on the platform they open
-/// connections for 0.4 s and send requests on open ones for a further 0.2 s; the rest is a margin.
+/// Time after SIGTERM for which clients still use a socket that closes with the process. On the platform they open
+/// connections for 0.4 s and send requests on open connections for another 0.2 s; the rest is a margin.
 const CLIENT_SWITCH_TIME: Duration = Duration::from_millis(800);
 
-/// Connections that the system queues for a listener (the backlog of tokio's own sockets).
+/// Maximum of connections in a listener's backlog. It is the value that tokio sets.
 const LISTEN_BACKLOG: usize = 1024;
 
-/// The lifecycle, and when its phase last changed.
+/// The lifecycle and the time of its last phase change.
 #[derive(Debug, Clone, Copy)]
 struct TimedLifecycle {
     lifecycle: Lifecycle,
     phase_since: Instant,
 }
 
-/// The lifecycle of the program, and what is still open in it. Clones share one lifecycle.
+/// The lifecycle of the program, with counts of unanswered requests and open connections. Clones share one lifecycle.
 #[derive(Debug, Clone)]
 pub struct LifecycleHandle {
     current: Arc<watch::Sender<TimedLifecycle>>,
@@ -34,8 +34,8 @@
     open_connections: Arc<AtomicUsize>,
 }
 
-/// Counts something that must end before the program does: a request without its complete answer, or a connection
-/// that may still bring one. It counts until it is dropped.
+/// Counts a request without a complete answer, or a connection on which a request may arrive, until it is dropped. A
+/// graceful shutdown waits for both.
 #[derive(Debug)]
 pub struct OpenGuard(Arc<AtomicUsize>);
 
@@ -53,7 +53,7 @@
 }
 
 impl LifecycleHandle {
-    /// The lifecycle of a program that has just started.
+    /// Creates the lifecycle of a program that has just started.
     pub fn new(socket: ListenSocket) -> LifecycleHandle {
         let initial = TimedLifecycle { lifecycle: Lifecycle::new(socket), phase_since: Instant::now() };
         LifecycleHandle {
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Applies an event, and gives the phase after it.
+    /// Applies an event and returns the phase after it.
     ///
     /// # Errors
-    /// Where the present phase does not allow the event.
+    /// The current phase does not allow the event.
     pub fn apply(&self, event: Event) -> Result<Phase, TransitionError> {
         let mut result = Ok(None);
         self.current.send_if_modified(|current| {
@@ -78,8 +78,8 @@
             changed
         });
         match result? {
-            Some(phase) => log::info!("lifecycle: {phase}, by {event:?}"),
-            None => log::debug!("lifecycle: {event:?} changes nothing"),
+            Some(phase) => log::info!("lifecycle: phase is {phase} after {event:?}"),
+            None => log::debug!("lifecycle: {event:?} does not change the phase"),
         }
         Ok(self.phase())
     }
@@ -88,32 +88,32 @@
         self.current.borrow().lifecycle
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.lifecycle().phase()
     }
 
-    /// Whether a health check finds the service ready.
+    /// Returns whether health checks report the service as ready.
     pub fn is_ready(&self) -> bool {
         self.lifecycle().is_ready()
     }
 
-    /// Whether the program shuts down.
+    /// Returns whether the program is shutting down or has ended.
     pub fn is_shutting_down(&self) -> bool {
         self.lifecycle().is_shutting_down()
     }
 
-    /// Whether new connections are accepted.
+    /// Returns whether new connections are accepted.
     pub fn accepts_connections(&self) -> bool {
         self.lifecycle().accepts_connections()
     }
 
-    /// Whether a connection stays open for its client's next request.
+    /// Returns whether a connection stays open after a response, for its client's next request.
     pub fn keeps_idle_connections(&self) -> bool {
         self.lifecycle().keeps_idle_connections()
     }
 
-    /// Waits until an idle connection is to be closed.
+    /// Waits until idle connections have to be closed.
     pub async fn wait_for_idle_close(&self) {
         self.wait_for(|phase| match phase {
             Phase::Starting | Phase::Ready => None,
@@ -123,9 +123,9 @@
         .await;
     }
 
-    /// Waits until no new connections are to be accepted: where others accept on the socket, until the shutdown
-    /// begins, else until clients have switched. Returns how many connections may still be in the socket's queue
-    /// that no other process accepts.
+    /// Waits until the accept loops have to stop. On a shared socket that is the start of the shutdown, on an
+    /// exclusive one the time by which clients have stopped connecting. Returns the maximum of connections in the
+    /// backlog that no other process accepts.
     pub async fn wait_for_accept_stop(&self) -> usize {
         self.wait_for(|phase| match phase {
             Phase::Starting | Phase::Ready | Phase::Drained => None,
@@ -136,8 +136,8 @@
         if self.phase() == Phase::Stopping { LISTEN_BACKLOG } else { 0 }
     }
 
-    /// Waits until the phase has lasted for the time that `delay` gives for it; a phase without one never ends the
-    /// wait.
+    /// Waits until the current phase has lasted for the time that `delay` returns for it. A phase for which it returns
+    /// `None` does not end the wait.
     async fn wait_for(&self, delay: impl Fn(Phase) -> Option<Duration>) {
         let mut changes = self.current.subscribe();
         loop {
@@ -150,7 +150,7 @@
             };
             tokio::select! {
                 () = delay_over => return,
-                // The sender is `self`'s, so it is not dropped before this ends.
+                // Never an error: `self` owns the sender, so it exists for as long as this future.
                 _ = changes.changed() => {}
             }
         }
@@ -161,17 +161,17 @@
         OpenGuard::new(&self.unanswered_requests)
     }
 
-    /// Requests that were read and have no complete answer yet.
+    /// Returns the number of requests that were read and have no complete answer yet.
     pub fn unanswered_requests(&self) -> usize {
         self.unanswered_requests.load(Ordering::Relaxed)
     }
 
-    /// Counts a connection that may bring a request, until the guard is dropped.
+    /// Counts a connection on which a request may arrive, until the guard is dropped.
     pub fn track_connection(&self) -> OpenGuard {
         OpenGuard::new(&self.open_connections)
     }
 
-    /// Connections that may bring a request.
+    /// Returns the number of connections on which a request may arrive.
     pub fn open_connections(&self) -> usize {
         self.open_connections.load(Ordering::Relaxed)
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,8 +1,9 @@
-//! When idle connections are closed.
+//! The close of idle connections during a drain.
 
 use super::*;
 
-/// Guards against connections that close although the drain has ended, or that never close.
+/// Guards against idle connections that close after the drain has ended, and against ones that never close during a
+/// drain.
 #[tokio::test(start_paused = true)]
 async fn idle_connections_close_during_a_drain_and_not_after_it_has_ended() {
     let lifecycle = LifecycleHandle::new(ListenSocket::Exclusive);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The workload manager on real sockets.
+//! The workload manager's executable: parses the command line, and runs the server or another command.
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -35,18 +35,18 @@
     }
 }
 
-/// Reads the configuration and runs the server on this thread until its graceful end.
+/// Reads the configuration and runs the server on this thread until its graceful shutdown is complete.
 fn serve(config_file: Option<PathBuf>) -> Result<(), ServerError> {
     let source = config_file.map_or(Source::Environment, Source::File);
     let clock = Clock::start();
     let config = Config::from(&source, &clock)?;
-    // Before anything else is opened: the number of a descriptor that was not inherited must be found unused.
+    // Must come before anything else is opened: if no socket was inherited, no descriptor with the number may be open.
     let inherited_listener = inherit_listener(config.listen)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(server::run(StartOptions { source, clock, config, inherited_listener }))
 }
 
-/// The clients' socket, where the platform has opened it and passed its descriptor on.
+/// Returns the inherited listening socket for HTTP clients, or `None` if the process was started without one.
 fn inherit_listener(address: Option<SocketAddr>) -> Result<Option<TcpListener>, ServerError> {
     let Ok(descriptor) = std::env::var(ACCEPT_FD_VARIABLE) else { return Ok(None) };
     let address = address.ok_or(ServerError::InheritedSocketWithoutAddress)?;
--- a/src/operations_endpoint.rs
+++ b/src/operations_endpoint.rs
@@ -1,7 +1,8 @@
-//! The operations endpoint: health and drain, for those who run the program. It is not the administration API and has
-//! no way to it.
+//! The operations endpoint: health checks and drains, for whoever operates the process. It is separate from the
+//! administration API.
 //!
-//! It has a thread, a runtime and descriptors of its own, so that its responses wait for no client, engine or queue.
+//! It has a thread, a runtime and a connection limit of its own, so that its responses do not wait for clients,
+//! engines or queues.
 
 use crate::clock::{Clock, Micros};
 use crate::frontend::http::message::{Request, Response};
@@ -19,29 +20,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// The longest body that is accepted; nothing in a body is used.
+/// Limit of a request's body. The content of the body is ignored.
 const MAX_BODY_BYTES: usize = 4096;
-/// Room for a request; a longer one makes the buffer grow.
+/// Initial capacity of a connection's read buffer. It grows for a longer request.
 const READ_BUFFER_BYTES: usize = 1024;
-/// Connections that may wait to be accepted.
+/// The listener's backlog.
 const BACKLOG: u32 = 1024;
-/// A caller that has not read its response by then has disconnected.
+/// Limit for sending a response. A caller that has not received it by then counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two heartbeats of the service.
+/// Interval between two heartbeats of the service.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// A service without a heartbeat for this long is stuck. One that is short of processor time is late, but not by so
-/// much: the platform's shortest timeout of a client is above 1 s.
+/// A service without a heartbeat for this long is reported as stuck. Lack of processor time delays heartbeats by less:
+/// the shortest timeout of the platform's clients is above 1 s.
 const STUCK_TIMEOUT: Micros = Micros(3_000_000);
 
-/// The health state of a service without a heartbeat.
+/// The state that a health check reports for a service without a heartbeat.
 const STUCK: &str = "stuck";
 
-/// When the service task last completed a turn, in microseconds of the program's clock. Clones share it.
+/// The time at which the service task last completed a turn, in microseconds of the program's clock. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Heartbeat(Arc<AtomicI64>);
 
 impl Heartbeat {
-    /// Records heartbeats for as long as the service runs: a query passes the same queue and turns as a request.
+    /// Records heartbeats until the service ends. A heartbeat is the reply to a query, which passes the same queue and
+    /// turns as a request.
     pub async fn run(self, service: ServiceHandle, clock: Clock) {
         while service.open_requests().await.is_ok() {
             self.0.store(clock.now().0, Ordering::Relaxed);
@@ -55,22 +57,22 @@
     }
 }
 
-/// What every connection of the operations endpoint uses.
+/// State that all connections of the operations endpoint share.
 #[derive(Debug, Clone)]
 pub struct OperationsEndpoint {
-    /// The lifecycle that it reports and changes.
+    /// The lifecycle that health checks report and drains change.
     pub lifecycle: LifecycleHandle,
-    /// Whether the service task makes progress.
+    /// The heartbeat of the service task.
     pub heartbeat: Heartbeat,
-    /// The clock of the heartbeat.
+    /// The clock with which the heartbeat is recorded.
     pub clock: Clock,
 }
 
-/// Serves the operations endpoint on a thread of its own until the program ends. With `max_connections` open, the
-/// oldest one that has sent no complete request gives way to a new one.
+/// Serves the operations endpoint on a thread of its own until the program ends. If `max_connections` are open, a new
+/// connection evicts the oldest one that has sent no complete request.
 ///
 /// # Errors
-/// Where the address can't be bound, or the thread or its runtime can't be started.
+/// The address can't be bound, or the thread or its runtime can't be created.
 pub fn start(
     address: SocketAddr,
     endpoint: OperationsEndpoint,
@@ -83,15 +85,16 @@
     };
     let serve = async move {
         if let Err(error) = endpoint.serve(listener, max_connections).await {
-            log::error!("ops: {error}");
+            log::error!("ops: the operations endpoint has ended: {error}");
         }
     };
     std::thread::Builder::new().name("ops".to_owned()).spawn(move || runtime.block_on(serve))?;
     Ok(())
 }
 
-/// Listens with a backlog for a flood of connections: a connection that finds it full is repeated by its system a second
-/// later, past the time within which an answer is owed.
+/// Binds the address and listens with a backlog that is long enough for a burst of connections. If the backlog is
+/// full, the caller's system repeats the connection attempt after a second, which is later than a health check has to
+/// be answered.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -109,11 +112,11 @@
             async move { endpoint.serve_connection(stream, &permit).await }
         };
         let never = std::future::pending();
-        frontend::accept(listener, max_connections, "second address", never, serve_connection).await;
+        frontend::accept(listener, max_connections, "operations endpoint", never, serve_connection).await;
         Ok(())
     }
 
-    /// Answers one request; what else comes on the connection is dropped.
+    /// Answers one request. Further data on the connection is dropped.
     async fn serve_connection(
         &self,
         mut stream: TcpStream,
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -1,37 +1,38 @@
-//! How the process divides its descriptors, and the limits of its connections to engines.
+//! Division of the process's file descriptors among their uses, and the limits of connections to engines.
 
 use sanddyke::clock::Micros;
 use sanddyke::config::Config;
 use sanddyke::upstream::{UpstreamLimits, UpstreamProtocol};
 
-/// Descriptors that are not for clients: engines, the name service, files.
+/// Descriptors reserved for engines, the name service and files.
 const RESERVED_DESCRIPTORS: usize = 160;
-/// One descriptor in so many may carry a client's open request.
+/// Number of descriptors for each open request that is admitted.
 const DESCRIPTORS_PER_OPEN_REQUEST: usize = 3;
-/// The operations endpoint takes one descriptor in so many.
+/// Number of descriptors for each connection that the operations endpoint may have.
 const DESCRIPTORS_PER_OPERATIONS_CONNECTION: usize = 16;
-/// Connections of the operations endpoint, however small the process is: a health check ten times a second and an
-/// operator beside it.
+/// Lower limit of the operations endpoint's connections. It is enough for ten health checks a second and an operator
+/// at the same time.
 const MIN_OPERATIONS_CONNECTIONS: usize = 16;
-/// Connections of the operations endpoint, however large the process is.
+/// Upper limit of the operations endpoint's connections.
 const MAX_OPERATIONS_CONNECTIONS: usize = 64;
 
-/// Buffer for the result of each open request, in bytes: somewhat above the longest of the platform's engines.
+/// Result buffer of each open request. It is somewhat larger than the longest result of the platform's engines.
 const RESULT_BUFFER_BYTES: usize = 64 * 1024;
-/// Connections to one engine of the line protocol, which carries many attempts on each.
+/// Maximum of connections to one engine over the line protocol, where a connection carries many attempts.
 const MAX_LINE_PROTOCOL_CONNECTIONS: usize = 4;
-/// Connections to one engine of TDS, which carries one attempt on each.
+/// Maximum of connections to one engine over TDS, where a connection carries one attempt.
 const MAX_TDS_CONNECTIONS: usize = 64;
 
-/// An engine that owes an answer and sends nothing for this long is lost, and so is an attempt that it reports
-/// nothing more of.
+/// A connection to an engine counts as lost if a response is pending and nothing arrives for this long. Applies to
+/// engines that send no progress notes.
 const DEFAULT_SILENCE_TIMEOUT: Micros = Micros(3_000_000);
-/// Where engines report progress at a known interval, so many reports in a row may be missing.
+/// If engines send progress notes at a known interval, a connection or an attempt counts as lost after this many
+/// intervals without data from the engine or without a note of the attempt.
 const MISSING_PROGRESS_REPORTS: f64 = 3.0;
-/// A line that an engine has begun is complete by then.
+/// Time from the first byte of an engine's line to its end.
 const LINE_TIMEOUT: Micros = Micros(1_000_000);
-/// An idle connection is closed after this fraction of the engine's own timeout, so that no request crosses the
-/// engine's close.
+/// An idle connection is closed after this fraction of the engine's own idle timeout. Thus no request is sent while
+/// the engine closes the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// The descriptors that the process may have open (`limits.sockets`), divided among their uses.
@@ -41,39 +42,39 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of so many descriptors in all.
+    /// Creates a budget from the total number of descriptors.
     pub fn new(total: usize) -> DescriptorBudget {
         DescriptorBudget { total }
     }
 
-    /// Requests of clients that may be open at once.
+    /// Maximum of open requests.
     pub fn max_open_requests(self) -> usize {
         self.total / DESCRIPTORS_PER_OPEN_REQUEST
     }
 
-    /// Connections of HTTP clients.
+    /// Maximum of connections from HTTP clients.
     pub fn max_http_connections(self) -> usize {
         self.total - self.total.min(RESERVED_DESCRIPTORS) / 2
     }
 
-    /// Connections of TDS clients.
+    /// Maximum of connections from TDS clients.
     pub fn max_tds_connections(self) -> usize {
         self.max_http_connections() / 2
     }
 
-    /// Connections of the operations endpoint.
+    /// Maximum of connections to the operations endpoint.
     pub fn max_operations_connections(self) -> usize {
         (self.total / DESCRIPTORS_PER_OPERATIONS_CONNECTION)
             .clamp(MIN_OPERATIONS_CONNECTIONS, MAX_OPERATIONS_CONNECTIONS)
     }
 
-    /// Bytes of all results that are being collected at once.
+    /// Maximum size in bytes of all results that are being received from engines.
     pub fn max_result_bytes(self) -> usize {
         self.max_open_requests() * RESULT_BUFFER_BYTES
     }
 }
 
-/// The limits of connections to engines.
+/// Returns the limits of connections to engines.
 pub fn upstream_limits(config: &Config, descriptors: DescriptorBudget) -> UpstreamLimits {
     let progress_interval_ms = config.front.settings.engines.progress_interval_ms;
     let reports_progress = progress_interval_ms > 0.0;
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners for clients (HTTP, TDS) and for operators (administration API).
+//! The listeners for clients (HTTP and TDS) and for operators (administration API).
 
 use super::Handles;
 use super::error::ServerError;
@@ -16,22 +16,22 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The listeners for clients and operators, each with its accept loop.
+/// The listeners for clients and operators. Each has an accept loop in a task of its own.
 #[derive(Debug)]
 pub struct Listeners {
     handles: Handles,
     descriptors: DescriptorBudget,
-    /// The accept loops; each ends by itself when the lifecycle says so.
+    /// The accept loops. Each ends when the lifecycle no longer accepts connections.
     pub accept_loops: Vec<JoinHandle<()>>,
 }
 
 impl Listeners {
-    /// No listeners yet.
+    /// Creates a value without listeners; [`Listeners::open`] adds them.
     pub fn new(handles: Handles, descriptors: DescriptorBudget) -> Listeners {
         Listeners { handles, descriptors, accept_loops: Vec::new() }
     }
 
-    /// Opens every listener that is configured.
+    /// Opens the configured listeners.
     pub async fn open(
         &mut self,
         config: Config,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Accepts HTTP clients, on the inherited socket where there is one.
+    /// Starts to accept HTTP clients, on the inherited socket if there is one.
     async fn start_http(
         &mut self,
         address: SocketAddr,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Accepts TDS clients.
+    /// Starts to accept TDS clients.
     async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
         let listener = bind(settings.listen).await?;
         let frontend = Tds {
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Accepts operators at the administration API, whose certificate can be replaced by `admin_tls`.
+    /// Starts the administration API. Its certificate can be replaced through `admin_tls`.
     async fn start_admin(
         &mut self,
         settings: AdminApi,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The server process: start-up, the wait for signals, reload of the configuration, and graceful shutdown.
+//! The server process: start-up, signal handling, configuration reload and graceful shutdown.
 
 mod error;
 mod limits;
@@ -24,16 +24,16 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// What a server is started with.
+/// Parameters of a server's start.
 #[derive(Debug)]
 pub struct StartOptions {
-    /// Where the configuration was read, and is read again at SIGHUP.
+    /// Where the configuration was read; SIGHUP reads it again.
     pub source: Source,
-    /// The process's clock.
+    /// The process's one clock.
     pub clock: Clock,
-    /// The configuration.
+    /// The checked configuration.
     pub config: Config,
-    /// The clients' socket, where the process has inherited it.
+    /// The listening socket for HTTP clients, if the process inherited it.
     pub inherited_listener: Option<TcpListener>,
 }
 
@@ -41,23 +41,24 @@
 #[derive(Debug)]
 pub struct Server {
     clock: Clock,
-    /// Whether other processes accept on the clients' socket too.
+    /// Whether other processes also accept on the listening socket for HTTP clients.
     socket: ListenSocket,
     lifecycle: LifecycleHandle,
     service: ServiceHandle,
-    /// The accept loops of the clients' and the operators' listeners.
+    /// The accept loops of the listeners for clients and operators.
     frontends: Vec<JoinHandle<()>>,
     cluster: Option<Cluster>,
     signals: Signals,
-    /// Notified when the cluster's rolling restart comes to this manager.
+    /// Notified when a rolling restart of the cluster restarts this manager.
     restart: Arc<Notify>,
     reloader: ConfigReloader,
     shutdown_budget: ShutdownBudget,
-    /// Where this process publishes its open connections while it shuts down, if another takes over.
+    /// Where this process publishes the number of its open connections while it shuts down. `None` if no other
+    /// process accepts on the same socket.
     peer_connections_file: Option<SnapshotFile>,
 }
 
-/// The parts that most tasks need: the way to the service, the lifecycle and the clock.
+/// Handles that most tasks need: the service, the lifecycle and the clock.
 #[derive(Debug, Clone)]
 struct Handles {
     service: ServiceHandle,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Runs a server from its start to its graceful end.
+/// Runs a server from its start to the end of its graceful shutdown.
 pub async fn run(options: StartOptions) -> Result<(), ServerError> {
     let mut server = Server::start(options).await?;
     server.run_until_terminated().await;
@@ -86,7 +87,8 @@
 }
 
 impl Server {
-    /// Serves until SIGTERM or a restart that the cluster has ordered. SIGHUP reloads the configuration.
+    /// Serves until SIGTERM or until a rolling restart of the cluster restarts this manager. SIGHUP reloads the
+    /// configuration.
     async fn run_until_terminated(&mut self) {
         loop {
             tokio::select! {
@@ -94,9 +96,9 @@
                     log::info!("SIGTERM: graceful shutdown begins");
                     return;
                 }
-                // The service manager starts the process again.
+                // The service manager starts the process again after its exit.
                 () = self.restart.notified() => {
-                    log::info!("roll: graceful shutdown begins, to be started again");
+                    log::info!("roll: graceful shutdown begins, the service manager restarts the process");
                     return;
                 }
                 _ = self.signals.reload.recv() => match self.lifecycle.apply(Event::Reload) {
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration while the server runs (SIGHUP).
+//! Configuration reload while the server runs (SIGHUP).
 
 use sanddyke::clock::Clock;
 use sanddyke::config::{AdminApi, Config, RawConfig, Source};
@@ -10,10 +10,10 @@
 /// The keys that take effect without a restart.
 const RELOADABLE_KEYS: [&str; 3] = ["resolver", "service", "known"];
 
-/// The TLS configuration of the administration API; none where the API is not encrypted.
+/// The TLS configuration of the administration API; `None` if the API is not encrypted.
 pub type AdminTls = watch::Sender<Option<Arc<ServerConfig>>>;
 
-/// Reads the configuration again and passes on what has changed.
+/// Reads the configuration again and applies the keys that take effect without a restart.
 #[derive(Debug)]
 pub struct ConfigReloader {
     source: Source,
@@ -24,7 +24,7 @@
 }
 
 impl ConfigReloader {
-    /// A reloader of the configuration that the server was started with.
+    /// Creates a reloader. `current` is the configuration that the server was started with.
     pub fn new(
         source: Source,
         clock: Clock,
@@ -35,12 +35,13 @@
         ConfigReloader { source, clock, current, discovery_target, admin_tls }
     }
 
-    /// Reads the configuration completely and applies its reloadable keys. One that can't be used changes nothing.
+    /// Reads and checks the whole configuration and applies its reloadable keys. An invalid configuration changes
+    /// nothing.
     pub fn reload(&mut self) {
         let config = match Config::from(&self.source, &self.clock) {
             Ok(config) => config,
             Err(error) => {
-                log::error!("SIGHUP: the configuration is not changed: {error}");
+                log::error!("SIGHUP: reload failed, the previous configuration stays in effect: {error}");
                 return;
             }
         };
@@ -55,19 +56,19 @@
         log::info!("SIGHUP: the configuration is reloaded");
     }
 
-    /// Says of each changed key whether it takes effect now or at the next start.
+    /// Logs for each changed key whether it takes effect now or at the next start.
     fn log_changes(&self, read: &RawConfig) {
         for key in read.changed(&self.current) {
             if RELOADABLE_KEYS.contains(&key.as_str()) {
-                log::info!("SIGHUP: {key} has changed");
+                log::info!("SIGHUP: {key} has changed and takes effect now");
             } else {
-                log::warn!("SIGHUP: {key} has changed, which takes effect at the next start only");
+                log::warn!("SIGHUP: {key} has changed and takes effect at the next start");
             }
         }
     }
 
-    /// Takes the administration API's certificate from its files again: those may have changed where the keys have
-    /// not. A listener that was started without encryption stays so.
+    /// Applies the administration API's certificate as it was just read from its files: the files may change while
+    /// their paths stay the same. A listener that was started without encryption stays without it.
     fn renew_admin_certificate(&self, admin: Option<AdminApi>) {
         let encrypted = self.admin_tls.borrow().is_some();
         let tls = admin.and_then(|admin| admin.tls);
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the server answers what it has accepted and ends before the platform ends it by force.
+//! Graceful shutdown: the server answers the requests that it has accepted and ends before the platform sends SIGKILL.
 
 use super::Server;
 use super::error::ServerError;
@@ -11,30 +11,30 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// The platform counts a longer deadline as this one when it decides how long a process has after SIGTERM.
+/// Upper limit of the class deadline from which the platform computes the time between SIGTERM and SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = Micros(3_000_000);
-/// The same where another process accepts on the clients' socket.
+/// The same limit where another process accepts on the same listening socket.
 const MAX_COUNTED_DEADLINE_SHARED: Micros = Micros(5_000_000);
-/// The platform sends SIGKILL this long after the counted deadline.
+/// The platform sends SIGKILL this long after the counted deadline has passed.
 const KILL_DELAY: Micros = Micros(700_000);
-/// Of that, so much is reserved for answers to leave the machine.
+/// The part of [`KILL_DELAY`] that is reserved for the last responses to leave the machine.
 const RESPONSE_RESERVE: Micros = Micros(200_000);
-/// Time between two looks whether everything is answered.
+/// Interval at which the shutdown checks whether every request is answered.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The cluster's leases are released by then, or expire by themselves.
+/// Limit for leaving the cluster. A lease that is not released by then expires.
 const CLUSTER_LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which the last answers leave the machine.
+/// Time for the last responses to leave the machine before the process ends.
 const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// How long the process has after SIGTERM, as the platform counts it.
+/// The time that the platform allows the process after SIGTERM.
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownBudget {
     counted_deadline: Micros,
 }
 
 impl ShutdownBudget {
-    /// The budget for these classes. The platform's limits bind where it runs the process; elsewhere a service
-    /// manager waits for the longest deadline.
+    /// Computes the budget from the longest deadline of the classes. The platform's limits apply where the platform
+    /// runs the process; elsewhere a service manager waits for the longest deadline.
     pub fn new(classes: &[ClassSettings], socket: ListenSocket, on_platform: bool) -> ShutdownBudget {
         let deadlines = classes.iter().map(|class| Micros::from_ms(class.deadline_ms));
         let longest = deadlines.max().unwrap_or(MAX_COUNTED_DEADLINE);
@@ -46,14 +46,14 @@
         ShutdownBudget { counted_deadline }
     }
 
-    /// When the last request must have its answer.
+    /// The time by which the last request must have its final answer.
     fn request_deadline(self, now: Micros) -> Micros {
         now + self.counted_deadline + KILL_DELAY - RESPONSE_RESERVE
     }
 }
 
 impl Server {
-    /// Answers what was accepted, until everything is answered or the time is over.
+    /// Shuts down gracefully: waits until every accepted request is answered, or until the time runs out.
     pub async fn shut_down(mut self) -> Result<(), ServerError> {
         self.lifecycle.apply(Event::Terminate)?;
         let request_deadline = self.shutdown_budget.request_deadline(self.clock.now());
@@ -63,7 +63,8 @@
         }
         self.complete_requests(request_deadline + Micros(RESPONSE_RESERVE.0 / 2)).await?;
         if let Some(cluster) = &self.cluster {
-            // Leases are handed over from SIGTERM on; after the leave the others need not wait until they expire.
+            // Leases are passed to other managers from SIGTERM on. After the leave message the other managers do not
+            // have to wait until the remaining leases expire.
             let _left_or_late = tokio::time::timeout(CLUSTER_LEAVE_TIMEOUT, cluster.leave()).await;
         }
         tokio::time::sleep(FLUSH_TIME).await;
@@ -79,25 +80,26 @@
         let completed = tokio::time::timeout_at(deadline.into(), self.all_answered(frontends)).await;
         let Ok(completed) = completed else {
             let unanswered_requests = self.lifecycle.unanswered_requests();
-            log::warn!(unanswered_requests; "graceful shutdown ends with requests that have no complete answer");
+            log::warn!(unanswered_requests; "graceful shutdown timed out: some requests have no complete answer");
             return Ok(());
         };
         completed?;
         debug_assert_eq!(
             (self.lifecycle.unanswered_requests(), self.lifecycle.open_connections()),
             (0, 0),
-            "counts are at zero at the end"
+            "no request and no connection is counted after a complete shutdown"
         );
         Ok(())
     }
 
-    /// Ends once no client connects any more and everything that was accepted is answered, also a request that its
-    /// client is still writing.
+    /// Returns once no more connections are accepted and every accepted request is answered. This includes a request
+    /// that its client is still sending.
     async fn all_answered(&self, frontends: Vec<JoinHandle<()>>) -> Result<(), ServiceEnded> {
         for frontend in frontends {
-            // It ends by itself once no client connects any more, and has then accepted all that the system had queued.
+            // The loop ends when connections are no longer accepted. By then it has accepted the listener's whole
+            // backlog.
             if let Err(error) = frontend.await {
-                log::error!("an accept loop has panicked: {error}");
+                log::error!("accept loop panicked: {error}");
             }
         }
         if self.socket == ListenSocket::Exclusive {
@@ -109,7 +111,7 @@
         Ok(())
     }
 
-    /// Whether no request is open and no connection may still bring one.
+    /// Whether no request is open and no connection is left on which one may arrive.
     async fn is_idle(&self) -> Result<bool, ServiceEnded> {
         let open_requests = self.service.open_requests().await?;
         Ok(open_requests == 0
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,5 +1,5 @@
-//! Start-up: opens the store, starts the service and its background tasks, and opens the listeners last, once
-//! requests can be served.
+//! Start-up: opens the store, starts the service and its background tasks, and opens the listeners for clients last,
+//! once requests can be served.
 
 use super::error::ServerError;
 use super::limits::{DescriptorBudget, upstream_limits};
@@ -26,7 +26,7 @@
 use tokio::sync::{Notify, watch};
 
 impl Server {
-    /// Starts everything, in an order in which each part finds what it needs; clients are accepted last.
+    /// Starts every part of the server after the parts that it depends on. Clients are accepted last.
     pub async fn start(options: StartOptions) -> Result<Server, ServerError> {
         let StartOptions { source, clock, config, inherited_listener } = options;
         let socket = listen_socket(inherited_listener.as_ref());
@@ -52,7 +52,7 @@
         let reloader =
             ConfigReloader::new(source, clock, config.read.clone(), discovery_target, admin_tls.clone());
         if socket == ListenSocket::Shared {
-            // Another process serves until this one reports that it is ready.
+            // The other process serves clients until this one reports ready.
             state_handover::wait_for_engines(&handles.service, &clock).await?;
         }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// An inherited socket is accepted on by other processes too.
+/// Returns whether the listening socket is shared: other processes also accept on an inherited socket.
 fn listen_socket(inherited_listener: Option<&std::net::TcpListener>) -> ListenSocket {
     match inherited_listener {
         Some(_) => ListenSocket::Shared,
@@ -87,8 +87,8 @@
     }
 }
 
-/// The files by which this process and the next, or the one before, hand over. There are none where the clients'
-/// socket ends with the process.
+/// The files through which two consecutive processes of one manager exchange state. Both are `None` if the listening
+/// socket closes with the process.
 #[derive(Debug)]
 struct Handover {
     snapshot_file: Option<SnapshotFile>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Restores what the process before has learned.
+    /// Restores the learned state of the previous process.
     async fn restore(&self, handles: &Handles) -> Result<(), ServiceEnded> {
         match &self.snapshot_file {
             Some(file) => state_handover::restore_snapshot(file, &handles.service, &handles.clock).await,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Starts to write snapshots for the next process, and to watch the connections of the one before.
+    /// Starts the tasks that write snapshots for the next process and read the previous process's connection count.
     fn start_tasks(&self, handles: &Handles) {
         if let Some(file) = self.snapshot_file.clone() {
             let Handles { service, lifecycle, clock } = handles.clone();
@@ -127,12 +127,12 @@
     }
 }
 
-/// Opens the store, where tenants are managed while the program runs.
+/// Opens the store, if one is configured.
 fn open_store(keys: Option<&StoreKeys>) -> Result<Option<(Store, Loaded)>, StoreError> {
     keys.map(|keys| Store::open(&keys.path)).transpose()
 }
 
-/// Starts the task that owns the core, with the connections to engines.
+/// Starts the service task, which owns the core and the connections to engines.
 fn start_service(config: &Config, has_store: bool, clock: Clock) -> ServiceHandle {
     let (service, messages) = ServiceHandle::new();
     let descriptors = DescriptorBudget::new(config.sockets);
@@ -141,7 +141,7 @@
     let mut front: Front = config.front.clone();
     front.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
     if has_store {
-        // From its first start on the store defines the tenants.
+        // With a store, the tenants come from the store. Those of the settings only initialize a new store.
         front.tenants = Vec::new();
         front.settings.tenants = Vec::new();
     }
@@ -153,7 +153,7 @@
     service
 }
 
-/// Starts the operations endpoint, where one is configured, and the heartbeat that it reports.
+/// Starts the operations endpoint, if one is configured, and the heartbeat that its health check uses.
 fn start_operations_endpoint(config: &Config, handles: &Handles) -> Result<(), ServerError> {
     let Some(address) = config.ops else { return Ok(()) };
     let heartbeat = Heartbeat::default();
@@ -165,7 +165,7 @@
         .map_err(|source| ServerError::BindOperationsAddress { address, source })
 }
 
-/// Starts the service that manages tenants, with those of the store or else of the settings.
+/// Starts the tenant service with the tenants of the store, or with those of the settings if there is no store.
 async fn start_tenant_service(
     config: &Config,
     store: Option<(Store, Loaded)>,
@@ -178,7 +178,7 @@
         .await
 }
 
-/// Starts to watch the name service. What it is asked for can be replaced by the sender that is returned.
+/// Starts the discovery task. The returned sender replaces its target.
 fn start_discovery(config: &Config, handles: &Handles) -> watch::Sender<DiscoveryTarget> {
     let target = DiscoveryTarget {
         resolver: config.resolver,
@@ -190,7 +190,7 @@
     sender
 }
 
-/// Joins the cluster, where one is configured.
+/// Joins the cluster, if one is configured.
 #[cfg(feature = "cluster")]
 fn join_cluster(
     config: &Config,
@@ -220,7 +220,7 @@
     Ok(Some(cluster))
 }
 
-/// A build without the feature `cluster` joins none.
+/// A build without the feature `cluster` never joins a cluster.
 #[cfg(not(feature = "cluster"))]
 fn join_cluster(
     _config: &Config,
--- a/src/service/handle.rs
+++ b/src/service/handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks reach the service task.
+//! The handle through which other tasks send messages to the service task.
 
 use crate::core::{Answer, HandoverState, IncomingRequest, Input, Report, TenantReport};
 use sanddyke_tenancy::TenantId;
@@ -8,60 +8,60 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for the service at once; a sender waits while the queue is full.
+/// Capacity of the message queue. A sender waits while the queue is full.
 const QUEUE_CAPACITY: usize = 4096;
 
 /// A message to the service task.
 #[derive(Debug)]
 pub enum Message {
-    /// An event for the core.
+    /// An input event for the core.
     Input(Input),
-    /// A request.
+    /// Submits a client's request.
     Submit {
-        /// The request.
+        /// The request, with the id that [`ServiceHandle::submit`] assigned.
         incoming: IncomingRequest,
-        /// Where its answer is sent.
+        /// Receives the request's final answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// A question about the state of the service.
+    /// A query for the state of the service.
     Query(Query),
 }
 
-/// A question about the state of the service, and where the reply is sent.
+/// A query for the state of the service, with the channel that receives the reply.
 #[derive(Debug)]
 pub enum Query {
-    /// The state of the whole service.
+    /// A report on the whole service.
     Report(oneshot::Sender<Report>),
-    /// The state of some tenants.
+    /// The usage of some tenants.
     Usage {
-        /// The tenants.
+        /// The ids of the tenants.
         tenants: Vec<TenantId>,
-        /// Where the reply is sent; tenants that do not exist are not in it.
+        /// Receives the usage by tenant, without tenants that do not exist.
         reply: oneshot::Sender<HashMap<TenantId, TenantReport>>,
     },
-    /// The number of requests without an answer.
+    /// The number of requests without a final answer.
     OpenRequests(oneshot::Sender<usize>),
     /// Whether enough engines have answered a health check.
     EnginesChecked(oneshot::Sender<bool>),
-    /// The learned state.
+    /// The learned state, for the next process of this manager.
     HandoverState(oneshot::Sender<HandoverState>),
 }
 
-/// The service has ended.
+/// The service task has ended, so it can't receive messages or reply.
 #[derive(Debug, Error)]
 #[error("the service has ended")]
 pub struct ServiceEnded;
 
-/// A submitted request, whose answer is still to come.
+/// A submitted request whose final answer is pending.
 #[derive(Debug)]
 pub struct PendingResponse {
-    /// The id that the request was given.
+    /// The request id that [`ServiceHandle::submit`] assigned.
     pub request: u64,
-    /// Where its answer arrives.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
-/// The way to the service task. Clones reach the same one.
+/// Sends messages to the service task. All clones send to the same task.
 #[derive(Debug, Clone)]
 pub struct ServiceHandle {
     messages: mpsc::Sender<Message>,
@@ -69,18 +69,18 @@
 }
 
 impl ServiceHandle {
-    /// A handle, and the queue from which the service receives.
+    /// Creates a handle and the queue from which the service task receives.
     pub fn new() -> (ServiceHandle, mpsc::Receiver<Message>) {
         let (messages, queue) = mpsc::channel(QUEUE_CAPACITY);
         (ServiceHandle { messages, next_request: Arc::new(AtomicU64::new(1)) }, queue)
     }
 
-    /// Notifies the core of an event.
+    /// Passes an input event to the core.
     pub async fn notify(&self, input: Input) -> Result<(), ServiceEnded> {
         self.send(Message::Input(input)).await
     }
 
-    /// Submits a request, under a new id.
+    /// Submits a request under a new request id.
     pub async fn submit(&self, mut incoming: IncomingRequest) -> Result<PendingResponse, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
         let request = self.next_request.fetch_add(1, Ordering::Relaxed);
@@ -89,12 +89,12 @@
         Ok(PendingResponse { request, answer })
     }
 
-    /// The state of the whole service.
+    /// Returns a report on the whole service.
     pub async fn inspect(&self) -> Result<Report, ServiceEnded> {
         self.query(Query::Report).await
     }
 
-    /// The state of some tenants; those that do not exist are left out.
+    /// Returns the usage of some tenants, without those that do not exist.
     pub async fn usage(
         &self,
         tenants: Vec<TenantId>,
@@ -102,17 +102,17 @@
         self.query(|reply| Query::Usage { tenants, reply }).await
     }
 
-    /// The number of requests without an answer.
+    /// Returns the number of requests without a final answer.
     pub async fn open_requests(&self) -> Result<usize, ServiceEnded> {
         self.query(Query::OpenRequests).await
     }
 
-    /// Whether enough engines have answered a health check.
+    /// Returns whether enough engines have answered a health check.
     pub async fn engines_checked(&self) -> Result<bool, ServiceEnded> {
         self.query(Query::EnginesChecked).await
     }
 
-    /// The learned state, for the process that takes over.
+    /// Returns the learned state, for the next process of this manager.
     pub async fn handover_state(&self) -> Result<HandoverState, ServiceEnded> {
         self.query(Query::HandoverState).await
     }
@@ -121,7 +121,7 @@
         self.messages.send(message).await.map_err(|_| ServiceEnded)
     }
 
-    /// Sends a question and waits for the reply.
+    /// Sends a query and waits for the reply.
     async fn query<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Query) -> Result<T, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Query(question(reply))).await?;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! The service task: the one owner of the core. In each turn it reads the clock once, feeds the core the messages
-//! that have come by one bounded queue, and carries out the core's commands.
+//! The service task, the only owner of the core. In each turn it reads the clock once, passes the messages of one
+//! bounded queue to the core, and applies the core's commands.
 
 mod handle;
 
@@ -11,9 +11,9 @@
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between two log lines on the state.
+/// Interval between two log lines about the state of the service.
 const STATE_LOG_INTERVAL: Micros = Micros(1_000_000);
-/// Messages that are handled in one turn at most.
+/// Maximum of messages that one turn handles.
 const MAX_MESSAGES_PER_TURN: usize = 256;
 
 /// Runs the service until every handle is dropped.
@@ -35,9 +35,9 @@
     core: Core,
     clock: Clock,
     upstream: UpstreamPool,
-    /// By request: where its answer is sent. These are the requests that are open in the core.
+    /// The reply channel of each open request, by request id. The core has the same open requests.
     replies: HashMap<u64, oneshot::Sender<Answer>>,
-    /// Empty between two turns; it keeps its memory.
+    /// The commands of the current turn; empty between two turns. It is stored here so that its memory is reused.
     commands: Vec<Command>,
     next_state_log: Micros,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Handles messages and due timers, all at one point in time.
+    /// Handles messages and expired timers, all with the same time.
     fn turn(&mut self, messages: &mut Vec<Message>) {
         let now = self.clock.now();
         for message in messages.drain(..) {
@@ -63,7 +63,7 @@
         self.log_state(now);
         self.core.handle(now, Input::Tick, &mut self.commands);
         self.carry_out_commands(now);
-        debug_assert_eq!(self.replies.len(), self.core.open_requests(), "each open request has its reply");
+        debug_assert_eq!(self.replies.len(), self.core.open_requests(), "each open request has one reply channel");
     }
 
     fn handle(&mut self, now: Micros, message: Message) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Answers a question. Whoever asked may no longer wait; then the reply is dropped.
+    /// Replies to a query. The reply is dropped if the caller no longer waits for it.
     fn reply(&self, now: Micros, query: Query) {
         match query {
             Query::Report(reply) => drop(reply.send(self.core.report(now))),
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Carries out the core's commands, and those that follow where an engine's queue does not take one.
+    /// Applies the core's commands. A command that an engine's queue has no room for is reported back to the core, and
+    /// the commands that the core returns then are applied too.
     fn carry_out_commands(&mut self, now: Micros) {
         while !self.commands.is_empty() {
             let mut failures = Vec::new();
@@ -108,7 +109,7 @@
                 match command {
                     Command::Answer { request, answer } => {
                         if let Some(reply) = self.replies.remove(&request) {
-                            drop(reply.send(answer)); // its client may have disconnected
+                            drop(reply.send(answer)); // fails if the client has disconnected
                         }
                     }
                     Command::Log(text) => log::info!("module: {text}"),
@@ -122,7 +123,7 @@
     }
 }
 
-/// Sleeps until `at`, or for ever.
+/// Sleeps until `at`; never returns if it is `None`.
 async fn sleep_until(at: Option<std::time::Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings of one workload manager: read from the platform's JSON, checked, and brought into the terms of
-//! the decision module.
+//! The settings of one manager: reads them from the platform's JSON, checks them and converts them to the types of the
+//! decision module.
 //!
-//! [`Env`] and its parts have the platform's names and form; [`build`] checks them and gives [`Front`].
+//! [`Env`] and its parts have the names and the structure of the platform's JSON, which are also those of the JSON
+//! schema. [`build`] checks them and returns [`Front`].
 
 mod error;
 
@@ -132,29 +133,32 @@
     resend_span_ms: Option<f64>,
 }
 
-/// Maximum of request classes: the sampler of engines keeps one bit for each ([`sanddyke_sampling::MAX_KINDS`]).
+/// Maximum of request classes. The sampler of engines stores one bit for each class
+/// ([`sanddyke_sampling::MAX_KINDS`]).
 const MAX_CLASSES: usize = sanddyke_sampling::MAX_KINDS;
 
-/// Settings of one workload manager, with the names that its numbers stand for.
+/// The settings of one manager, with the names of the classes, tenants, kinds and zones that the decision module
+/// identifies by number.
 #[derive(Debug, Clone)]
 pub struct Front {
-    /// Settings of the decision module.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, by number.
+    /// The names of the classes, by number.
     pub classes: Vec<String>,
-    /// Names of the tenants, by number.
+    /// The names of the tenants, by number.
     pub tenants: Vec<String>,
-    /// Names of the kinds of machine, by number.
+    /// The names of the kinds of machine that engines run on, by number.
     pub kinds: Vec<String>,
-    /// Names of the zones, by number.
+    /// The names of the zones, by number.
     pub zones: Vec<String>,
-    /// Columns of a load report. What `x0` and `x1` mean is fixed by the wire; other columns carry names.
+    /// The columns of a load report. The protocol defines the meaning of `x0` and `x1`; the other columns have
+    /// descriptive names.
     pub columns: Vec<String>,
-    /// Whether answers report what a query used.
+    /// Whether an engine's response reports the resources that the query used.
     pub says_cost: bool,
 }
 
-/// The number of a name; a new name is appended.
+/// Returns the number of a name. A new name is appended to `names`.
 pub fn number(names: &mut Vec<String>, name: &str) -> usize {
     if let Some(index) = names.iter().position(|known| known == name) {
         return index;
@@ -166,15 +170,15 @@
 /// Reads settings from JSON.
 ///
 /// # Errors
-/// Where the text is not JSON of the expected form, and those of [`build`].
+/// The text is not JSON of the expected structure, or one of the errors of [`build`].
 pub fn parse(text: &str) -> Result<Front, SettingsError> {
     build(serde_json::from_str(text)?)
 }
 
-/// Checks settings and brings them into the terms of the decision module.
+/// Checks settings and converts them to the types of the decision module.
 ///
 /// # Errors
-/// Names the first value that cannot be used.
+/// The first invalid value.
 pub fn build(env: Env) -> Result<Front, SettingsError> {
     check(&env)?;
     let mut kinds = env.models.clone();
@@ -210,7 +214,7 @@
     })
 }
 
-/// The checks that need no other value.
+/// Checks the values whose validity does not depend on other values.
 fn check(env: &Env) -> Result<(), SettingsError> {
     let positive = [
         ("replicasOfMe", env.replicas_of_me as f64),
@@ -229,7 +233,8 @@
     Ok(())
 }
 
-/// Settings of one class. Kinds and zones that only a class names get the next numbers.
+/// Converts the settings of one class. Kinds and zones that no other setting names are appended to `kinds` and
+/// `zones`.
 fn class_settings(
     env: &Env,
     index: usize,
@@ -261,7 +266,7 @@
     })
 }
 
-/// Whether the engine list has to be polled.
+/// Returns whether the endpoint list has to be polled, that is, whether updates are not pushed.
 fn polls_engine_list(discovery: &str) -> Result<bool, SettingsError> {
     match discovery {
         "pushed" => Ok(false),
@@ -271,7 +276,7 @@
 }
 
 impl Class {
-    /// What a repeated execution of the class does.
+    /// Returns whether requests of the class may be executed more than once, and where duplicates are detected.
     fn effect(&self) -> Result<Effect, SettingsError> {
         match self.idempotency.as_str() {
             "repeatable" => Ok(Effect::Repeatable),
@@ -285,7 +290,8 @@
         }
     }
 
-    /// Engines that drop each other's repeats: all where nothing is said.
+    /// Returns the set of engines that detect each other's duplicates of a request with an idempotency key. The
+    /// default is all engines.
     fn dedup_scope(&self) -> Result<DedupScope, SettingsError> {
         match self.dedup_scope.as_deref() {
             None | Some("all") => Ok(DedupScope::All),
@@ -306,12 +312,12 @@
     fn from(allowed: &Allowed) -> Limits {
         Limits {
             max_attempts: allowed.attempts_cap,
-            // The program sets it, by the sockets that it may open.
+            // The server sets it from the number of descriptors that the process may have open.
             max_open_requests: None,
             cancellation: allowed.cancel,
             health_checks: allowed.probes,
             hedged_requests: allowed.second_copies,
-            // Retry-After goes out wherever there is a maximum: clients that cannot read it ignore it.
+            // Retry-After is sent if a maximum is set. Clients that do not support the header ignore it.
             max_retry_after_ms: allowed.max_retry_after_ms,
         }
     }
@@ -337,7 +343,7 @@
 }
 
 impl FamilyInfo {
-    /// A kind of machine, by number.
+    /// Returns the settings of the kind with this number.
     fn kind(&self, index: usize) -> KindSettings {
         KindSettings {
             cores: self.kind_cores.get(index).copied(),
@@ -345,7 +351,7 @@
         }
     }
 
-    /// How engines treat memory, priorities and progress reports.
+    /// Returns how engines handle memory shortage and priorities, and how often they send progress notes.
     fn engine_traits(&self) -> Result<EngineTraits, SettingsError> {
         let on_memory_shortage = match self.out_of_memory.as_deref() {
             None | Some("queue") => MemoryShortage::Wait,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,51 +1,51 @@
-//! What can be wrong with settings.
+//! Errors of checking the settings.
 
 use super::MAX_CLASSES;
 use thiserror::Error;
 
-/// Why settings cannot be used. The text names the key as the platform spells it.
+/// An error of reading or checking the settings. The message names the key as it is spelled in the platform's JSON.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is not JSON of the expected form.
+    /// The text is not JSON of the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A number that has to be positive is not.
+    /// A number that must be positive is 0 or negative.
     #[error("{key}: must be above 0, is {value}")]
     NotPositive {
-        /// The key.
+        /// The path of the key.
         key: &'static str,
-        /// Its value.
+        /// The value that was found.
         value: f64,
     },
-    /// There are more classes than can be told apart.
-    #[error("classes: at most {MAX_CLASSES}, are {0}")]
+    /// There are more classes than the decision module supports. The field is their number.
+    #[error("classes: must be at most {MAX_CLASSES}, are {0}")]
     TooManyClasses(usize),
-    /// A class's target is not between 0 and its deadline.
+    /// The latency objective of a class is not between 0 and its deadline. The field is the index of the class.
     #[error("classes[{0}]: targetMs must be above 0 and not above deadlineMs")]
     TargetOutOfRange(usize),
-    /// A class has a value that is not known, or misses one.
+    /// A value of a class is unknown or missing.
     #[error("classes[{index}].{error}")]
     Class {
-        /// Index of the class.
+        /// The index of the class.
         index: usize,
-        /// What is wrong with it.
+        /// The error of the class's key.
         error: Box<SettingsError>,
     },
-    /// A key has a value that is none of its choices.
-    #[error("{key}: unknown word {value:?}")]
+    /// The value of a key is none of the allowed ones.
+    #[error("{key}: unknown value {value:?}")]
     UnknownWord {
-        /// The key.
+        /// The path of the key.
         key: &'static str,
-        /// Its value.
+        /// The value that was found.
         value: String,
     },
-    /// A key is missing that another value asks for.
-    #[error("{0}: missing")]
+    /// A key is missing that is required where `idempotency` is `by_key`. The field is the key.
+    #[error("{0}: missing, required where idempotency is by_key")]
     Missing(&'static str),
 }
 
 impl SettingsError {
-    /// The error for a value that is none of its choices.
+    /// Creates the error for a value that is none of the allowed ones.
     pub(super) fn unknown_word(key: &'static str, value: &str) -> SettingsError {
         SettingsError::UnknownWord { key, value: value.to_owned() }
     }
