--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{FieldError, LineError};
 use crate::lines::{EventMessage, Fields};
-use sanddyke::settings::{self, Front, number};
+use sanddyke::settings::{self, ServiceSettings, number};
 use sanddyke::{
     AttemptEnd, AttemptNote, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event,
     Gateway, KindId, LoadReport, Millis, OrderKey, Outcome, Request, RequestId, TenantId, Usage, ZoneId,
@@ -24,7 +24,7 @@
     pub gateway: Gateway,
     /// Names of its requests, by id.
     pub requests: Vec<String>,
-    front: Front,
+    front: ServiceSettings,
     request_ids: HashMap<String, RequestId>,
     order_keys: HashMap<String, OrderKey>,
 }
@@ -142,7 +142,7 @@
             outcome: outcome(fields, 4)?,
             elapsed_ms: fields.required_amount(5)?,
             settled: fields.required::<u8>(6)? != 0,
-            usage: usage(bill).filter(|_| self.front.says_cost),
+            usage: usage(bill).filter(|_| self.front.reports_usage),
             report: load_report(fields, 8, &self.front.columns)?,
         }))
     }
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -52,7 +52,10 @@
     has_backup_folder: bool,
 ) -> Result<Fleet, ConfigError> {
     if cfg!(not(feature = "cluster")) {
-        return Err(invalid("cluster", "this build has no cluster support: build it with --features cluster"));
+        return Err(invalid(
+            "cluster",
+            "this build has no cluster support: build it with --features cluster",
+        ));
     }
     let listen = loopback("cluster.listen", keys.listen)?;
     let advertise = loopback("cluster.advertise", keys.advertise.unwrap_or(listen))?;
--- a/src/config/listeners.rs
+++ b/src/config/listeners.rs
@@ -4,7 +4,7 @@
 use super::file::{AdminKeys, EngineKeys, TdsKeys};
 use super::tls::TlsFiles;
 use crate::clock::Micros;
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use crate::tds::login::Login;
 use crate::tenant_directory::{Directory, Ldap};
 use crate::tenants::KnownTenants;
@@ -61,7 +61,7 @@
 pub(super) fn tds_front(
     keys: TdsKeys,
     ldap: Option<Ldap>,
-    front: &Front,
+    front: &ServiceSettings,
     tenants: &KnownTenants,
 ) -> Result<TdsFront, ConfigError> {
     let files = TlsFiles {
@@ -74,13 +74,18 @@
     // distinguishable from the data that follows.
     let tls = files.server_config(&[&version::TLS12])?;
     let class = keys.default_class.or(front.classes.first().cloned());
-    let class = class.ok_or_else(|| invalid("settings.classes", "must have a class for TDS clients, is empty"))?;
+    let class =
+        class.ok_or_else(|| invalid("settings.classes", "must have a class for TDS clients, is empty"))?;
     let index = front.classes.iter().position(|name| *name == class);
-    let index =
-        index.ok_or_else(|| invalid("tds.default_class", format!("no such class in settings.classes: {class:?}")))?;
+    let index = index.ok_or_else(|| {
+        invalid("tds.default_class", format!("no such class in settings.classes: {class:?}"))
+    })?;
     let budget_ms = keys.default_ttl_ms.unwrap_or(front.settings.classes[index].deadline_ms);
     if budget_ms < MIN_BUDGET_MS {
-        return Err(invalid("tds.default_ttl_ms", format!("must be at least {MIN_BUDGET_MS}, is {budget_ms}")));
+        return Err(invalid(
+            "tds.default_ttl_ms",
+            format!("must be at least {MIN_BUDGET_MS}, is {budget_ms}"),
+        ));
     }
     let directory = directory(ldap, tenants.clone())?;
     let listen = if tls.is_some() { keys.listen } else { loopback("tds.listen", keys.listen)? };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::clock::Clock;
 use crate::discovery::EngineList;
-use crate::settings::{self, Front};
+use crate::settings::{self, ServiceSettings};
 use crate::tenants::KnownTenants;
 use crate::upstream::UpstreamProtocol;
 use error::invalid;
@@ -72,7 +72,7 @@
     /// The endpoint list at the start.
     pub listed: EngineList,
     /// The settings of the decision module, and the names of its classes, tenants, kinds and zones.
-    pub front: Front,
+    pub front: ServiceSettings,
     /// The maximum of open requests.
     pub max_open: usize,
     /// The maximum of attempts in flight on one connection to an engine.
@@ -188,7 +188,9 @@
     let descriptors = configured.unwrap_or(DEFAULT_DESCRIPTORS);
     match descriptors >= MIN_DESCRIPTORS {
         true => Ok(descriptors),
-        false => Err(invalid("limits.sockets", format!("must be at least {MIN_DESCRIPTORS}, is {descriptors}"))),
+        false => {
+            Err(invalid("limits.sockets", format!("must be at least {MIN_DESCRIPTORS}, is {descriptors}")))
+        }
     }
 }
 
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -32,8 +32,12 @@
             }
             (None, None) => return Ok(None),
             (Some(certificate), Some(private_key)) => (certificate, private_key),
-            (None, Some(_)) => return Err(invalid(self.key("certificate"), "missing, required by private_key")),
-            (Some(_), None) => return Err(invalid(self.key("private_key"), "missing, required by certificate")),
+            (None, Some(_)) => {
+                return Err(invalid(self.key("certificate"), "missing, required by private_key"));
+            }
+            (Some(_), None) => {
+                return Err(invalid(self.key("private_key"), "missing, required by certificate"));
+            }
         };
         let chain = self.certificates("certificate", certificate)?;
         let private_key = PrivateKeyDer::from_pem_file(private_key)
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -3,7 +3,7 @@
 use super::{Answer, AttemptId, Command, Core, OpenRequest, Timer};
 use crate::clock::Micros;
 use crate::decision::Outcome;
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use sanddyke_tenancy::{Roster, Slot};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
     /// Counts a request's answer.
     pub(super) fn count_answer(
         &mut self,
-        front: &Front,
+        front: &ServiceSettings,
         roster: &Roster,
         open: &OpenRequest,
         answer: &Answer,
@@ -90,11 +90,21 @@
     }
 
     /// Counts a request whose client disconnected before its answer.
-    pub(super) fn count_disconnected(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) {
+    pub(super) fn count_disconnected(
+        &mut self,
+        front: &ServiceSettings,
+        roster: &Roster,
+        open: &OpenRequest,
+    ) {
         self.counts_of(front, roster, open).disconnected += 1;
     }
 
-    fn counts_of(&mut self, front: &Front, roster: &Roster, open: &OpenRequest) -> &mut AnswerCounts {
+    fn counts_of(
+        &mut self,
+        front: &ServiceSettings,
+        roster: &Roster,
+        open: &OpenRequest,
+    ) -> &mut AnswerCounts {
         let key = AnswerKey { tenant_slot: open.tenant_slot, class: open.class };
         self.answers.entry(key).or_insert_with(|| {
             let tenant = open.tenant_slot.and_then(|slot| roster.tenant(slot));
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::clock::Micros;
 use crate::decision::{Action, Event, Gateway};
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use attempts::Attempt;
 use engines::KnownEngine;
 use execution_guard::ExecutionGuard;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Core {
     gateway: Gateway,
-    front: Front,
+    front: ServiceSettings,
     max_open: usize,
     roster: Roster,
     /// By slot of the roster.
@@ -68,7 +68,7 @@
 
 impl Core {
     /// A core with the tenants of its settings, without engines and requests.
-    pub fn new(front: Front, max_open: usize, seed: u64, now: Micros) -> Core {
+    pub fn new(front: ServiceSettings, max_open: usize, seed: u64, now: Micros) -> Core {
         Core {
             roster: tenants::roster(&front),
             tenant_shares: front.settings.tenants.iter().map(TenantShare::new).collect(),
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -3,7 +3,7 @@
 use super::{Command, Core, TenantUpdate};
 use crate::clock::Micros;
 use crate::decision::{Event, TenantSettings};
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use sanddyke_tenancy::{Generation, Roster, Slot, State, Tenant, TenantId, TenantSpec};
 
 /// A tenant's share of the engines.
@@ -26,7 +26,7 @@
 }
 
 /// The roster of the settings' tenants; their ids count from 1.
-pub(super) fn roster(front: &Front) -> Roster {
+pub(super) fn roster(front: &ServiceSettings) -> Roster {
     let mut roster = Roster::default();
     for (index, name) in front.tenants.iter().enumerate() {
         let settings = front.settings.tenants[index];
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -15,7 +15,7 @@
 use sanddyke::lifecycle::LifecycleHandle;
 use sanddyke::operations_endpoint::{self, Heartbeat, OperationsEndpoint};
 use sanddyke::service::{self, ServiceEnded, ServiceHandle};
-use sanddyke::settings::Front;
+use sanddyke::settings::ServiceSettings;
 use sanddyke::state_handover;
 use sanddyke::tenants::{TenantService, TenantServiceError};
 use sanddyke::upstream::UpstreamPool;
@@ -138,7 +138,7 @@
     let descriptors = DescriptorBudget::new(config.sockets);
     let limits = upstream_limits(config, descriptors);
     let upstream = UpstreamPool::new(config.wire.clone(), service.clone(), clock, limits);
-    let mut front: Front = config.front.clone();
+    let mut front: ServiceSettings = config.front.clone();
     front.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
     if has_store {
         // With a store, the tenants come from the store. Those of the settings only initialize a new store.
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -63,7 +63,11 @@
         self.log_state(now);
         self.core.handle(now, Input::Tick, &mut self.commands);
         self.carry_out_commands(now);
-        debug_assert_eq!(self.replies.len(), self.core.open_requests(), "each open request has one reply channel");
+        debug_assert_eq!(
+            self.replies.len(),
+            self.core.open_requests(),
+            "each open request has one reply channel"
+        );
     }
 
     fn handle(&mut self, now: Micros, message: Message) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,7 @@
 //! decision module.
 //!
 //! [`Env`] and its parts have the names and the structure of the platform's JSON, which are also those of the JSON
-//! schema. [`build`] checks them and returns [`Front`].
+//! schema. [`build`] checks them and returns [`ServiceSettings`].
 
 mod error;
 
@@ -100,7 +100,8 @@
     memory_by_kind_mb: Vec<f64>,
     out_of_memory: Option<String>,
     ranks_heeded: bool,
-    says_cost: bool,
+    #[serde(rename = "saysCost")]
+    reports_usage: bool,
     tells_every_ms: f64,
     yields_to_loads: Vec<bool>,
 }
@@ -140,7 +141,7 @@
 /// The settings of one manager, with the names of the classes, tenants, kinds and zones that the decision module
 /// identifies by number.
 #[derive(Debug, Clone)]
-pub struct Front {
+pub struct ServiceSettings {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The names of the classes, by number.
@@ -155,7 +156,7 @@
     /// descriptive names.
     pub columns: Vec<String>,
     /// Whether an engine's response reports the resources that the query used.
-    pub says_cost: bool,
+    pub reports_usage: bool,
 }
 
 /// Returns the number of a name. A new name is appended to `names`.
@@ -171,7 +172,7 @@
 ///
 /// # Errors
 /// The text is not JSON of the expected structure, or one of the errors of [`build`].
-pub fn parse(text: &str) -> Result<Front, SettingsError> {
+pub fn parse(text: &str) -> Result<ServiceSettings, SettingsError> {
     build(serde_json::from_str(text)?)
 }
 
@@ -179,7 +180,7 @@
 ///
 /// # Errors
 /// The first invalid value.
-pub fn build(env: Env) -> Result<Front, SettingsError> {
+pub fn build(env: Env) -> Result<ServiceSettings, SettingsError> {
     check(&env)?;
     let mut kinds = env.models.clone();
     let mut zones = env.zones.clone();
@@ -203,14 +204,14 @@
         health_check_price: env.prices.probe,
         cross_zone_price: env.prices.cross_zone,
     };
-    Ok(Front {
+    Ok(ServiceSettings {
         settings,
         classes: env.classes.into_iter().map(|class| class.name).collect(),
         tenants: env.customers.into_iter().map(|tenant| tenant.name).collect(),
         kinds,
         zones,
         columns: env.report.columns,
-        says_cost: env.family_info.says_cost,
+        reports_usage: env.family_info.reports_usage,
     })
 }
 
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -150,7 +150,9 @@
         // line a second.
         match &result {
             Err(error) if last_write_succeeded => log::warn!("handover: writing a snapshot failed: {error}"),
-            Ok(()) if !last_write_succeeded => log::info!("handover: snapshots are written again after a failure"),
+            Ok(()) if !last_write_succeeded => {
+                log::info!("handover: snapshots are written again after a failure")
+            }
             _ => {}
         }
         last_write_succeeded = result.is_ok();
@@ -172,8 +174,10 @@
     let give_up_at = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
         if clock.now() >= give_up_at {
-            log::warn!("too few engines have answered a health check after {} ms; starting without them",
-                MAX_ENGINE_WAIT.as_ms());
+            log::warn!(
+                "too few engines have answered a health check after {} ms; starting without them",
+                MAX_ENGINE_WAIT.as_ms()
+            );
             break;
         }
         tokio::time::sleep(ENGINE_POLL_INTERVAL).await;
