--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -9,7 +9,7 @@
     ProcessControl,
 };
 use crate::clock::{Clock, Micros};
-use crate::config::Fleet;
+use crate::config::ClusterSettings;
 use sanddyke_cluster::rolling_restart::{MemberStatuses, ReportedStatus};
 use sanddyke_cluster::{
     Incarnation, Input, LeaseEffect, Member, Node, NodeConfig, Output, TICK_US, VoterDisk,
@@ -43,7 +43,7 @@
 /// If the address can't be listened on, or the thread can't be started. A voter's file that can't be used is no error:
 /// the manager serves without a vote, and logs why.
 pub fn start(
-    fleet: Fleet,
+    fleet: ClusterSettings,
     name: &str,
     clock: Clock,
     seed: u64,
@@ -60,7 +60,7 @@
     let (statuses_sender, statuses) = watch::channel(MemberStatuses::default());
     let mut event_senders = BTreeMap::new();
     let mut lease_events = BTreeMap::new();
-    for lease in &fleet.duties {
+    for lease in &fleet.leases {
         let (sender, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         event_senders.insert(lease.clone(), sender);
         lease_events.insert(lease.clone(), receiver);
@@ -95,11 +95,11 @@
 }
 
 /// The voter's file, if this manager is a voter and the file can be used.
-fn open_voter_disk(fleet: &Fleet, name: &str) -> Option<FileVoterDisk> {
+fn open_voter_disk(fleet: &ClusterSettings, name: &str) -> Option<FileVoterDisk> {
     if !fleet.voters.iter().any(|voter| voter == name) {
         return None;
     }
-    match FileVoterDisk::open(fleet.path.as_ref()?) {
+    match FileVoterDisk::open(fleet.voter_file.as_ref()?) {
         Ok(disk) => Some(disk),
         Err(error) => {
             log::error!("cluster: no vote: {error}");
@@ -108,7 +108,7 @@
     }
 }
 
-fn node_config(fleet: &Fleet, name: &str, clock: &Clock, seed: u64) -> NodeConfig {
+fn node_config(fleet: &ClusterSettings, name: &str, clock: &Clock, seed: u64) -> NodeConfig {
     // Two starts under one name in the same millisecond would be one incarnation: no process manager does that.
     let incarnation = Incarnation { name: name.to_owned(), number: clock.unix_ms() };
     NodeConfig {
@@ -116,7 +116,7 @@
         local: Member { incarnation, address: fleet.advertise, zone: fleet.zone.clone(), rejoin_count: 0 },
         seeds: fleet.seeds.clone(),
         voters: fleet.voters.clone(),
-        leases: fleet.duties.iter().map(|lease| (lease.clone(), fleet.lease_us)).collect(),
+        leases: fleet.leases.iter().map(|lease| (lease.clone(), fleet.lease_us)).collect(),
         seed,
     }
 }
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -22,7 +22,7 @@
 
 /// The settings of a cluster of managers, from the `[cluster]` section.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fleet {
+pub struct ClusterSettings {
     /// The cluster's name. Messages from other clusters are rejected.
     pub name: String,
     /// The address on which this manager accepts connections from other managers.
@@ -34,15 +34,15 @@
     /// The names of the voters: 1, 3, 5 or 7 managers.
     pub voters: Vec<String>,
     /// The file in which this manager stores its voter state. Required for a voter, otherwise unused.
-    pub path: Option<PathBuf>,
+    pub voter_file: Option<PathBuf>,
     /// This manager's zone; empty if none is configured.
     pub zone: String,
     /// The names of the leases that this manager tries to acquire.
-    pub duties: Vec<String>,
+    pub leases: Vec<String>,
     /// The duration of a lease, in microseconds.
     pub lease_us: u64,
     /// The interval between two scheduled backups, in ms; `None` if there are no scheduled backups.
-    pub backup_every_ms: Option<u64>,
+    pub backup_interval_ms: Option<u64>,
 }
 
 /// Checks the section. `manager` is this manager's name; `has_backup_folder` tells whether `store.backups` is set.
@@ -50,7 +50,7 @@
     keys: ClusterKeys,
     manager: &str,
     has_backup_folder: bool,
-) -> Result<Fleet, ConfigError> {
+) -> Result<ClusterSettings, ConfigError> {
     if cfg!(not(feature = "cluster")) {
         return Err(invalid(
             "cluster",
@@ -69,22 +69,22 @@
     if !LEASE_MS.contains(&lease_ms) {
         return Err(invalid("cluster.lease_ms", format!("must be 500 to 600000, is {lease_ms}")));
     }
-    let mut duties = Vec::new();
+    let mut leases = Vec::new();
     if keys.backup_every_ms.is_some() {
-        duties.push(backup::LEASE_NAME.to_owned());
+        leases.push(backup::LEASE_NAME.to_owned());
     }
-    duties.push(ROLLING_RESTART_LEASE.to_owned());
-    Ok(Fleet {
+    leases.push(ROLLING_RESTART_LEASE.to_owned());
+    Ok(ClusterSettings {
         name: keys.name,
         listen,
         advertise,
         seeds: keys.seeds,
         voters: keys.voters,
-        path: keys.path,
+        voter_file: keys.path,
         zone: keys.zone,
-        duties,
+        leases,
         lease_us: lease_ms * 1000,
-        backup_every_ms: keys.backup_every_ms,
+        backup_interval_ms: keys.backup_every_ms,
     })
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -21,7 +21,7 @@
 mod source;
 mod tls;
 
-pub use cluster::Fleet;
+pub use cluster::ClusterSettings;
 pub use error::ConfigError;
 pub use file::{File, StoreKeys, schema};
 pub use listeners::{AdminApi, TdsFront};
@@ -94,7 +94,7 @@
     /// The names of the known tenants, shared with the frontends and the tenant service.
     pub known: KnownTenants,
     /// The cluster of managers; `None` if this manager is in none.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<ClusterSettings>,
 }
 
 impl Config {
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -204,7 +204,7 @@
     };
     let Some(fleet) = config.fleet.clone() else { return Ok(None) };
     let address = fleet.listen;
-    let backup_interval_ms = fleet.backup_every_ms;
+    let backup_interval_ms = fleet.backup_interval_ms;
     let Handles { lifecycle, clock, .. } = handles.clone();
     let process = ProcessControl { lifecycle: lifecycle.clone(), restart: restart.clone() };
     let joined = start(fleet, &config.name, clock, config.seed, process);
