--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -186,7 +186,7 @@
         match self.stage {
             Stage::Serving => self.apply_while_serving(event)?,
             Stage::ShuttingDown => self.apply_while_shutting_down(event)?,
-            Stage::Ended => Lifecycle::apply_after_the_end(event)?,
+            Stage::Ended => Lifecycle::apply_after_end(event)?,
         }
         let after = self.phase();
         Ok((after != before).then_some(after))
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    fn apply_after_the_end(event: Event) -> Result<(), TransitionError> {
+    fn apply_after_end(event: Event) -> Result<(), TransitionError> {
         match event {
             Event::EngineListLoaded | Event::EnginesChecked | Event::Terminate | Event::LastResponseSent => {
                 Ok(())
--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -9,7 +9,7 @@
 pub enum SnapshotError {
     /// The bytes are incomplete or differ from what was written.
     #[error("snapshot is corrupted: {0}")]
-    Damaged(#[from] Damage),
+    Corrupted(#[from] Corruption),
     /// The snapshot has a later version of the format than [`VERSION`].
     #[error("snapshot has format version {version}, newer than {VERSION}")]
     NewerVersion {
@@ -41,7 +41,7 @@
 
 /// The way in which the bytes of a snapshot differ from what was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Damage {
+pub enum Corruption {
     /// The header is incomplete.
     #[error("the header is incomplete")]
     IncompleteHeader,
--- a/crates/snapshot/src/file.rs
+++ b/crates/snapshot/src/file.rs
@@ -76,11 +76,11 @@
     ///
     /// # Errors
     /// The folder can't be listed, or a file can't be removed.
-    pub fn remove_stale_parts(&self) -> std::io::Result<()> {
+    pub fn remove_stale_temporary_files(&self) -> std::io::Result<()> {
         let Some(folder) = self.path.parent() else { return Ok(()) };
         for entry in std::fs::read_dir(folder)? {
             let path = entry?.path();
-            if self.writer_of(&path).is_some_and(|pid| !is_running(&pid)) {
+            if self.writer_pid(&path).is_some_and(|pid| !is_running(&pid)) {
                 std::fs::remove_file(&path)?;
             }
         }
@@ -89,7 +89,7 @@
 
     /// Returns the process id in the name of a temporary file, or `None` if `path` is not a temporary file of this
     /// name.
-    fn writer_of(&self, path: &Path) -> Option<String> {
+    fn writer_pid(&self, path: &Path) -> Option<String> {
         let stem = self.path.file_stem()?.to_string_lossy();
         let file_name = path.file_name()?.to_string_lossy();
         let pid = file_name.strip_prefix(&*stem)?.strip_prefix('.')?.strip_suffix(".part")?;
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of a snapshot.
 
-use crate::error::{Damage, SnapshotError};
+use crate::error::{Corruption, SnapshotError};
 use std::ops::Range;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const MAGIC: [u8; 8] = *b"SANDSNAP";
 const VERSION_RANGE: Range<usize> = 8..12;
-const WRITTEN_RANGE: Range<usize> = 12..20;
+const WRITTEN_MS_RANGE: Range<usize> = 12..20;
 const LENGTH_RANGE: Range<usize> = 20..24;
 const CHECKSUM_RANGE: Range<usize> = 24..28;
 /// Length of the header, which precedes the payload.
@@ -54,9 +54,9 @@
 /// # Errors
 /// The first condition that is not met.
 pub fn decode(bytes: &[u8], now_ms: u64, max_age: Duration) -> Result<Snapshot<&[u8]>, SnapshotError> {
-    let (header, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(Damage::IncompleteHeader)?;
+    let (header, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(Corruption::IncompleteHeader)?;
     if !header.starts_with(&MAGIC) {
-        return Err(Damage::NotASnapshot.into());
+        return Err(Corruption::NotASnapshot.into());
     }
     // A later version may change the rest of the format, but not the position of the version.
     let version = u32::from_le_bytes(field(header, VERSION_RANGE));
@@ -68,12 +68,12 @@
         return Err(SnapshotError::TooLong { bytes: length });
     }
     if payload.len() != length {
-        return Err(Damage::LengthMismatch.into());
+        return Err(Corruption::LengthMismatch.into());
     }
     if checksum(header, payload) != u32::from_le_bytes(field(header, CHECKSUM_RANGE)) {
-        return Err(Damage::ChecksumMismatch.into());
+        return Err(Corruption::ChecksumMismatch.into());
     }
-    let written_ms = u64::from_le_bytes(field(header, WRITTEN_RANGE));
+    let written_ms = u64::from_le_bytes(field(header, WRITTEN_MS_RANGE));
     let age = age(written_ms, now_ms, max_age)?;
     Ok(Snapshot { payload, age })
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -19,7 +19,7 @@
 //! let snapshot = decode(&bytes, 1_002_000, minute).unwrap();
 //! assert_eq!(snapshot, Snapshot { payload: &b"learned"[..], age: Duration::from_secs(2) });
 //! assert!(matches!(decode(&bytes, 2_000_000, minute), Err(SnapshotError::TooOld { .. })));
-//! assert!(matches!(decode(&bytes[..20], 1_002_000, minute), Err(SnapshotError::Damaged(_))));
+//! assert!(matches!(decode(&bytes[..20], 1_002_000, minute), Err(SnapshotError::Corrupted(_))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -28,6 +28,6 @@
 mod file;
 mod format;
 
-pub use error::{Damage, SnapshotError};
+pub use error::{Corruption, SnapshotError};
 pub use file::SnapshotFile;
 pub use format::{MAX_PAYLOAD_BYTES, Snapshot, VERSION, decode, encode};
--- a/crates/snapshot/tests/files.rs
+++ b/crates/snapshot/tests/files.rs
@@ -19,23 +19,23 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _gone = std::fs::remove_dir_all(&self.0);
+        let _result = std::fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn a_snapshot_cut_at_any_byte_or_with_any_bit_flipped_is_rejected() {
-    let whole = encode(b"what was learnt", NOW).unwrap();
-    assert_eq!(decode(&whole, NOW, MINUTE).unwrap().payload, b"what was learnt");
-    for cut in 0..whole.len() {
-        assert!(decode(&whole[..cut], NOW, MINUTE).is_err(), "cut at {cut}");
+fn a_snapshot_truncated_at_any_byte_or_with_any_bit_flipped_is_rejected() {
+    let complete = encode(b"what was learnt", NOW).unwrap();
+    assert_eq!(decode(&complete, NOW, MINUTE).unwrap().payload, b"what was learnt");
+    for length in 0..complete.len() {
+        assert!(decode(&complete[..length], NOW, MINUTE).is_err(), "truncated to {length} bytes");
     }
-    for bit in 0..whole.len() * 8 {
-        let mut damaged = whole.clone();
-        damaged[bit / 8] ^= 1 << (bit % 8);
-        assert!(decode(&damaged, NOW, MINUTE).is_err(), "bit {bit}");
+    for bit in 0..complete.len() * 8 {
+        let mut corrupted = complete.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert!(decode(&corrupted, NOW, MINUTE).is_err(), "bit {bit}");
     }
-    let longer = [&whole[..], b"x"].concat();
+    let longer = [&complete[..], b"x"].concat();
     assert!(decode(&longer, NOW, MINUTE).is_err());
 }
 
@@ -55,13 +55,13 @@
 
 #[test]
 fn age_version_and_length_are_bounded() {
-    let whole = encode(b"x", NOW).unwrap();
-    let at = |now: u64| decode(&whole, now, MINUTE);
+    let complete = encode(b"x", NOW).unwrap();
+    let at = |now: u64| decode(&complete, now, MINUTE);
     assert!(matches!(at(NOW + 60_001), Err(SnapshotError::TooOld { .. })));
     assert!(matches!(at(NOW + 86_400_000), Err(SnapshotError::TooOld { .. })));
     assert!(matches!(at(NOW - 2_001), Err(SnapshotError::FromFuture { .. })));
     assert_eq!(at(NOW - 500).unwrap().age, Duration::ZERO);
-    let mut newer = whole.clone();
+    let mut newer = complete.clone();
     newer[8..12].copy_from_slice(&(VERSION + 1).to_le_bytes());
     newer.truncate(40);
     assert!(matches!(decode(&newer, NOW, MINUTE), Err(SnapshotError::NewerVersion { .. })));
@@ -77,14 +77,14 @@
     file.write(b"first", NOW).unwrap();
     file.write(b"second", NOW + 1).unwrap();
     assert_eq!(file.read(NOW + 1, MINUTE).unwrap().unwrap().payload, b"second");
-    let left = folder.0.join("sanddyke-n1.999999999.part");
+    let stale = folder.0.join("sanddyke-n1.999999999.part");
     let other = folder.0.join("sanddyke-n2.999999999.part");
     let own = folder.0.join(format!("sanddyke-n1.{}.part", std::process::id()));
-    for path in [&left, &other, &own] {
+    for path in [&stale, &other, &own] {
         std::fs::write(path, b"half").unwrap();
     }
-    file.remove_stale_parts().unwrap();
-    assert_eq!([&left, &other, &own].map(|path| path.exists()), [false, true, true]);
+    file.remove_stale_temporary_files().unwrap();
+    assert_eq!([&stale, &other, &own].map(|path| path.exists()), [false, true, true]);
     file.write(b"third", NOW).unwrap();
     assert_eq!(file.read(NOW, MINUTE).unwrap().unwrap().payload, b"third");
 }
@@ -102,16 +102,19 @@
 /// Guards against a reader that finds an incomplete snapshot while a writer is killed. A killed writer leaves a
 /// temporary file that is truncated at a random byte.
 #[test]
-fn a_reader_finds_a_complete_snapshot_whatever_writers_do() {
+fn a_reader_finds_a_complete_snapshot_while_writers_are_killed() {
     let folder = Folder::new("writers");
     let file = SnapshotFile::new(&folder.0, "n1");
     file.write(&0u64.to_le_bytes().repeat(1000), NOW).unwrap();
     let mut rng = oorandom::Rand32::new(7);
-    let whole = encode(&9u64.to_le_bytes().repeat(1000), NOW).unwrap();
+    let complete = encode(&9u64.to_le_bytes().repeat(1000), NOW).unwrap();
     for round in 1..500u64 {
-        let cut = rng.rand_range(0..whole.len() as u32) as usize;
-        std::fs::write(folder.0.join(format!("sanddyke-n1.{}.part", std::process::id())), &whole[..cut])
-            .unwrap();
+        let length = rng.rand_range(0..complete.len() as u32) as usize;
+        std::fs::write(
+            folder.0.join(format!("sanddyke-n1.{}.part", std::process::id())),
+            &complete[..length],
+        )
+        .unwrap();
         if round % 3 == 0 {
             file.write(&round.to_le_bytes().repeat(1000), NOW).unwrap();
         }
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 /// The lowest number of an inherited socket. Lower numbers are standard input, output and error.
-const FIRST_INHERITED: RawFd = 3;
+const MIN_INHERITED_FD: RawFd = 3;
 
 /// The descriptors that this process has taken ownership of. Each can be taken only once.
 static TAKEN: Mutex<BTreeSet<RawFd>> = Mutex::new(BTreeSet::new());
@@ -24,7 +24,7 @@
 #[derive(Debug, Error)]
 pub enum SocketActivationError {
     /// The text is not a number, or it is the number of standard input, output or error.
-    #[error("must be the number of a descriptor, at least {FIRST_INHERITED}, is {text:?}")]
+    #[error("must be the number of a descriptor, at least {MIN_INHERITED_FD}, is {text:?}")]
     InvalidNumber {
         /// The text that was parsed.
         text: String,
@@ -78,7 +78,7 @@
 /// # Errors
 /// The text is not a number, or it is the number of standard input, output or error.
 pub fn parse_descriptor(text: &str) -> Result<RawFd, SocketActivationError> {
-    let number = text.trim().parse().ok().filter(|number| *number >= FIRST_INHERITED);
+    let number = text.trim().parse().ok().filter(|number| *number >= MIN_INHERITED_FD);
     number.ok_or_else(|| SocketActivationError::InvalidNumber { text: text.to_owned() })
 }
 
@@ -91,7 +91,7 @@
 /// # Errors
 /// The descriptor is not a TCP socket that listens on `address`. A socket that fails the check is closed.
 pub fn take_listener(fd: RawFd, address: SocketAddr) -> Result<TcpListener, SocketActivationError> {
-    if fd < FIRST_INHERITED {
+    if fd < MIN_INHERITED_FD {
         return Err(SocketActivationError::InvalidNumber { text: fd.to_string() });
     }
     let kind = std::fs::read_link(PathBuf::from(format!("/proc/self/fd/{fd}")))
@@ -107,7 +107,7 @@
     // function is called before anything opens descriptors, and each number is taken only once.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
-    match prepare(&socket, fd, address) {
+    match check_and_configure(&socket, fd, address) {
         Ok(()) => Ok(socket.into()),
         Err(error) => {
             // The socket is closed here, so a later descriptor may get its number.
@@ -123,7 +123,7 @@
 }
 
 /// Checks that the socket listens on `address`, and sets non-blocking mode and close-on-exec.
-fn prepare(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
+fn check_and_configure(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), SocketActivationError> {
     let system = |source| SocketActivationError::System { fd, source };
     let is_stream = socket.r#type().map_err(system)? == Type::STREAM;
     let is_listening = is_stream && socket.is_listener().map_err(system)?;
--- a/crates/socket-activation/tests/take_listener.rs
+++ b/crates/socket-activation/tests/take_listener.rs
@@ -7,16 +7,16 @@
 use std::os::fd::{AsRawFd, IntoRawFd};
 
 #[test]
-fn a_listening_socket_is_taken_over_once_and_anything_else_is_a_typed_error() {
-    let ours = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = ours.local_addr().unwrap();
+fn a_listening_socket_is_taken_once_and_any_other_descriptor_is_an_error() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
     let other_address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     assert!(matches!(
-        take_listener(ours.into_raw_fd(), other_address),
+        take_listener(listener.into_raw_fd(), other_address),
         Err(SocketActivationError::WrongAddress { .. })
     ));
-    let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap().into_raw_fd();
-    assert!(matches!(take_listener(datagrams, address), Err(SocketActivationError::NotListening { .. })));
+    let udp_socket = UdpSocket::bind("127.0.0.1:0").unwrap().into_raw_fd();
+    assert!(matches!(take_listener(udp_socket, address), Err(SocketActivationError::NotListening { .. })));
     let file = std::fs::File::open("/proc/self/status").unwrap();
     assert!(matches!(
         take_listener(file.as_raw_fd(), address),
@@ -30,9 +30,9 @@
         );
     }
     assert_eq!(parse_descriptor("3").unwrap(), 3);
-    let ours = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = ours.local_addr().unwrap();
-    let fd = ours.into_raw_fd();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let fd = listener.into_raw_fd();
     let taken = take_listener(fd, address).unwrap();
     assert_eq!(taken.local_addr().unwrap(), address);
     assert!(matches!(taken.accept().unwrap_err().kind(), std::io::ErrorKind::WouldBlock));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -144,9 +144,9 @@
 }
 
 fn check(file: PathBuf) -> Result<(), CommandError> {
-    let config = Config::from(&Source::File(file), &Clock::start())?;
-    let tenants = config.front.tenants.len();
-    let classes = config.front.classes.join(", ");
+    let config = Config::load(&Source::File(file), &Clock::start())?;
+    let tenants = config.service_settings.tenants.len();
+    let classes = config.service_settings.classes.join(", ");
     print(&format!("{}: good: {tenants} tenants, classes {classes}\n", config.name))
 }
 
@@ -181,8 +181,8 @@
 
 fn restore(backup: &Path, store: &Path) -> Result<(), CommandError> {
     let replaced = sanddyke_store::restore(backup, store)?;
-    let replaced = replaced.map_or(String::new(), |path| format!("; what was there is {}", path.display()));
-    print(&format!("{} is restored{replaced}\n", store.display()))
+    let suffix = replaced.map_or(String::new(), |path| format!("; what was there is {}", path.display()));
+    print(&format!("{} is restored{suffix}\n", store.display()))
 }
 
 /// Reads a document of tenants and groups. The path `-` is the standard input.
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::error::{ConfigError, invalid};
 use super::file::ClusterKeys;
-use super::listeners::loopback;
+use super::listeners::check_loopback;
 use crate::cluster::{ROLLING_RESTART_LEASE, backup};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 /// A lease must not expire during two lost renewals and an election of the voters (1 to 2 s).
 const DEFAULT_LEASE_MS: u64 = 3000;
 /// The allowed lengths of a lease.
-const LEASE_MS: RangeInclusive<u64> = 500..=600_000;
+const LEASE_MS_RANGE: RangeInclusive<u64> = 500..=600_000;
 const MIN_BACKUP_INTERVAL_MS: u64 = 1000;
 /// Limit of a manager's or cluster's name in the messages between managers.
 const MAX_NAME_BYTES: usize = 64;
@@ -57,16 +57,16 @@
             "this build has no cluster support: build it with --features cluster",
         ));
     }
-    let listen = loopback("cluster.listen", keys.listen)?;
-    let advertise = loopback("cluster.advertise", keys.advertise.unwrap_or(listen))?;
+    let listen = check_loopback("cluster.listen", keys.listen)?;
+    let advertise = check_loopback("cluster.advertise", keys.advertise.unwrap_or(listen))?;
     for seed in &keys.seeds {
-        loopback("cluster.seeds", *seed)?;
+        check_loopback("cluster.seeds", *seed)?;
     }
     check_names(&keys, manager)?;
     check_voters(&keys, manager)?;
     check_backups(&keys, has_backup_folder)?;
     let lease_ms = keys.lease_ms.unwrap_or(DEFAULT_LEASE_MS);
-    if !LEASE_MS.contains(&lease_ms) {
+    if !LEASE_MS_RANGE.contains(&lease_ms) {
         return Err(invalid("cluster.lease_ms", format!("must be 500 to 600000, is {lease_ms}")));
     }
     let mut leases = Vec::new();
--- a/src/config/listeners.rs
+++ b/src/config/listeners.rs
@@ -25,13 +25,13 @@
 
 /// The settings of the listener for TDS clients.
 #[derive(Debug)]
-pub struct TdsFront {
+pub struct TdsListener {
     /// The address on which clients connect.
     pub listen: SocketAddr,
     /// The class of a request that does not name one.
-    pub class: String,
+    pub default_class: String,
     /// The time budget of a request that does not set one.
-    pub budget: Micros,
+    pub default_time_budget: Micros,
     /// The directory that maps a login to a tenant.
     pub directory: Directory,
     /// The TLS configuration; `None` if the listener is not encrypted.
@@ -44,26 +44,26 @@
     /// The address on which operators connect.
     pub listen: SocketAddr,
     /// The token of the root operator.
-    pub token: String,
+    pub root_token: String,
     /// The TLS configuration; `None` if the listener is not encrypted.
     pub tls: Option<Arc<ServerConfig>>,
 }
 
 /// Checks that an address is a loopback address. This holds for protocols without encryption or authentication, which
 /// must be reachable from this machine only.
-pub(super) fn loopback(key: &str, address: SocketAddr) -> Result<SocketAddr, ConfigError> {
+pub(super) fn check_loopback(key: &str, address: SocketAddr) -> Result<SocketAddr, ConfigError> {
     match address.ip().is_loopback() {
         true => Ok(address),
         false => Err(invalid(key, format!("must be a loopback address, is {address}"))),
     }
 }
 
-pub(super) fn tds_front(
+pub(super) fn tds_listener(
     keys: TdsKeys,
     ldap: Option<Ldap>,
-    front: &ServiceSettings,
+    service_settings: &ServiceSettings,
     tenants: &KnownTenants,
-) -> Result<TdsFront, ConfigError> {
+) -> Result<TdsListener, ConfigError> {
     let files = TlsFiles {
         section: "tds",
         certificate: keys.certificate.as_deref(),
@@ -73,14 +73,14 @@
     // TDS 7 requires TLS 1.2: there the server sends the last message of the handshake, so the end of the handshake is
     // distinguishable from the data that follows.
     let tls = files.server_config(&[&version::TLS12])?;
-    let class = keys.default_class.or(front.classes.first().cloned());
-    let class =
-        class.ok_or_else(|| invalid("settings.classes", "must have a class for TDS clients, is empty"))?;
-    let index = front.classes.iter().position(|name| *name == class);
+    let default_class = keys.default_class.or(service_settings.classes.first().cloned());
+    let default_class = default_class
+        .ok_or_else(|| invalid("settings.classes", "must have a class for TDS clients, is empty"))?;
+    let index = service_settings.classes.iter().position(|name| *name == default_class);
     let index = index.ok_or_else(|| {
-        invalid("tds.default_class", format!("no such class in settings.classes: {class:?}"))
+        invalid("tds.default_class", format!("no such class in settings.classes: {default_class:?}"))
     })?;
-    let budget_ms = keys.default_ttl_ms.unwrap_or(front.settings.classes[index].deadline_ms);
+    let budget_ms = keys.default_ttl_ms.unwrap_or(service_settings.settings.classes[index].deadline_ms);
     if budget_ms < MIN_BUDGET_MS {
         return Err(invalid(
             "tds.default_ttl_ms",
@@ -88,8 +88,8 @@
         ));
     }
     let directory = directory(ldap, tenants.clone())?;
-    let listen = if tls.is_some() { keys.listen } else { loopback("tds.listen", keys.listen)? };
-    Ok(TdsFront { listen, class, budget: Micros::from_ms(budget_ms), directory, tls })
+    let listen = if tls.is_some() { keys.listen } else { check_loopback("tds.listen", keys.listen)? };
+    Ok(TdsListener { listen, default_class, default_time_budget: Micros::from_ms(budget_ms), directory, tls })
 }
 
 fn directory(ldap: Option<Ldap>, tenants: KnownTenants) -> Result<Directory, ConfigError> {
@@ -101,8 +101,8 @@
 }
 
 pub(super) fn admin_api(keys: AdminKeys) -> Result<AdminApi, ConfigError> {
-    let token = read_file("admin.token_file", &keys.token_file)?.trim().to_owned();
-    if token.len() < MIN_TOKEN_LENGTH {
+    let root_token = read_file("admin.token_file", &keys.token_file)?.trim().to_owned();
+    if root_token.len() < MIN_TOKEN_LENGTH {
         let reason = format!("must have a token of at least {MIN_TOKEN_LENGTH} bytes");
         return Err(invalid("admin.token_file", reason));
     }
@@ -113,8 +113,8 @@
         client_ca: keys.client_ca.as_deref(),
     };
     let tls = files.server_config(&[&version::TLS13, &version::TLS12])?;
-    let listen = if tls.is_some() { keys.listen } else { loopback("admin.listen", keys.listen)? };
-    Ok(AdminApi { listen, token, tls })
+    let listen = if tls.is_some() { keys.listen } else { check_loopback("admin.listen", keys.listen)? };
+    Ok(AdminApi { listen, root_token, tls })
 }
 
 /// Returns the protocol of the engines. Without an `[engines]` section it is the platform's line protocol.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -24,7 +24,7 @@
 pub use cluster::ClusterSettings;
 pub use error::ConfigError;
 pub use file::{File, StoreKeys, schema};
-pub use listeners::{AdminApi, TdsFront};
+pub use listeners::{AdminApi, TdsListener};
 pub use source::{RawConfig, Source};
 
 use crate::clock::Clock;
@@ -54,47 +54,47 @@
 #[derive(Debug)]
 pub struct Config {
     /// The values as they were read, to find the keys that a reload changes.
-    pub read: RawConfig,
+    pub raw: RawConfig,
     /// The name of this manager.
     pub name: String,
     /// The address on which HTTP clients connect; `None` if HTTP is off.
     pub listen: Option<SocketAddr>,
     /// The address of the operations endpoint; `None` if it is off.
-    pub ops: Option<SocketAddr>,
+    pub operations_endpoint: Option<SocketAddr>,
     /// The seed of all random numbers.
     pub seed: u64,
     /// The maximum of file descriptors that the process may have open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The address of the name service; `None` if the initial endpoint list never changes.
     pub resolver: Option<SocketAddr>,
     /// The name of the engines' service, for which the name service is queried.
-    pub service: String,
+    pub service_name: String,
     /// The endpoint list at the start.
-    pub listed: EngineList,
+    pub initial_engines: EngineList,
     /// The settings of the decision module, and the names of its classes, tenants, kinds and zones.
-    pub front: ServiceSettings,
+    pub service_settings: ServiceSettings,
     /// The maximum of open requests.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// The maximum of attempts in flight on one connection to an engine.
-    pub streams: usize,
+    pub max_attempts_per_connection: usize,
     /// The timeout for establishing a connection to an engine, in ms. Health checks have the same timeout.
-    pub connect_ms: f64,
+    pub connect_timeout_ms: f64,
     /// The time after which engines close idle connections, in ms.
-    pub keepalive_ms: f64,
+    pub engine_idle_timeout_ms: f64,
     /// Results of more bytes are sent to clients in pages.
     pub page_bytes: usize,
     /// The protocol for connections to engines.
-    pub wire: UpstreamProtocol,
+    pub upstream_protocol: UpstreamProtocol,
     /// The listener for TDS clients; `None` if TDS is off.
-    pub tds: Option<TdsFront>,
+    pub tds: Option<TdsListener>,
     /// The administration API; `None` if it is off.
     pub admin: Option<AdminApi>,
     /// The store of the tenants; `None` if the tenants are those of the settings and never change.
     pub store: Option<StoreKeys>,
     /// The names of the known tenants, shared with the frontends and the tenant service.
-    pub known: KnownTenants,
+    pub known_tenants: KnownTenants,
     /// The cluster of managers; `None` if this manager is in none.
-    pub fleet: Option<ClusterSettings>,
+    pub cluster: Option<ClusterSettings>,
 }
 
 impl Config {
@@ -102,11 +102,11 @@
     ///
     /// # Errors
     /// The configuration file can't be read, or a key is missing or invalid.
-    pub fn from(source: &Source, clock: &Clock) -> Result<Config, ConfigError> {
+    pub fn load(source: &Source, clock: &Clock) -> Result<Config, ConfigError> {
         let config = Config::from_value(&source.read()?, clock)?;
-        if let (Some(address), false) = (config.ops, source.is_platform()) {
+        if let (Some(address), false) = (config.operations_endpoint, source.is_platform()) {
             // The operations endpoint has no authentication: whoever reaches it can drain this manager.
-            listeners::loopback("ops", address)?;
+            listeners::check_loopback("ops", address)?;
         }
         Ok(config)
     }
@@ -119,55 +119,61 @@
         let file: File = serde_path_to_error::deserialize(value)
             .map_err(|error| invalid(error.path().to_string(), error.inner()))?;
         let allowed = file.settings.allowed.clone();
-        let front = settings::build(file.settings).map_err(|reason| invalid("settings", reason))?;
+        let service_settings =
+            settings::build(file.settings).map_err(|reason| invalid("settings", reason))?;
         let seed = seed(file.seed.as_deref(), clock)?;
-        let sockets = descriptors(file.limits.sockets)?;
+        let max_descriptors = descriptors(file.limits.sockets)?;
         let page_bytes = page_bytes(file.page_bytes)?;
-        let known = KnownTenants::new(front.tenants.iter().cloned());
+        let known_tenants = KnownTenants::new(service_settings.tenants.iter().cloned());
         if file.store.is_some() {
             // No tenant is known until the store is read.
-            known.replace([]);
+            known_tenants.replace([]);
         }
         let name = file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned());
         let has_backup_folder = file.store.as_ref().is_some_and(|store| store.backups.is_some());
-        let fleet = file.cluster.map(|keys| cluster::cluster(keys, &name, has_backup_folder)).transpose()?;
-        let keepalive_ms =
+        let cluster =
+            file.cluster.map(|keys| cluster::cluster(keys, &name, has_backup_folder)).transpose()?;
+        let engine_idle_timeout_ms =
             at_least("keepaliveMs", allowed.keepalive_ms, DEFAULT_KEEPALIVE_MS, MIN_KEEPALIVE_MS)?;
-        let max_open = at_least("maxOpen", allowed.max_open, DEFAULT_MAX_OPEN, 1.0)?;
-        let streams = at_least("streamsPerConn", allowed.streams_per_conn, DEFAULT_STREAMS, 1.0)?;
-        let connect_ms = at_least("connectTimeoutMs", allowed.connect_timeout_ms, DEFAULT_CONNECT_MS, 1.0)?;
-        let wire = listeners::upstream_protocol(file.engines)?;
+        let max_open_requests = at_least("maxOpen", allowed.max_open, DEFAULT_MAX_OPEN, 1.0)?;
+        let max_attempts = at_least("streamsPerConn", allowed.streams_per_conn, DEFAULT_STREAMS, 1.0)?;
+        let connect_timeout_ms =
+            at_least("connectTimeoutMs", allowed.connect_timeout_ms, DEFAULT_CONNECT_MS, 1.0)?;
+        let upstream_protocol = listeners::upstream_protocol(file.engines)?;
         let ldap = file.ldap;
-        let tds = file.tds.map(|keys| listeners::tds_front(keys, ldap, &front, &known)).transpose()?;
+        let tds = file
+            .tds
+            .map(|keys| listeners::tds_listener(keys, ldap, &service_settings, &known_tenants))
+            .transpose()?;
         let admin = file.admin.map(listeners::admin_api).transpose()?;
         Ok(Config {
-            read: RawConfig(value.clone()),
+            raw: RawConfig(value.clone()),
             name,
             listen: file.listen,
-            ops: file.ops,
+            operations_endpoint: file.ops,
             seed,
-            sockets,
+            max_descriptors,
             resolver: file.resolver,
-            service: file.service.unwrap_or_else(|| DEFAULT_SERVICE.to_owned()),
-            listed: initial_list::initial_list(file.known, clock),
-            max_open: max_open as usize,
-            streams: streams as usize,
-            connect_ms,
-            keepalive_ms,
+            service_name: file.service.unwrap_or_else(|| DEFAULT_SERVICE.to_owned()),
+            initial_engines: initial_list::initial_list(file.known, clock),
+            max_open_requests: max_open_requests as usize,
+            max_attempts_per_connection: max_attempts as usize,
+            connect_timeout_ms,
+            engine_idle_timeout_ms,
             page_bytes,
-            wire,
+            upstream_protocol,
             tds,
             admin,
             store: file.store,
-            known,
-            front,
-            fleet,
+            known_tenants,
+            service_settings,
+            cluster,
         })
     }
 
     /// Returns the tenants of the settings. They initialize a new store.
-    pub fn document(&self) -> Document {
-        let tenants = self.front.tenants.iter().zip(&self.front.settings.tenants);
+    pub fn initial_tenants(&self) -> Document {
+        let tenants = self.service_settings.tenants.iter().zip(&self.service_settings.settings.tenants);
         let entries = tenants.map(|(name, tenant)| {
             let spec =
                 TenantSpec { weight: tenant.share, quota_rps: tenant.quota_per_s, ..TenantSpec::default() };
--- a/src/config/source.rs
+++ b/src/config/source.rs
@@ -6,13 +6,13 @@
 use std::path::PathBuf;
 
 /// The variable that names the platform's file (JSON).
-const PLATFORM_FILE: &str = "LB_CONFIG";
+const PLATFORM_FILE_VARIABLE: &str = "LB_CONFIG";
 /// The variable that names an operator's file (TOML).
-const OPERATOR_FILE: &str = "SANDDYKE_CONFIG";
+const OPERATOR_FILE_VARIABLE: &str = "SANDDYKE_CONFIG";
 /// The command line option that names a file.
 const FILE_OPTION: &str = "--config";
 /// Keys that environment variables override, with the names of the variables.
-const VARIABLES: [(&str, &str); 3] = [("name", "LB_NAME"), ("listen", "LB_LISTEN"), ("ops", "LB_OPS")];
+const KEY_VARIABLES: [(&str, &str); 3] = [("name", "LB_NAME"), ("listen", "LB_LISTEN"), ("ops", "LB_OPS")];
 /// The keys that are read from the platform's file. The file also has keys of other programs, which may have the name
 /// of a key of this program: one file had an `admin` that was an address. The features of the ignored keys are off on
 /// the platform.
@@ -38,7 +38,7 @@
 impl Source {
     /// Whether the platform provides the configuration. If so, it also decides who can connect to which address.
     pub fn is_platform(&self) -> bool {
-        matches!(self, Source::Environment) && std::env::var_os(PLATFORM_FILE).is_some()
+        matches!(self, Source::Environment) && std::env::var_os(PLATFORM_FILE_VARIABLE).is_some()
     }
 
     /// Reads the file and applies the environment variables.
@@ -51,10 +51,10 @@
             false => toml::from_str(&text).map_err(|error| syntax(error.to_string()))?,
         };
         if let Some(keys) = value.as_object_mut() {
-            if location.key == PLATFORM_FILE {
+            if location.key == PLATFORM_FILE_VARIABLE {
                 keys.retain(|key, _| PLATFORM_KEYS.contains(&key.as_str()));
             }
-            for (key, variable) in VARIABLES {
+            for (key, variable) in KEY_VARIABLES {
                 if let Ok(set) = std::env::var(variable) {
                     keys.insert(key.to_owned(), Value::String(set));
                 }
@@ -71,12 +71,12 @@
                 Ok(Location { key: FILE_OPTION, path: path.clone(), is_json })
             }
             Source::Environment => {
-                let platform = variable(PLATFORM_FILE);
-                let operator = variable(OPERATOR_FILE);
+                let platform = variable(PLATFORM_FILE_VARIABLE);
+                let operator = variable(OPERATOR_FILE_VARIABLE);
                 if let Some(path) = platform {
-                    Ok(Location { key: PLATFORM_FILE, path, is_json: true })
+                    Ok(Location { key: PLATFORM_FILE_VARIABLE, path, is_json: true })
                 } else if let Some(path) = operator {
-                    Ok(Location { key: OPERATOR_FILE, path, is_json: false })
+                    Ok(Location { key: OPERATOR_FILE_VARIABLE, path, is_json: false })
                 } else {
                     Err(ConfigError::Unset)
                 }
@@ -91,7 +91,7 @@
 
 impl RawConfig {
     /// Returns the keys whose values differ from those of the earlier configuration `before`.
-    pub fn changed(&self, before: &RawConfig) -> Vec<String> {
+    pub fn changed_keys(&self, before: &RawConfig) -> Vec<String> {
         let keys: BTreeSet<String> = self.keys().chain(before.keys()).cloned().collect();
         keys.into_iter().filter(|key| self.0.get(key) != before.0.get(key)).collect()
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -5,7 +5,7 @@
 
 /// Guards against an error message that does not name the invalid key.
 #[test]
-fn a_message_names_the_faulty_key() {
+fn an_error_message_names_the_invalid_key() {
     let settings = json!({
         "allowed": {"attemptsCap": 3}, "classes": [], "discovery": "pushed", "replicasOfMe": 1,
         "report": {}, "stepMs": 5,
@@ -17,7 +17,7 @@
         Config::from_value(&config, &Clock::start())
     };
     assert!(with("name", json!("n1")).is_ok());
-    let faults = [
+    let invalid_values = [
         ("listen", json!("nowhere")),
         ("ops", json!("8080")),
         ("seed", json!("xyz")),
@@ -27,8 +27,8 @@
         ("known", json!({"notices": [{"rev": 1}]})),
         ("settings", json!({})),
     ];
-    for (key, value) in faults {
-        let said = with(key, value).expect_err(key).to_string();
-        assert!(said.contains(key), "{key}: {said}");
+    for (key, value) in invalid_values {
+        let message = with(key, value).expect_err(key).to_string();
+        assert!(message.contains(key), "{key}: {message}");
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -39,7 +39,7 @@
 fn serve(config_file: Option<PathBuf>) -> Result<(), ServerError> {
     let source = config_file.map_or(Source::Environment, Source::File);
     let clock = Clock::start();
-    let config = Config::from(&source, &clock)?;
+    let config = Config::load(&source, &clock)?;
     // Must come before anything else is opened: if no socket was inherited, no descriptor with the number may be open.
     let inherited_listener = inherit_listener(config.listen)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -76,24 +76,24 @@
 
 /// Returns the limits of connections to engines.
 pub fn upstream_limits(config: &Config, descriptors: DescriptorBudget) -> UpstreamLimits {
-    let progress_interval_ms = config.front.settings.engines.progress_interval_ms;
+    let progress_interval_ms = config.service_settings.settings.engines.progress_interval_ms;
     let reports_progress = progress_interval_ms > 0.0;
     let silence_timeout = if reports_progress {
         Micros::from_ms(progress_interval_ms * MISSING_PROGRESS_REPORTS).max(LINE_TIMEOUT)
     } else {
         DEFAULT_SILENCE_TIMEOUT
     };
-    let connect_timeout = Micros::from_ms(config.connect_ms);
+    let connect_timeout = Micros::from_ms(config.connect_timeout_ms);
     UpstreamLimits {
         connect_timeout: connect_timeout.to_duration(),
         probe_timeout: connect_timeout,
         silent_after: silence_timeout,
         reports_progress,
         line_within: LINE_TIMEOUT,
-        idle_after: Micros::from_ms(config.keepalive_ms * IDLE_TIMEOUT_FRACTION),
+        idle_after: Micros::from_ms(config.engine_idle_timeout_ms * IDLE_TIMEOUT_FRACTION),
         collected: descriptors.max_result_bytes(),
-        streams: config.streams,
-        connections: match config.wire {
+        streams: config.max_attempts_per_connection,
+        connections: match config.upstream_protocol {
             UpstreamProtocol::LineProtocol => MAX_LINE_PROTOCOL_CONNECTIONS,
             UpstreamProtocol::Tds(_) => MAX_TDS_CONNECTIONS,
         },
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -6,7 +6,7 @@
 use super::reload::AdminTls;
 use sanddyke::admin::{self, Admin};
 use sanddyke::cluster::Cluster;
-use sanddyke::config::{AdminApi, Config, TdsFront};
+use sanddyke::config::{AdminApi, Config, TdsListener};
 use sanddyke::frontend::http::{self, Http};
 use sanddyke::frontend::tds::{self, Tds};
 use sanddyke::tenants::TenantService;
@@ -70,15 +70,15 @@
     }
 
     /// Starts to accept TDS clients.
-    async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
+    async fn start_tds(&mut self, settings: TdsListener, seed: u64) -> Result<(), ServerError> {
         let listener = bind(settings.listen).await?;
         let frontend = Tds {
             service: self.handles.service.clone(),
             lifecycle: self.handles.lifecycle.clone(),
             directory: settings.directory,
             tls: settings.tls,
-            default_class: settings.class,
-            default_time_budget: settings.budget,
+            default_class: settings.default_class,
+            default_time_budget: settings.default_time_budget,
             name_seed: seed,
             next_request: AtomicU64::new(1),
         };
@@ -98,7 +98,7 @@
         let listener = bind(settings.listen).await?;
         admin_tls.send_replace(settings.tls);
         let Handles { service, lifecycle, clock } = self.handles.clone();
-        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.token, cluster);
+        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.root_token, cluster);
         self.accept_loops.push(tokio::spawn(admin::serve(listener, api, admin_tls.subscribe())));
         Ok(())
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -46,7 +46,7 @@
     lifecycle: LifecycleHandle,
     service: ServiceHandle,
     /// The accept loops of the listeners for clients and operators.
-    frontends: Vec<JoinHandle<()>>,
+    accept_loops: Vec<JoinHandle<()>>,
     cluster: Option<Cluster>,
     signals: Signals,
     /// Notified when a rolling restart of the cluster restarts this manager.
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -38,27 +38,27 @@
     /// Reads and checks the whole configuration and applies its reloadable keys. An invalid configuration changes
     /// nothing.
     pub fn reload(&mut self) {
-        let config = match Config::from(&self.source, &self.clock) {
+        let config = match Config::load(&self.source, &self.clock) {
             Ok(config) => config,
             Err(error) => {
                 log::error!("SIGHUP: reload failed, the previous configuration stays in effect: {error}");
                 return;
             }
         };
-        self.log_changes(&config.read);
-        self.current = config.read;
+        self.log_changes(&config.raw);
+        self.current = config.raw;
         self.discovery_target.send_replace(DiscoveryTarget {
             resolver: config.resolver,
-            service: config.service,
-            listed: config.listed,
+            service: config.service_name,
+            listed: config.initial_engines,
         });
-        self.renew_admin_certificate(config.admin);
+        self.reload_admin_certificate(config.admin);
         log::info!("SIGHUP: the configuration is reloaded");
     }
 
     /// Logs for each changed key whether it takes effect now or at the next start.
-    fn log_changes(&self, read: &RawConfig) {
-        for key in read.changed(&self.current) {
+    fn log_changes(&self, raw: &RawConfig) {
+        for key in raw.changed_keys(&self.current) {
             if RELOADABLE_KEYS.contains(&key.as_str()) {
                 log::info!("SIGHUP: {key} has changed and takes effect now");
             } else {
@@ -69,10 +69,10 @@
 
     /// Applies the administration API's certificate as it was just read from its files: the files may change while
     /// their paths stay the same. A listener that was started without encryption stays without it.
-    fn renew_admin_certificate(&self, admin: Option<AdminApi>) {
-        let encrypted = self.admin_tls.borrow().is_some();
+    fn reload_admin_certificate(&self, admin: Option<AdminApi>) {
+        let is_encrypted = self.admin_tls.borrow().is_some();
         let tls = admin.and_then(|admin| admin.tls);
-        if let Some(tls) = tls.filter(|_| encrypted) {
+        if let Some(tls) = tls.filter(|_| is_encrypted) {
             self.admin_tls.send_replace(Some(tls));
             log::info!("SIGHUP: the administration API's certificate is reloaded");
         }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -65,7 +65,7 @@
         if let Some(cluster) = &self.cluster {
             // Leases are passed to other managers from SIGTERM on. After the leave message the other managers do not
             // have to wait until the remaining leases expire.
-            let _left_or_late = tokio::time::timeout(CLUSTER_LEAVE_TIMEOUT, cluster.leave()).await;
+            let _left_or_timed_out = tokio::time::timeout(CLUSTER_LEAVE_TIMEOUT, cluster.leave()).await;
         }
         tokio::time::sleep(FLUSH_TIME).await;
         self.lifecycle.apply(Event::LastResponseSent)?;
@@ -75,9 +75,9 @@
 
     /// Waits until every request has its complete answer, at most until `deadline`.
     async fn complete_requests(&mut self, deadline: Micros) -> Result<(), ServiceEnded> {
-        let frontends = std::mem::take(&mut self.frontends);
+        let accept_loops = std::mem::take(&mut self.accept_loops);
         let deadline = self.clock.instant(deadline);
-        let completed = tokio::time::timeout_at(deadline.into(), self.all_answered(frontends)).await;
+        let completed = tokio::time::timeout_at(deadline.into(), self.all_answered(accept_loops)).await;
         let Ok(completed) = completed else {
             let unanswered_requests = self.lifecycle.unanswered_requests();
             log::warn!(unanswered_requests; "graceful shutdown timed out: some requests have no complete answer");
@@ -94,11 +94,11 @@
 
     /// Returns once no more connections are accepted and every accepted request is answered. This includes a request
     /// that its client is still sending.
-    async fn all_answered(&self, frontends: Vec<JoinHandle<()>>) -> Result<(), ServiceEnded> {
-        for frontend in frontends {
+    async fn all_answered(&self, accept_loops: Vec<JoinHandle<()>>) -> Result<(), ServiceEnded> {
+        for accept_loop in accept_loops {
             // The loop ends when connections are no longer accepted. By then it has accepted the listener's whole
             // backlog.
-            if let Err(error) = frontend.await {
+            if let Err(error) = accept_loop.await {
                 log::error!("accept loop panicked: {error}");
             }
         }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -33,16 +33,16 @@
         let lifecycle = LifecycleHandle::new(socket);
         let signals = Signals::register()?;
         let shutdown_budget =
-            ShutdownBudget::new(&config.front.settings.classes, socket, source.is_platform());
+            ShutdownBudget::new(&config.service_settings.settings.classes, socket, source.is_platform());
 
         let store = open_store(config.store.as_ref())?;
         let service = start_service(&config, store.is_some(), clock);
         let handles = Handles { service, lifecycle, clock };
-        let initial_engines = EngineListUpdate::Initial(config.listed.engines());
+        let initial_engines = EngineListUpdate::Initial(config.initial_engines.engines());
         handles.service.notify(Input::Engines(initial_engines)).await?;
         start_operations_endpoint(&config, &handles)?;
 
-        let handover = Handover::new(&config.name, socket);
+        let handover = HandoverFiles::new(&config.name, socket);
         handover.restore(&handles).await?;
         let tenant_service = start_tenant_service(&config, store, &handles).await?;
         let restart = Arc::new(Notify::new());
@@ -50,14 +50,14 @@
         let discovery_target = start_discovery(&config, &handles);
         let admin_tls = AdminTls::new(None);
         let reloader =
-            ConfigReloader::new(source, clock, config.read.clone(), discovery_target, admin_tls.clone());
+            ConfigReloader::new(source, clock, config.raw.clone(), discovery_target, admin_tls.clone());
         if socket == ListenSocket::Shared {
             // The other process serves clients until this one reports ready.
             state_handover::wait_for_engines(&handles.service, &clock).await?;
         }
 
         let name = config.name.clone();
-        let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.sockets));
+        let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.max_descriptors));
         listeners.open(config, inherited_listener, tenant_service, cluster.clone(), &admin_tls).await?;
         handles.lifecycle.apply(Event::EngineListLoaded)?;
         handles.lifecycle.apply(Event::EnginesChecked)?;
@@ -68,7 +68,7 @@
             socket,
             lifecycle: handles.lifecycle,
             service: handles.service,
-            frontends: listeners.accept_loops,
+            accept_loops: listeners.accept_loops,
             cluster,
             signals,
             restart,
@@ -90,19 +90,19 @@
 /// The files through which two consecutive processes of one manager exchange state. Both are `None` if the listening
 /// socket closes with the process.
 #[derive(Debug)]
-struct Handover {
+struct HandoverFiles {
     snapshot_file: Option<SnapshotFile>,
     connections_file: Option<SnapshotFile>,
 }
 
-impl Handover {
-    fn new(name: &str, socket: ListenSocket) -> Handover {
+impl HandoverFiles {
+    fn new(name: &str, socket: ListenSocket) -> HandoverFiles {
         match socket {
-            ListenSocket::Shared => Handover {
+            ListenSocket::Shared => HandoverFiles {
                 snapshot_file: state_handover::snapshot_file(name),
                 connections_file: state_handover::connections_file(name),
             },
-            ListenSocket::Exclusive => Handover { snapshot_file: None, connections_file: None },
+            ListenSocket::Exclusive => HandoverFiles { snapshot_file: None, connections_file: None },
         }
     }
 
@@ -135,17 +135,17 @@
 /// Starts the service task, which owns the core and the connections to engines.
 fn start_service(config: &Config, has_store: bool, clock: Clock) -> ServiceHandle {
     let (service, messages) = ServiceHandle::new();
-    let descriptors = DescriptorBudget::new(config.sockets);
+    let descriptors = DescriptorBudget::new(config.max_descriptors);
     let limits = upstream_limits(config, descriptors);
-    let upstream = UpstreamPool::new(config.wire.clone(), service.clone(), clock, limits);
-    let mut front: ServiceSettings = config.front.clone();
-    front.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
+    let upstream = UpstreamPool::new(config.upstream_protocol.clone(), service.clone(), clock, limits);
+    let mut service_settings: ServiceSettings = config.service_settings.clone();
+    service_settings.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
     if has_store {
         // With a store, the tenants come from the store. Those of the settings only initialize a new store.
-        front.tenants = Vec::new();
-        front.settings.tenants = Vec::new();
+        service_settings.tenants = Vec::new();
+        service_settings.settings.tenants = Vec::new();
     }
-    let mut core = Core::new(front, config.max_open, config.seed, clock.now());
+    let mut core = Core::new(service_settings, config.max_open_requests, config.seed, clock.now());
     if has_store {
         core = core.with_tenant_store();
     }
@@ -155,12 +155,12 @@
 
 /// Starts the operations endpoint, if one is configured, and the heartbeat that its health check uses.
 fn start_operations_endpoint(config: &Config, handles: &Handles) -> Result<(), ServerError> {
-    let Some(address) = config.ops else { return Ok(()) };
+    let Some(address) = config.operations_endpoint else { return Ok(()) };
     let heartbeat = Heartbeat::default();
     tokio::spawn(heartbeat.clone().run(handles.service.clone(), handles.clock));
     let endpoint =
         OperationsEndpoint { lifecycle: handles.lifecycle.clone(), heartbeat, clock: handles.clock };
-    let max_connections = DescriptorBudget::new(config.sockets).max_operations_connections();
+    let max_connections = DescriptorBudget::new(config.max_descriptors).max_operations_connections();
     operations_endpoint::start(address, endpoint, max_connections)
         .map_err(|source| ServerError::BindOperationsAddress { address, source })
 }
@@ -171,19 +171,26 @@
     store: Option<(Store, Loaded)>,
     handles: &Handles,
 ) -> Result<Arc<TenantService>, TenantServiceError> {
-    let settings_tenants = config.document();
+    let initial_tenants = config.initial_tenants();
     let backups = config.store.as_ref().and_then(|keys| keys.backups.clone());
     let service = handles.service.clone();
-    TenantService::start(store, &settings_tenants, backups, service, config.known.clone(), handles.clock)
-        .await
+    TenantService::start(
+        store,
+        &initial_tenants,
+        backups,
+        service,
+        config.known_tenants.clone(),
+        handles.clock,
+    )
+    .await
 }
 
 /// Starts the discovery task. The returned sender replaces its target.
 fn start_discovery(config: &Config, handles: &Handles) -> watch::Sender<DiscoveryTarget> {
     let target = DiscoveryTarget {
         resolver: config.resolver,
-        service: config.service.clone(),
-        listed: config.listed.clone(),
+        service: config.service_name.clone(),
+        listed: config.initial_engines.clone(),
     };
     let (sender, receiver) = watch::channel(target);
     tokio::spawn(discovery::run(receiver, handles.service.clone(), handles.clock, config.seed));
@@ -202,12 +209,12 @@
         JoinedCluster, ProcessControl, ROLLING_RESTART_LEASE, backup, follow_lifecycle, restart_controller,
         start,
     };
-    let Some(fleet) = config.fleet.clone() else { return Ok(None) };
-    let address = fleet.listen;
-    let backup_interval_ms = fleet.backup_interval_ms;
+    let Some(settings) = config.cluster.clone() else { return Ok(None) };
+    let address = settings.listen;
+    let backup_interval_ms = settings.backup_interval_ms;
     let Handles { lifecycle, clock, .. } = handles.clone();
     let process = ProcessControl { lifecycle: lifecycle.clone(), restart: restart.clone() };
-    let joined = start(fleet, &config.name, clock, config.seed, process);
+    let joined = start(settings, &config.name, clock, config.seed, process);
     let JoinedCluster { cluster, mut lease_events } =
         joined.map_err(|source| ServerError::BindClusterAddress { address, source })?;
     if let (Some(events), Some(interval_ms)) = (lease_events.remove(backup::LEASE_NAME), backup_interval_ms) {
--- a/src/service/handle.rs
+++ b/src/service/handle.rs
@@ -122,9 +122,9 @@
     }
 
     /// Sends a query and waits for the reply.
-    async fn query<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Query) -> Result<T, ServiceEnded> {
+    async fn query<T>(&self, to_query: impl FnOnce(oneshot::Sender<T>) -> Query) -> Result<T, ServiceEnded> {
         let (reply, answer) = oneshot::channel();
-        self.send(Message::Query(question(reply))).await?;
+        self.send(Message::Query(to_query(reply))).await?;
         answer.await.map_err(|_| ServiceEnded)
     }
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -62,7 +62,7 @@
         }
         self.log_state(now);
         self.core.handle(now, Input::Tick, &mut self.commands);
-        self.carry_out_commands(now);
+        self.apply_commands(now);
         debug_assert_eq!(
             self.replies.len(),
             self.core.open_requests(),
@@ -106,7 +106,7 @@
 
     /// Applies the core's commands. A command that an engine's queue has no room for is reported back to the core, and
     /// the commands that the core returns then are applied too.
-    fn carry_out_commands(&mut self, now: Micros) {
+    fn apply_commands(&mut self, now: Micros) {
         while !self.commands.is_empty() {
             let mut failures = Vec::new();
             for command in self.commands.drain(..) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -33,7 +33,8 @@
     me: usize,
     over_share_worth: Option<f64>,
     #[serde(default)]
-    prices: Prices,
+    #[serde(rename = "prices")]
+    score_penalties: ScorePenalties,
     replicas_of_me: usize,
     report: Report,
     safety: Safety,
@@ -108,8 +109,10 @@
 
 #[derive(Debug, Clone, Deserialize, Default, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
-struct Prices {
-    probe: f64,
+#[schemars(rename = "Prices")]
+struct ScorePenalties {
+    #[serde(rename = "probe")]
+    health_check: f64,
     cross_zone: f64,
 }
 
@@ -201,8 +204,8 @@
         rules: Rules::from(&env.safety),
         engines: env.family_info.engine_traits()?,
         poll_engine_list: polls_engine_list(&env.discovery)?,
-        health_check_price: env.prices.probe,
-        cross_zone_price: env.prices.cross_zone,
+        health_check_price: env.score_penalties.health_check,
+        cross_zone_price: env.score_penalties.cross_zone,
     };
     Ok(ServiceSettings {
         settings,
@@ -272,7 +275,7 @@
     match discovery {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
-        other => Err(SettingsError::unknown_word("discovery", other)),
+        other => Err(SettingsError::unknown_value("discovery", other)),
     }
 }
 
@@ -284,10 +287,10 @@
             "once" => Ok(Effect::Once),
             "by_key" => {
                 let scope = self.dedup_scope()?;
-                let window_ms = self.window_ms.ok_or(SettingsError::Missing("windowMs"))?;
+                let window_ms = self.window_ms.ok_or(SettingsError::MissingForIdempotencyKey("windowMs"))?;
                 Ok(Effect::Keyed { scope, window_ms })
             }
-            other => Err(SettingsError::unknown_word("idempotency", other)),
+            other => Err(SettingsError::unknown_value("idempotency", other)),
         }
     }
 
@@ -298,7 +301,7 @@
             None | Some("all") => Ok(DedupScope::All),
             Some("zone") => Ok(DedupScope::Zone),
             Some("cell") => Ok(DedupScope::Cell),
-            Some(other) => Err(SettingsError::unknown_word("dedupScope", other)),
+            Some(other) => Err(SettingsError::unknown_value("dedupScope", other)),
         }
     }
 }
@@ -358,7 +361,7 @@
             None | Some("queue") => MemoryShortage::Wait,
             Some("trim") => MemoryShortage::Trim,
             Some("swap") => MemoryShortage::Page,
-            Some(other) => return Err(SettingsError::unknown_word("familyInfo.outOfMemory", other)),
+            Some(other) => return Err(SettingsError::unknown_value("familyInfo.outOfMemory", other)),
         };
         Ok(EngineTraits {
             on_memory_shortage,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -33,7 +33,7 @@
     },
     /// The value of a key is none of the allowed ones.
     #[error("{key}: unknown value {value:?}")]
-    UnknownWord {
+    UnknownValue {
         /// The path of the key.
         key: &'static str,
         /// The value that was found.
@@ -41,12 +41,12 @@
     },
     /// A key is missing that is required where `idempotency` is `by_key`. The field is the key.
     #[error("{0}: missing, required where idempotency is by_key")]
-    Missing(&'static str),
+    MissingForIdempotencyKey(&'static str),
 }
 
 impl SettingsError {
     /// Creates the error for a value that is none of the allowed ones.
-    pub(super) fn unknown_word(key: &'static str, value: &str) -> SettingsError {
-        SettingsError::UnknownWord { key, value: value.to_owned() }
+    pub(super) fn unknown_value(key: &'static str, value: &str) -> SettingsError {
+        SettingsError::UnknownValue { key, value: value.to_owned() }
     }
 }
--- a/src/state_handover.rs
+++ b/src/state_handover.rs
@@ -25,9 +25,9 @@
 const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Interval at which a process that shuts down publishes its connection count, and at which the next process reads it.
-const CONNECTIONS_INTERVAL: Duration = Duration::from_millis(100);
+const CONNECTION_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 /// An older connection count is from a process that has ended.
-const MAX_CONNECTIONS_AGE: Duration = Duration::from_secs(1);
+const MAX_CONNECTION_COUNT_AGE: Duration = Duration::from_secs(1);
 
 /// An error of writing or restoring a snapshot.
 #[derive(Debug, Error)]
@@ -60,7 +60,7 @@
             log::warn!("handover: publishing the open connections failed: {error}");
             return;
         }
-        tokio::time::sleep(CONNECTIONS_INTERVAL).await;
+        tokio::time::sleep(CONNECTION_COUNT_INTERVAL).await;
     }
 }
 
@@ -72,23 +72,23 @@
     clock: Clock,
     lifecycle: LifecycleHandle,
 ) {
-    let mut notified = 0;
+    let mut last_notified = 0;
     while !lifecycle.is_shutting_down() {
         let connections = read_connections(&file, &clock);
-        if connections != notified {
-            notified = connections;
+        if connections != last_notified {
+            last_notified = connections;
             if service.notify(Input::PeerProcessConnections(connections)).await.is_err() {
                 return;
             }
         }
-        tokio::time::sleep(CONNECTIONS_INTERVAL).await;
+        tokio::time::sleep(CONNECTION_COUNT_INTERVAL).await;
     }
 }
 
 /// Returns the published connection count. It is 0 if the file is missing, outdated or unreadable, because then there
 /// is no other process.
 fn read_connections(file: &SnapshotFile, clock: &Clock) -> usize {
-    let snapshot = file.read(clock.unix_ms(), MAX_CONNECTIONS_AGE).ok().flatten();
+    let snapshot = file.read(clock.unix_ms(), MAX_CONNECTION_COUNT_AGE).ok().flatten();
     let bytes = snapshot.and_then(|snapshot| <[u8; 8]>::try_from(snapshot.payload).ok());
     let connections = bytes.map_or(0, u64::from_le_bytes);
     usize::try_from(connections).unwrap_or(usize::MAX)
@@ -101,7 +101,7 @@
     service: &ServiceHandle,
     clock: &Clock,
 ) -> Result<(), ServiceEnded> {
-    if let Err(error) = file.remove_stale_parts() {
+    if let Err(error) = file.remove_stale_temporary_files() {
         log::warn!("handover: removing stale temporary files failed: {error}");
     }
     let (state, age) = match read_snapshot(file, clock) {
@@ -171,9 +171,9 @@
 
 /// Waits until enough engines have answered a health check, at most for 2 s.
 pub async fn wait_for_engines(service: &ServiceHandle, clock: &Clock) -> Result<(), ServiceEnded> {
-    let give_up_at = clock.now() + MAX_ENGINE_WAIT;
+    let deadline = clock.now() + MAX_ENGINE_WAIT;
     while !service.engines_checked().await? {
-        if clock.now() >= give_up_at {
+        if clock.now() >= deadline {
             log::warn!(
                 "too few engines have answered a health check after {} ms; starting without them",
                 MAX_ENGINE_WAIT.as_ms()
