--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -134,9 +134,10 @@
         let cluster =
             file.cluster.map(|keys| cluster::cluster(keys, &name, has_backup_folder)).transpose()?;
         let engine_idle_timeout_ms =
-            at_least("keepaliveMs", allowed.keepalive_ms, DEFAULT_KEEPALIVE_MS, MIN_KEEPALIVE_MS)?;
-        let max_open_requests = at_least("maxOpen", allowed.max_open, DEFAULT_MAX_OPEN, 1.0)?;
-        let max_attempts = at_least("streamsPerConn", allowed.streams_per_conn, DEFAULT_STREAMS, 1.0)?;
+            at_least("keepaliveMs", allowed.engine_idle_timeout_ms, DEFAULT_KEEPALIVE_MS, MIN_KEEPALIVE_MS)?;
+        let max_open_requests = at_least("maxOpen", allowed.max_open_requests, DEFAULT_MAX_OPEN, 1.0)?;
+        let max_attempts =
+            at_least("streamsPerConn", allowed.max_attempts_per_connection, DEFAULT_STREAMS, 1.0)?;
         let connect_timeout_ms =
             at_least("connectTimeoutMs", allowed.connect_timeout_ms, DEFAULT_CONNECT_MS, 1.0)?;
         let upstream_protocol = listeners::upstream_protocol(file.engines)?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,9 @@
 //! The settings of one manager: reads them from the platform's JSON, checks them and converts them to the types of the
 //! decision module.
 //!
-//! [`Env`] and its parts have the names and the structure of the platform's JSON, which are also those of the JSON
-//! schema. [`build`] checks them and returns [`ServiceSettings`].
+//! [`Env`] and its parts have the structure of the platform's JSON. Where a field or a type has a `rename` attribute, that
+//! is its name in the platform's JSON and in the JSON schema. [`build`] checks the settings and returns
+//! [`ServiceSettings`].
 
 mod error;
 
@@ -22,20 +23,21 @@
     /// What the deployment allows.
     pub(crate) allowed: Allowed,
     classes: Vec<Class>,
-    #[serde(default)]
-    customers: Vec<Customer>,
+    #[serde(default, rename = "customers")]
+    tenants: Vec<TenantEntry>,
     discovery: String,
-    #[serde(default)]
-    family_info: FamilyInfo,
-    #[serde(default)]
-    models: Vec<String>,
-    #[serde(default)]
-    me: usize,
-    over_share_worth: Option<f64>,
-    #[serde(default)]
-    #[serde(rename = "prices")]
+    #[serde(default, rename = "familyInfo")]
+    engine_family: EngineFamily,
+    #[serde(default, rename = "models")]
+    kinds: Vec<String>,
+    #[serde(default, rename = "me")]
+    manager_index: usize,
+    #[serde(rename = "overShareWorth")]
+    over_share_weight_fraction: Option<f64>,
+    #[serde(default, rename = "prices")]
     score_penalties: ScorePenalties,
-    replicas_of_me: usize,
+    #[serde(rename = "replicasOfMe")]
+    manager_count: usize,
     report: Report,
     safety: Safety,
     step_ms: f64,
@@ -48,63 +50,83 @@
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Allowed {
-    pub(crate) max_open: Option<f64>,
-    pub(crate) streams_per_conn: Option<f64>,
+    #[serde(rename = "maxOpen")]
+    pub(crate) max_open_requests: Option<f64>,
+    #[serde(rename = "streamsPerConn")]
+    pub(crate) max_attempts_per_connection: Option<f64>,
     pub(crate) connect_timeout_ms: Option<f64>,
-    pub(crate) keepalive_ms: Option<f64>,
-    attempts_cap: u32,
-    #[serde(default)]
-    cancel: bool,
+    #[serde(rename = "keepaliveMs")]
+    pub(crate) engine_idle_timeout_ms: Option<f64>,
+    #[serde(rename = "attemptsCap")]
+    max_attempts: u32,
+    #[serde(default, rename = "cancel")]
+    cancellation: bool,
     max_retry_after_ms: Option<f64>,
-    #[serde(default)]
-    probes: bool,
-    #[serde(default)]
-    second_copies: bool,
+    #[serde(default, rename = "probes")]
+    health_checks: bool,
+    #[serde(default, rename = "secondCopies")]
+    hedged_requests: bool,
 }
 
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 struct Class {
     name: String,
-    target_ms: f64,
-    #[serde(default)]
-    aim_stretch: f64,
+    #[serde(rename = "targetMs")]
+    latency_objective_ms: f64,
+    #[serde(default, rename = "aimStretch")]
+    latency_objective_stretch: f64,
     deadline_ms: f64,
     idempotency: String,
     dedup_scope: Option<String>,
     window_ms: Option<f64>,
-    #[serde(default)]
-    in_turn: bool,
-    #[serde(default)]
-    late_share: f64,
-    runs_on: Option<Vec<String>>,
-    stays_in: Option<Vec<String>>,
-    worth: f64,
+    #[serde(default, rename = "inTurn")]
+    in_order: bool,
+    #[serde(default, rename = "lateShare")]
+    late_weight_fraction: f64,
+    #[serde(rename = "runsOn")]
+    allowed_kinds: Option<Vec<String>>,
+    #[serde(rename = "staysIn")]
+    allowed_zones: Option<Vec<String>>,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
 }
 
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
-struct Customer {
+#[schemars(rename = "Customer")]
+struct TenantEntry {
     name: String,
-    portion: f64,
+    #[serde(rename = "portion")]
+    share: f64,
     quota_rps: f64,
 }
 
 #[derive(Debug, Clone, Deserialize, Default, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
-struct FamilyInfo {
-    dop: Vec<f64>,
-    grant_cap: Option<f64>,
-    grants: bool,
-    kind_cores: Vec<f64>,
-    loads: Vec<bool>,
+#[schemars(rename = "FamilyInfo")]
+struct EngineFamily {
+    #[serde(rename = "dop")]
+    threads_by_class: Vec<f64>,
+    #[serde(rename = "grantCap")]
+    max_grant_fraction: Option<f64>,
+    #[serde(rename = "grants")]
+    memory_grants: bool,
+    #[serde(rename = "kindCores")]
+    cores_by_kind: Vec<f64>,
+    #[serde(rename = "loads")]
+    locks_data_set_by_class: Vec<bool>,
     memory_by_kind_mb: Vec<f64>,
-    out_of_memory: Option<String>,
-    ranks_heeded: bool,
+    #[serde(rename = "outOfMemory")]
+    on_memory_shortage: Option<String>,
+    #[serde(rename = "ranksHeeded")]
+    priorities: bool,
     #[serde(rename = "saysCost")]
     reports_usage: bool,
-    tells_every_ms: f64,
-    yields_to_loads: Vec<bool>,
+    #[serde(rename = "tellsEveryMs")]
+    progress_interval_ms: f64,
+    #[serde(rename = "yieldsToLoads")]
+    waits_for_loads_by_class: Vec<bool>,
 }
 
 #[derive(Debug, Clone, Deserialize, Default, JsonSchema)]
@@ -125,16 +147,22 @@
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 struct Safety {
-    ask_within_ms: Option<f64>,
-    cold_from: f64,
-    #[serde(default)]
-    key_rest_ms: f64,
+    #[serde(rename = "askWithinMs")]
+    poll_interval_ms: Option<f64>,
+    #[serde(rename = "coldFrom")]
+    initial_capacity_fraction: f64,
+    #[serde(default, rename = "keyRestMs")]
+    key_settle_ms: f64,
     overload_factor: f64,
-    tip_after_ms: f64,
+    #[serde(rename = "tipAfterMs")]
+    overload_window_ms: f64,
     warm_up_ms: f64,
-    extra_floor: Option<f64>,
-    repeat_ratio: Option<f64>,
-    resend_span_ms: Option<f64>,
+    #[serde(rename = "extraFloor")]
+    retry_budget_floor: Option<f64>,
+    #[serde(rename = "repeatRatio")]
+    retry_budget_ratio: Option<f64>,
+    #[serde(rename = "resendSpanMs")]
+    retry_budget_window_ms: Option<f64>,
 }
 
 /// Maximum of request classes. The sampler of engines stores one bit for each class
@@ -185,24 +213,24 @@
 /// The first invalid value.
 pub fn build(env: Env) -> Result<ServiceSettings, SettingsError> {
     check(&env)?;
-    let mut kinds = env.models.clone();
+    let mut kinds = env.kinds.clone();
     let mut zones = env.zones.clone();
     let mut classes = Vec::with_capacity(env.classes.len());
     for index in 0..env.classes.len() {
         classes.push(class_settings(&env, index, &mut kinds, &mut zones)?);
     }
     let settings = Settings {
-        gateway_count: env.replicas_of_me,
-        gateway_index: env.me,
+        gateway_count: env.manager_count,
+        gateway_index: env.manager_index,
         zone: ZoneId(number(&mut zones, &env.zone)),
         step_ms: env.step_ms,
         classes,
-        tenants: env.customers.iter().map(TenantSettings::from).collect(),
-        over_share_weight_fraction: env.over_share_worth.unwrap_or(1.0),
-        kinds: (0..kinds.len()).map(|index| env.family_info.kind(index)).collect(),
+        tenants: env.tenants.iter().map(TenantSettings::from).collect(),
+        over_share_weight_fraction: env.over_share_weight_fraction.unwrap_or(1.0),
+        kinds: (0..kinds.len()).map(|index| env.engine_family.kind(index)).collect(),
         limits: Limits::from(&env.allowed),
         rules: Rules::from(&env.safety),
-        engines: env.family_info.engine_traits()?,
+        engines: env.engine_family.engine_traits()?,
         poll_engine_list: polls_engine_list(&env.discovery)?,
         health_check_price: env.score_penalties.health_check,
         cross_zone_price: env.score_penalties.cross_zone,
@@ -210,20 +238,20 @@
     Ok(ServiceSettings {
         settings,
         classes: env.classes.into_iter().map(|class| class.name).collect(),
-        tenants: env.customers.into_iter().map(|tenant| tenant.name).collect(),
+        tenants: env.tenants.into_iter().map(|tenant| tenant.name).collect(),
         kinds,
         zones,
         columns: env.report.columns,
-        reports_usage: env.family_info.reports_usage,
+        reports_usage: env.engine_family.reports_usage,
     })
 }
 
 /// Checks the values whose validity does not depend on other values.
 fn check(env: &Env) -> Result<(), SettingsError> {
     let positive = [
-        ("replicasOfMe", env.replicas_of_me as f64),
+        ("replicasOfMe", env.manager_count as f64),
         ("stepMs", env.step_ms),
-        ("safety.tipAfterMs", env.safety.tip_after_ms),
+        ("safety.tipAfterMs", env.safety.overload_window_ms),
         ("safety.overloadFactor", env.safety.overload_factor),
     ];
     for (key, value) in positive {
@@ -246,27 +274,27 @@
     zones: &mut Vec<String>,
 ) -> Result<ClassSettings, SettingsError> {
     let class = &env.classes[index];
-    let family = &env.family_info;
-    if class.target_ms <= 0.0 || class.deadline_ms < class.target_ms {
+    let family = &env.engine_family;
+    if class.latency_objective_ms <= 0.0 || class.deadline_ms < class.latency_objective_ms {
         return Err(SettingsError::TargetOutOfRange(index));
     }
-    let allowed_kinds = class.runs_on.as_ref();
-    let allowed_zones = class.stays_in.as_ref();
+    let allowed_kinds = class.allowed_kinds.as_ref();
+    let allowed_zones = class.allowed_zones.as_ref();
     Ok(ClassSettings {
-        latency_objective_ms: class.target_ms,
-        latency_objective_stretch: class.aim_stretch,
+        latency_objective_ms: class.latency_objective_ms,
+        latency_objective_stretch: class.latency_objective_stretch,
         deadline_ms: class.deadline_ms,
-        priority_weight: class.worth,
-        late_weight_fraction: class.late_share,
+        priority_weight: class.priority_weight,
+        late_weight_fraction: class.late_weight_fraction,
         allowed_kinds: allowed_kinds
             .map(|names| names.iter().map(|name| KindId(number(kinds, name))).collect()),
         allowed_zones: allowed_zones
             .map(|names| names.iter().map(|name| ZoneId(number(zones, name))).collect()),
         effect: class.effect().map_err(|error| SettingsError::Class { index, error: Box::new(error) })?,
-        in_order: class.in_turn,
-        threads: family.dop.get(index).copied().unwrap_or(1.0).max(1.0),
-        locks_data_set: family.loads.get(index).copied().unwrap_or(false),
-        waits_for_loads: family.yields_to_loads.get(index).copied().unwrap_or(false),
+        in_order: class.in_order,
+        threads: family.threads_by_class.get(index).copied().unwrap_or(1.0).max(1.0),
+        locks_data_set: family.locks_data_set_by_class.get(index).copied().unwrap_or(false),
+        waits_for_loads: family.waits_for_loads_by_class.get(index).copied().unwrap_or(false),
     })
 }
 
@@ -306,21 +334,21 @@
     }
 }
 
-impl From<&Customer> for TenantSettings {
-    fn from(customer: &Customer) -> TenantSettings {
-        TenantSettings { share: customer.portion, quota_per_s: customer.quota_rps, group: None }
+impl From<&TenantEntry> for TenantSettings {
+    fn from(tenant: &TenantEntry) -> TenantSettings {
+        TenantSettings { share: tenant.share, quota_per_s: tenant.quota_rps, group: None }
     }
 }
 
 impl From<&Allowed> for Limits {
     fn from(allowed: &Allowed) -> Limits {
         Limits {
-            max_attempts: allowed.attempts_cap,
+            max_attempts: allowed.max_attempts,
             // The server sets it from the number of descriptors that the process may have open.
             max_open_requests: None,
-            cancellation: allowed.cancel,
-            health_checks: allowed.probes,
-            hedged_requests: allowed.second_copies,
+            cancellation: allowed.cancellation,
+            health_checks: allowed.health_checks,
+            hedged_requests: allowed.hedged_requests,
             // Retry-After is sent if a maximum is set. Clients that do not support the header ignore it.
             max_retry_after_ms: allowed.max_retry_after_ms,
         }
@@ -329,35 +357,35 @@
 
 impl From<&Safety> for Rules {
     fn from(safety: &Safety) -> Rules {
-        let retry_budget = safety.resend_span_ms.map(|window_ms| RetryBudget {
-            floor: safety.extra_floor.unwrap_or(0.0),
-            ratio: safety.repeat_ratio.unwrap_or(0.0),
+        let retry_budget = safety.retry_budget_window_ms.map(|window_ms| RetryBudget {
+            floor: safety.retry_budget_floor.unwrap_or(0.0),
+            ratio: safety.retry_budget_ratio.unwrap_or(0.0),
             window_ms,
         });
         Rules {
-            initial_capacity_fraction: safety.cold_from,
+            initial_capacity_fraction: safety.initial_capacity_fraction,
             warm_up_ms: safety.warm_up_ms,
             overload_factor: safety.overload_factor,
-            overload_window_ms: safety.tip_after_ms,
-            key_settle_ms: safety.key_rest_ms,
-            poll_interval_ms: safety.ask_within_ms.unwrap_or(f64::INFINITY),
+            overload_window_ms: safety.overload_window_ms,
+            key_settle_ms: safety.key_settle_ms,
+            poll_interval_ms: safety.poll_interval_ms.unwrap_or(f64::INFINITY),
             retry_budget,
         }
     }
 }
 
-impl FamilyInfo {
+impl EngineFamily {
     /// Returns the settings of the kind with this number.
     fn kind(&self, index: usize) -> KindSettings {
         KindSettings {
-            cores: self.kind_cores.get(index).copied(),
+            cores: self.cores_by_kind.get(index).copied(),
             memory_mb: self.memory_by_kind_mb.get(index).copied(),
         }
     }
 
     /// Returns how engines handle memory shortage and priorities, and how often they send progress notes.
     fn engine_traits(&self) -> Result<EngineTraits, SettingsError> {
-        let on_memory_shortage = match self.out_of_memory.as_deref() {
+        let on_memory_shortage = match self.on_memory_shortage.as_deref() {
             None | Some("queue") => MemoryShortage::Wait,
             Some("trim") => MemoryShortage::Trim,
             Some("swap") => MemoryShortage::Page,
@@ -365,10 +393,10 @@
         };
         Ok(EngineTraits {
             on_memory_shortage,
-            memory_grants: self.grants,
-            priorities: self.ranks_heeded,
-            max_grant_fraction: self.grant_cap.unwrap_or(1.0),
-            progress_interval_ms: self.tells_every_ms,
+            memory_grants: self.memory_grants,
+            priorities: self.priorities,
+            max_grant_fraction: self.max_grant_fraction.unwrap_or(1.0),
+            progress_interval_ms: self.progress_interval_ms,
         })
     }
 }
