--- a/src/config/listeners.rs
+++ b/src/config/listeners.rs
@@ -14,9 +14,9 @@
 use tokio_rustls::rustls::{ServerConfig, version};
 
 /// Lower limit of the length of the root operator's token, in bytes.
-const MIN_TOKEN_LENGTH: usize = 16;
+const MIN_TOKEN_BYTES: usize = 16;
 /// Lower limit of the default time budget of a request over TDS.
-const MIN_BUDGET_MS: f64 = 1.0;
+const MIN_TIME_BUDGET_MS: f64 = 1.0;
 /// The allowed beginnings of the directory's URL. LDAP is used without encryption, so the directory must be on this
 /// machine.
 const LOCAL_LDAP_URLS: [&str; 3] = ["ldap://127.", "ldap://localhost", "ldap://[::1]"];
@@ -49,8 +49,8 @@
     pub tls: Option<Arc<ServerConfig>>,
 }
 
-/// Checks that an address is a loopback address. This holds for protocols without encryption or authentication, which
-/// must be reachable from this machine only.
+/// Checks that an address is a loopback address. It is required for listeners without encryption or authentication,
+/// which must be reachable from this machine only.
 pub(super) fn check_loopback(key: &str, address: SocketAddr) -> Result<SocketAddr, ConfigError> {
     match address.ip().is_loopback() {
         true => Ok(address),
@@ -81,10 +81,10 @@
         invalid("tds.default_class", format!("no such class in settings.classes: {default_class:?}"))
     })?;
     let budget_ms = keys.default_ttl_ms.unwrap_or(service_settings.settings.classes[index].deadline_ms);
-    if budget_ms < MIN_BUDGET_MS {
+    if budget_ms < MIN_TIME_BUDGET_MS {
         return Err(invalid(
             "tds.default_ttl_ms",
-            format!("must be at least {MIN_BUDGET_MS}, is {budget_ms}"),
+            format!("must be at least {MIN_TIME_BUDGET_MS}, is {budget_ms}"),
         ));
     }
     let directory = directory(ldap, tenants.clone())?;
@@ -102,8 +102,8 @@
 
 pub(super) fn admin_api(keys: AdminKeys) -> Result<AdminApi, ConfigError> {
     let root_token = read_file("admin.token_file", &keys.token_file)?.trim().to_owned();
-    if root_token.len() < MIN_TOKEN_LENGTH {
-        let reason = format!("must have a token of at least {MIN_TOKEN_LENGTH} bytes");
+    if root_token.len() < MIN_TOKEN_BYTES {
+        let reason = format!("must have a token of at least {MIN_TOKEN_BYTES} bytes");
         return Err(invalid("admin.token_file", reason));
     }
     let files = TlsFiles {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -38,17 +38,17 @@
 use std::net::SocketAddr;
 
 const DEFAULT_NAME: &str = "sanddyke";
-const DEFAULT_SERVICE: &str = "_api._tcp.svc.local";
-const DEFAULT_DESCRIPTORS: usize = 1024;
+const DEFAULT_SERVICE_NAME: &str = "_api._tcp.svc.local";
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 /// With fewer descriptors, none would be left for clients.
 const MIN_DESCRIPTORS: usize = 64;
 /// Larger than the longest result of the platform's engines, because each further page costs a call and memory.
 const DEFAULT_PAGE_BYTES: usize = 256 * 1024;
-const DEFAULT_MAX_OPEN: f64 = 20_000.0;
-const DEFAULT_STREAMS: f64 = 100.0;
-const DEFAULT_CONNECT_MS: f64 = 250.0;
-const DEFAULT_KEEPALIVE_MS: f64 = 30_000.0;
-const MIN_KEEPALIVE_MS: f64 = 100.0;
+const DEFAULT_MAX_OPEN_REQUESTS: f64 = 20_000.0;
+const DEFAULT_MAX_ATTEMPTS_PER_CONNECTION: f64 = 100.0;
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_ENGINE_IDLE_TIMEOUT_MS: f64 = 30_000.0;
+const MIN_ENGINE_IDLE_TIMEOUT_MS: f64 = 100.0;
 
 /// The checked configuration.
 #[derive(Debug)]
@@ -133,13 +133,22 @@
         let has_backup_folder = file.store.as_ref().is_some_and(|store| store.backups.is_some());
         let cluster =
             file.cluster.map(|keys| cluster::cluster(keys, &name, has_backup_folder)).transpose()?;
-        let engine_idle_timeout_ms =
-            at_least("keepaliveMs", allowed.engine_idle_timeout_ms, DEFAULT_KEEPALIVE_MS, MIN_KEEPALIVE_MS)?;
-        let max_open_requests = at_least("maxOpen", allowed.max_open_requests, DEFAULT_MAX_OPEN, 1.0)?;
-        let max_attempts =
-            at_least("streamsPerConn", allowed.max_attempts_per_connection, DEFAULT_STREAMS, 1.0)?;
+        let engine_idle_timeout_ms = at_least(
+            "keepaliveMs",
+            allowed.engine_idle_timeout_ms,
+            DEFAULT_ENGINE_IDLE_TIMEOUT_MS,
+            MIN_ENGINE_IDLE_TIMEOUT_MS,
+        )?;
+        let max_open_requests =
+            at_least("maxOpen", allowed.max_open_requests, DEFAULT_MAX_OPEN_REQUESTS, 1.0)?;
+        let max_attempts = at_least(
+            "streamsPerConn",
+            allowed.max_attempts_per_connection,
+            DEFAULT_MAX_ATTEMPTS_PER_CONNECTION,
+            1.0,
+        )?;
         let connect_timeout_ms =
-            at_least("connectTimeoutMs", allowed.connect_timeout_ms, DEFAULT_CONNECT_MS, 1.0)?;
+            at_least("connectTimeoutMs", allowed.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS, 1.0)?;
         let upstream_protocol = listeners::upstream_protocol(file.engines)?;
         let ldap = file.ldap;
         let tds = file
@@ -155,7 +164,7 @@
             seed,
             max_descriptors,
             resolver: file.resolver,
-            service_name: file.service.unwrap_or_else(|| DEFAULT_SERVICE.to_owned()),
+            service_name: file.service.unwrap_or_else(|| DEFAULT_SERVICE_NAME.to_owned()),
             initial_engines: initial_list::initial_list(file.known, clock),
             max_open_requests: max_open_requests as usize,
             max_attempts_per_connection: max_attempts as usize,
@@ -192,7 +201,7 @@
 }
 
 fn descriptors(configured: Option<usize>) -> Result<usize, ConfigError> {
-    let descriptors = configured.unwrap_or(DEFAULT_DESCRIPTORS);
+    let descriptors = configured.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
     match descriptors >= MIN_DESCRIPTORS {
         true => Ok(descriptors),
         false => {
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The environment variable with the number of the inherited listening socket's descriptor. It is unset where the
+/// The environment variable with the number of the inherited listening socket's descriptor. It is unset if the
 /// process opens the socket itself.
 pub const ACCEPT_FD_VARIABLE: &str = "LB_ACCEPT_FD";
 
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -21,7 +21,7 @@
 pub struct Listeners {
     handles: Handles,
     descriptors: DescriptorBudget,
-    /// The accept loops. Each ends when the lifecycle no longer accepts connections.
+    /// The accept loops. Each ends when the lifecycle no longer allows new connections.
     pub accept_loops: Vec<JoinHandle<()>>,
 }
 
