--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,5 +1,5 @@
-//! Snapshot files: what one process passes on to the next, versioned, checksummed, of bounded size, and with the
-//! time at which it was written.
+//! Snapshot files, through which one process passes state to the next. A snapshot has a version, a checksum, a bounded
+//! size and the time at which it was written.
 //!
 //! ```text
 //! magic  version  written, Unix ms  payload length  CRC-32  payload
@@ -7,8 +7,8 @@
 //! ```
 //!
 //! Numbers are little-endian. The checksum covers version, time, length and payload. A file is written under a
-//! temporary name and renamed, so that a reader finds a complete one, old or new, whenever the writer is killed.
-//! Nothing is flushed to a disk: a snapshot need not outlive the machine.
+//! temporary name and then renamed, so that a reader always finds a complete file, even if the writer is killed.
+//! Nothing is flushed to disk, because a snapshot does not have to survive a failure of the machine.
 //!
 //! ```
 //! use sanddyke_snapshot::{Snapshot, SnapshotError, decode, encode};
@@ -19,7 +19,7 @@
 //! let snapshot = decode(&bytes, 1_002_000, minute).unwrap();
 //! assert_eq!(snapshot, Snapshot { payload: &b"learned"[..], age: Duration::from_secs(2) });
 //! assert!(matches!(decode(&bytes, 2_000_000, minute), Err(SnapshotError::TooOld { .. })));
-//! assert!(matches!(decode(&bytes[..20], 1_002_000, minute), Err(SnapshotError::Damaged(_))));
+//! assert!(matches!(decode(&bytes[..20], 1_002_000, minute), Err(SnapshotError::Corrupted(_))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -28,6 +28,6 @@
 mod file;
 mod format;
 
-pub use error::{Damage, SnapshotError};
+pub use error::{Corruption, SnapshotError};
 pub use file::SnapshotFile;
 pub use format::{MAX_PAYLOAD_BYTES, Snapshot, VERSION, decode, encode};
--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{FieldError, LineError};
 use crate::lines::{EventMessage, Fields};
-use sanddyke::settings::{self, Front, number};
+use sanddyke::settings::{self, ServiceSettings, number};
 use sanddyke::{
     AttemptEnd, CellId, ClassId, EngineEntry, EngineId, EngineListEvent, EngineState, Event, KindId,
     LoadReport, Millis, OrderKey, Outcome, ProgressNote, Request, RequestId, Scheduler, TenantId, Usage,
@@ -25,7 +25,7 @@
     pub gateway: Scheduler,
     /// Names of its requests, by id.
     pub requests: Vec<String>,
-    front: Front,
+    front: ServiceSettings,
     request_ids: HashMap<String, RequestId>,
     order_keys: HashMap<String, OrderKey>,
 }
@@ -143,7 +143,7 @@
             outcome: outcome(fields, 4)?,
             elapsed_ms: fields.required_amount(5)?,
             request_closed: fields.required::<u8>(6)? != 0,
-            usage: usage(bill).filter(|_| self.front.says_cost),
+            usage: usage(bill).filter(|_| self.front.reports_usage),
             report: load_report(fields, 8, &self.front.columns)?,
         }))
     }
--- a/src/core/accounting.rs
+++ b/src/core/accounting.rs
@@ -3,7 +3,7 @@
 use super::{Answer, AttemptId, Command, Core, OpenRequest, Timer};
 use crate::clock::Micros;
 use crate::decision::Outcome;
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use sanddyke_tenancy::{Roster, Slot};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
     /// Counts a request by its final answer.
     pub(super) fn count_answer(
         &mut self,
-        service_settings: &Front,
+        service_settings: &ServiceSettings,
         roster: &Roster,
         open: &OpenRequest,
         answer: &Answer,
@@ -92,7 +92,7 @@
     /// Counts a request whose client disconnected before its answer.
     pub(super) fn count_disconnected(
         &mut self,
-        service_settings: &Front,
+        service_settings: &ServiceSettings,
         roster: &Roster,
         open: &OpenRequest,
     ) {
@@ -101,7 +101,7 @@
 
     fn counts_of(
         &mut self,
-        service_settings: &Front,
+        service_settings: &ServiceSettings,
         roster: &Roster,
         open: &OpenRequest,
     ) -> &mut AnswerCounts {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 
 use crate::clock::Micros;
 use crate::decision::{Action, Event, Scheduler};
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use attempts::Attempt;
 use engines::KnownEngine;
 use execution_guard::ExecutionGuard;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Core {
     scheduler: Scheduler,
-    service_settings: Front,
+    service_settings: ServiceSettings,
     /// The limit of open requests. Further requests are rejected.
     max_open_requests: usize,
     roster: Roster,
@@ -82,7 +82,7 @@
 impl Core {
     /// Returns a core with the tenants of the settings, without engines or requests. `max_open_requests` bounds
     /// the open requests; `seed` seeds the scheduler's random numbers.
-    pub fn new(service_settings: Front, max_open_requests: usize, seed: u64, now: Micros) -> Core {
+    pub fn new(service_settings: ServiceSettings, max_open_requests: usize, seed: u64, now: Micros) -> Core {
         Core {
             roster: tenants::roster(&service_settings),
             tenant_shares: service_settings.settings.tenants.iter().map(TenantShare::new).collect(),
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -3,7 +3,7 @@
 use super::{Command, Core, TenantUpdate};
 use crate::clock::Micros;
 use crate::decision::{Event, TenantSettings};
-use crate::settings::Front;
+use crate::settings::ServiceSettings;
 use sanddyke_tenancy::{Generation, Roster, Slot, State, Tenant, TenantId, TenantSpec};
 
 /// A tenant's share of the engines.
@@ -26,7 +26,7 @@
 }
 
 /// Returns the roster of the tenants from the settings. Their ids count from 1.
-pub(super) fn roster(service_settings: &Front) -> Roster {
+pub(super) fn roster(service_settings: &ServiceSettings) -> Roster {
     let mut roster = Roster::default();
     for (index, name) in service_settings.tenants.iter().enumerate() {
         let settings = service_settings.settings.tenants[index];
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners for clients (HTTP, TDS) and for operators (administration API).
+//! The listeners for clients (HTTP and TDS) and for operators (administration API).
 
 use super::Handles;
 use super::error::ServerError;
@@ -6,7 +6,7 @@
 use super::reload::AdminTls;
 use sanddyke::admin::{self, Admin};
 use sanddyke::cluster::Cluster;
-use sanddyke::config::{AdminApi, Config, TdsFront};
+use sanddyke::config::{AdminApi, Config, TdsListener};
 use sanddyke::frontend::http::{self, Http};
 use sanddyke::frontend::tds::{self, Tds};
 use sanddyke::tenants::TenantService;
@@ -16,22 +16,22 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The listeners for clients and operators, each with its accept loop.
+/// The listeners for clients and operators. Each has an accept loop in a task of its own.
 #[derive(Debug)]
 pub struct Listeners {
     handles: Handles,
     descriptors: DescriptorBudget,
-    /// The accept loops; each ends by itself when the lifecycle says so.
+    /// The accept loops. Each ends when the lifecycle no longer allows new connections.
     pub accept_loops: Vec<JoinHandle<()>>,
 }
 
 impl Listeners {
-    /// No listeners yet.
+    /// Creates a value without listeners; [`Listeners::open`] adds them.
     pub fn new(handles: Handles, descriptors: DescriptorBudget) -> Listeners {
         Listeners { handles, descriptors, accept_loops: Vec::new() }
     }
 
-    /// Opens every listener that is configured.
+    /// Opens the configured listeners.
     pub async fn open(
         &mut self,
         config: Config,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Accepts HTTP clients, on the inherited socket where there is one.
+    /// Starts to accept HTTP clients, on the inherited socket if there is one.
     async fn start_http(
         &mut self,
         address: SocketAddr,
@@ -69,16 +69,16 @@
         Ok(())
     }
 
-    /// Accepts TDS clients.
-    async fn start_tds(&mut self, settings: TdsFront, seed: u64) -> Result<(), ServerError> {
+    /// Starts to accept TDS clients.
+    async fn start_tds(&mut self, settings: TdsListener, seed: u64) -> Result<(), ServerError> {
         let listener = bind(settings.listen).await?;
         let frontend = Tds {
             service: self.handles.service.clone(),
             lifecycle: self.handles.lifecycle.clone(),
             directory: settings.directory,
             tls: settings.tls,
-            default_class: settings.class,
-            default_time_budget: settings.budget,
+            default_class: settings.default_class,
+            default_time_budget: settings.default_time_budget,
             name_seed: seed,
             next_request: AtomicU64::new(1),
         };
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Accepts operators at the administration API, whose certificate can be replaced by `admin_tls`.
+    /// Starts the administration API. Its certificate can be replaced through `admin_tls`.
     async fn start_admin(
         &mut self,
         settings: AdminApi,
@@ -98,7 +98,7 @@
         let listener = bind(settings.listen).await?;
         admin_tls.send_replace(settings.tls);
         let Handles { service, lifecycle, clock } = self.handles.clone();
-        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.token, cluster);
+        let api = Admin::new(service, lifecycle, tenant_service, clock, settings.root_token, cluster);
         self.accept_loops.push(tokio::spawn(admin::serve(listener, api, admin_tls.subscribe())));
         Ok(())
     }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,5 +1,5 @@
-//! Start-up: opens the store, starts the service and its background tasks, and opens the listeners last, once
-//! requests can be served.
+//! Start-up: opens the store, starts the service and its background tasks, and opens the listeners for clients last,
+//! once requests can be served.
 
 use super::error::ServerError;
 use super::limits::{DescriptorBudget, upstream_limits};
@@ -15,7 +15,7 @@
 use sanddyke::lifecycle::LifecycleHandle;
 use sanddyke::operations_endpoint::{self, Heartbeat, OperationsEndpoint};
 use sanddyke::service::{self, ServiceEnded, ServiceHandle};
-use sanddyke::settings::Front;
+use sanddyke::settings::ServiceSettings;
 use sanddyke::state_handover;
 use sanddyke::tenants::{TenantService, TenantServiceError};
 use sanddyke::upstream::UpstreamPool;
@@ -26,23 +26,23 @@
 use tokio::sync::{Notify, watch};
 
 impl Server {
-    /// Starts everything, in an order in which each part finds what it needs; clients are accepted last.
+    /// Starts every part of the server after the parts that it depends on. Clients are accepted last.
     pub async fn start(options: StartOptions) -> Result<Server, ServerError> {
         let StartOptions { source, clock, config, inherited_listener } = options;
         let socket = listen_socket(inherited_listener.as_ref());
         let lifecycle = LifecycleHandle::new(socket);
         let signals = Signals::register()?;
         let shutdown_budget =
-            ShutdownBudget::new(&config.front.settings.classes, socket, source.is_platform());
+            ShutdownBudget::new(&config.service_settings.settings.classes, socket, source.is_platform());
 
         let store = open_store(config.store.as_ref())?;
         let service = start_service(&config, store.is_some(), clock);
         let handles = Handles { service, lifecycle, clock };
-        let initial_engines = EngineListUpdate::Initial(config.listed.engines());
+        let initial_engines = EngineListUpdate::Initial(config.initial_engines.engines());
         handles.service.notify(Input::Engines(initial_engines)).await?;
         start_operations_endpoint(&config, &handles)?;
 
-        let handover = Handover::new(&config.name, socket);
+        let handover = HandoverFiles::new(&config.name, socket);
         handover.restore(&handles).await?;
         let tenant_service = start_tenant_service(&config, store, &handles).await?;
         let restart = Arc::new(Notify::new());
@@ -50,14 +50,14 @@
         let discovery_target = start_discovery(&config, &handles);
         let admin_tls = AdminTls::new(None);
         let reloader =
-            ConfigReloader::new(source, clock, config.read.clone(), discovery_target, admin_tls.clone());
+            ConfigReloader::new(source, clock, config.raw.clone(), discovery_target, admin_tls.clone());
         if socket == ListenSocket::Shared {
-            // Another process serves until this one reports that it is ready.
+            // The other process serves clients until this one reports ready.
             state_handover::wait_for_engines(&handles.service, &clock).await?;
         }
 
         let name = config.name.clone();
-        let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.sockets));
+        let mut listeners = Listeners::new(handles.clone(), DescriptorBudget::new(config.max_descriptors));
         listeners.open(config, inherited_listener, tenant_service, cluster.clone(), &admin_tls).await?;
         handles.lifecycle.apply(Event::EngineListLoaded)?;
         handles.lifecycle.apply(Event::EnginesChecked)?;
@@ -68,7 +68,7 @@
             socket,
             lifecycle: handles.lifecycle,
             service: handles.service,
-            frontends: listeners.accept_loops,
+            accept_loops: listeners.accept_loops,
             cluster,
             signals,
             restart,
@@ -79,7 +79,7 @@
     }
 }
 
-/// An inherited socket is accepted on by other processes too.
+/// Returns whether the listening socket is shared: other processes also accept on an inherited socket.
 fn listen_socket(inherited_listener: Option<&std::net::TcpListener>) -> ListenSocket {
     match inherited_listener {
         Some(_) => ListenSocket::Shared,
@@ -87,26 +87,26 @@
     }
 }
 
-/// The files by which this process and the next, or the one before, hand over. There are none where the clients'
-/// socket ends with the process.
+/// The files through which two consecutive processes of one manager exchange state. Both are `None` if the listening
+/// socket closes with the process.
 #[derive(Debug)]
-struct Handover {
+struct HandoverFiles {
     snapshot_file: Option<SnapshotFile>,
     connections_file: Option<SnapshotFile>,
 }
 
-impl Handover {
-    fn new(name: &str, socket: ListenSocket) -> Handover {
+impl HandoverFiles {
+    fn new(name: &str, socket: ListenSocket) -> HandoverFiles {
         match socket {
-            ListenSocket::Shared => Handover {
+            ListenSocket::Shared => HandoverFiles {
                 snapshot_file: state_handover::snapshot_file(name),
                 connections_file: state_handover::connections_file(name),
             },
-            ListenSocket::Exclusive => Handover { snapshot_file: None, connections_file: None },
+            ListenSocket::Exclusive => HandoverFiles { snapshot_file: None, connections_file: None },
         }
     }
 
-    /// Restores what the process before has learned.
+    /// Restores the learned state of the previous process.
     async fn restore(&self, handles: &Handles) -> Result<(), ServiceEnded> {
         match &self.snapshot_file {
             Some(file) => state_handover::restore_snapshot(file, &handles.service, &handles.clock).await,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Starts to write snapshots for the next process, and to watch the connections of the one before.
+    /// Starts the tasks that write snapshots for the next process and read the previous process's connection count.
     fn start_tasks(&self, handles: &Handles) {
         if let Some(file) = self.snapshot_file.clone() {
             let Handles { service, lifecycle, clock } = handles.clone();
@@ -127,25 +127,25 @@
     }
 }
 
-/// Opens the store, where tenants are managed while the program runs.
+/// Opens the store, if one is configured.
 fn open_store(keys: Option<&StoreKeys>) -> Result<Option<(Store, Loaded)>, StoreError> {
     keys.map(|keys| Store::open(&keys.path)).transpose()
 }
 
-/// Starts the task that owns the core, with the connections to engines.
+/// Starts the service task, which owns the core and the connections to engines.
 fn start_service(config: &Config, has_store: bool, clock: Clock) -> ServiceHandle {
     let (service, messages) = ServiceHandle::new();
-    let descriptors = DescriptorBudget::new(config.sockets);
+    let descriptors = DescriptorBudget::new(config.max_descriptors);
     let limits = upstream_limits(config, descriptors);
-    let upstream = UpstreamPool::new(config.wire.clone(), service.clone(), clock, limits);
-    let mut front: Front = config.front.clone();
-    front.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
+    let upstream = UpstreamPool::new(config.upstream_protocol.clone(), service.clone(), clock, limits);
+    let mut service_settings: ServiceSettings = config.service_settings.clone();
+    service_settings.settings.limits.max_open_requests = Some(descriptors.max_open_requests());
     if has_store {
-        // From its first start on the store defines the tenants.
-        front.tenants = Vec::new();
-        front.settings.tenants = Vec::new();
+        // With a store, the tenants come from the store. Those of the settings only initialize a new store.
+        service_settings.tenants = Vec::new();
+        service_settings.settings.tenants = Vec::new();
     }
-    let mut core = Core::new(front, config.max_open, config.seed, clock.now());
+    let mut core = Core::new(service_settings, config.max_open_requests, config.seed, clock.now());
     if has_store {
         core = core.with_tenant_store();
     }
@@ -153,44 +153,51 @@
     service
 }
 
-/// Starts the operations endpoint, where one is configured, and the heartbeat that it reports.
+/// Starts the operations endpoint, if one is configured, and the heartbeat that its health check uses.
 fn start_operations_endpoint(config: &Config, handles: &Handles) -> Result<(), ServerError> {
-    let Some(address) = config.ops else { return Ok(()) };
+    let Some(address) = config.operations_endpoint else { return Ok(()) };
     let heartbeat = Heartbeat::default();
     tokio::spawn(heartbeat.clone().run(handles.service.clone(), handles.clock));
     let endpoint =
         OperationsEndpoint { lifecycle: handles.lifecycle.clone(), heartbeat, clock: handles.clock };
-    let max_connections = DescriptorBudget::new(config.sockets).max_operations_connections();
+    let max_connections = DescriptorBudget::new(config.max_descriptors).max_operations_connections();
     operations_endpoint::start(address, endpoint, max_connections)
         .map_err(|source| ServerError::BindOperationsAddress { address, source })
 }
 
-/// Starts the service that manages tenants, with those of the store or else of the settings.
+/// Starts the tenant service with the tenants of the store, or with those of the settings if there is no store.
 async fn start_tenant_service(
     config: &Config,
     store: Option<(Store, Loaded)>,
     handles: &Handles,
 ) -> Result<Arc<TenantService>, TenantServiceError> {
-    let settings_tenants = config.document();
+    let initial_tenants = config.initial_tenants();
     let backups = config.store.as_ref().and_then(|keys| keys.backups.clone());
     let service = handles.service.clone();
-    TenantService::start(store, &settings_tenants, backups, service, config.known.clone(), handles.clock)
-        .await
+    TenantService::start(
+        store,
+        &initial_tenants,
+        backups,
+        service,
+        config.known_tenants.clone(),
+        handles.clock,
+    )
+    .await
 }
 
-/// Starts to watch the name service. What it is asked for can be replaced by the sender that is returned.
+/// Starts the discovery task. The returned sender replaces its target.
 fn start_discovery(config: &Config, handles: &Handles) -> watch::Sender<DiscoveryTarget> {
     let target = DiscoveryTarget {
         resolver: config.resolver,
-        service: config.service.clone(),
-        configured_engines: config.listed.clone(),
+        service: config.service_name.clone(),
+        configured_engines: config.initial_engines.clone(),
     };
     let (sender, receiver) = watch::channel(target);
     tokio::spawn(discovery::run(receiver, handles.service.clone(), handles.clock, config.seed));
     sender
 }
 
-/// Joins the cluster, where one is configured.
+/// Joins the cluster, if one is configured.
 #[cfg(feature = "cluster")]
 fn join_cluster(
     config: &Config,
@@ -202,12 +209,12 @@
         JoinedCluster, ProcessControl, ROLLING_RESTART_LEASE, backup, follow_lifecycle, restart_controller,
         start,
     };
-    let Some(fleet) = config.fleet.clone() else { return Ok(None) };
-    let address = fleet.listen;
-    let backup_interval_ms = fleet.backup_every_ms;
+    let Some(settings) = config.cluster.clone() else { return Ok(None) };
+    let address = settings.listen;
+    let backup_interval_ms = settings.backup_interval_ms;
     let Handles { lifecycle, clock, .. } = handles.clone();
     let process = ProcessControl { lifecycle: lifecycle.clone(), restart: restart.clone() };
-    let joined = start(fleet, &config.name, clock, config.seed, process);
+    let joined = start(settings, &config.name, clock, config.seed, process);
     let JoinedCluster { cluster, mut lease_events } =
         joined.map_err(|source| ServerError::BindClusterAddress { address, source })?;
     if let (Some(events), Some(interval_ms)) = (lease_events.remove(backup::LEASE_NAME), backup_interval_ms) {
@@ -220,7 +227,7 @@
     Ok(Some(cluster))
 }
 
-/// A build without the feature `cluster` joins none.
+/// A build without the feature `cluster` never joins a cluster.
 #[cfg(not(feature = "cluster"))]
 fn join_cluster(
     _config: &Config,
