--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop of a listener.
+//! The accept loop that the listeners share.
 
 use super::connection_table::{ConnectionPermit, ConnectionSlots};
 use std::future::Future;
@@ -6,24 +6,25 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The pause after a connection that could not be accepted.
+/// The pause after a failed accept(2), so that a persistent error does not keep the loop busy.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Errors of accept(2) as Linux numbers them: the process or the system has no free descriptor, no buffer, no memory.
+/// Linux error numbers of accept(2) that report exhausted resources: file descriptors of the process (`EMFILE`) or of
+/// the system (`ENFILE`), socket buffers (`ENOBUFS`) or memory (`ENOMEM`).
 const EMFILE: i32 = 24;
 const ENFILE: i32 = 23;
 const ENOBUFS: i32 = 105;
 const ENOMEM: i32 = 12;
-/// The connection failed before it was accepted.
+/// Linux error number of accept(2) for a connection that failed before it was accepted.
 const EPROTO: i32 = 71;
 
-/// Accepts connections and serves each in a task of its own.
+/// Accepts connections and serves each in its own task.
 ///
-/// `stop_accepting` resolves, when the listener is to close, to the number of connections in its backlog. These are
-/// still accepted, because closing the socket would reset them.
+/// `stop_accepting` resolves when the listener must close. Its output is the number of connections in the backlog.
+/// These are still accepted, because closing the socket would reset them.
 ///
-/// At most `max_connections` are open. Beyond that a new connection evicts another one without a pending response, so
-/// that clients that send nothing, or keep connections open, exclude nobody. `listener_name` is for the log.
+/// At most `max_connections` are open. At this limit, a new connection evicts one that has no pending response, so that
+/// clients with silent or idle connections cannot lock out others. `listener_name` appears in log lines.
 pub async fn accept<Serve, Served>(
     listener: TcpListener,
     max_connections: usize,
@@ -36,7 +37,7 @@
 {
     let acceptor = Acceptor { listener_name, slots: ConnectionSlots::new(max_connections), serve };
     let mut stop_accepting = std::pin::pin!(stop_accepting);
-    // The connections that are left in the backlog, once the listener is to close.
+    // The number of connections left in the backlog; `None` until the listener must close.
     let mut backlog = None;
     while backlog != Some(0) {
         let accepted = tokio::select! {
@@ -46,7 +47,8 @@
                 continue;
             }
             accepted = listener.accept() => accepted,
-            // Where the process has just woken, the listener's readiness is seen one turn of the scheduler later.
+            // If the process has just woken up, tokio reports the listener as ready only after the task has yielded
+            // once.
             () = tokio::task::yield_now(), if backlog.is_some() => return,
         };
         backlog = backlog.map(|length| length - 1);
@@ -68,12 +70,14 @@
     Serve: Fn(TcpStream, ConnectionPermit) -> Served,
     Served: Future<Output = io::Result<()>> + Send + 'static,
 {
-    /// Serves a connection in a task of its own, or closes it if there is no slot for it.
+    /// Serves a connection in its own task, or closes it if there is no free slot.
     async fn open(&self, stream: TcpStream) {
         let listener_name = self.listener_name;
         let Some(permit) = self.slots.acquire() else {
             let max_connections = self.slots.max_connections();
-            log::warn!("a {listener_name} connection is closed: all {max_connections} are owed an answer");
+            log::warn!(
+                "new {listener_name} connection closed: all {max_connections} open connections have a pending response"
+            );
             return;
         };
         let id = permit.id();
@@ -84,18 +88,19 @@
             }
         });
         self.slots.set_task(id, task.abort_handle());
-        // What the client has sent already is read before another connection may evict this one.
+        // Lets the new task read input that has already arrived, before another connection can evict this one.
         tokio::task::yield_now().await;
     }
 
-    /// Gives a descriptor back at once where none is free. A connection that has ended already costs no other its place.
+    /// Handles a failed accept(2). Evicts a connection if resources are exhausted, which frees a descriptor at once. An
+    /// error of the connection that was being accepted evicts none.
     async fn recover(&self, error: &io::Error) {
         let listener_name = self.listener_name;
         if is_of_one_connection(error) {
-            log::debug!("a {listener_name} connection has ended before it was accepted: {error}");
+            log::debug!("{listener_name} connection failed before it was accepted: {error}");
             return;
         }
-        log::error!("a {listener_name} connection can't be accepted: {error}");
+        log::error!("cannot accept a {listener_name} connection: {error}");
         if is_short_of_resources(error) {
             self.slots.evict_one();
         }
@@ -103,7 +108,8 @@
     }
 }
 
-/// Whether `accept` reports an error of the connection that it would have returned: the next one is not affected.
+/// Whether accept(2) reports an error of the connection that it would have returned. Such an error does not affect the
+/// next connection.
 fn is_of_one_connection(error: &io::Error) -> bool {
     let kinds = [
         io::ErrorKind::ConnectionAborted,
@@ -117,7 +123,8 @@
     kinds.contains(&error.kind()) || error.raw_os_error() == Some(EPROTO)
 }
 
-/// Whether `accept` failed for want of descriptors or memory: then it fails for each connection that waits.
+/// Whether accept(2) failed because descriptors or memory are exhausted. Such an error affects every waiting
+/// connection.
 fn is_short_of_resources(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
 }
--- a/src/frontend/accept/tests.rs
+++ b/src/frontend/accept/tests.rs
@@ -1,4 +1,4 @@
-//! Errors of accept(2): which of them cost another connection its place.
+//! Tests of which errors of accept(2) evict an open connection.
 
 use super::*;
 use rstest::rstest;
@@ -7,7 +7,7 @@
 const ECONNABORTED: i32 = 103;
 const EINVAL: i32 = 22;
 
-/// Guards against a client that is closed because another one's connection was aborted before it was accepted.
+/// Guards against closing an open connection because another client's connection was aborted before it was accepted.
 #[rstest]
 #[case::aborted(ECONNABORTED, false)]
 #[case::protocol_error(EPROTO, false)]
--- a/src/frontend/connection_table.rs
+++ b/src/frontend/connection_table.rs
@@ -1,36 +1,38 @@
-//! The open connections of one listener: their states, their limit, and which one is evicted for a new one.
+//! Limits the open connections of one listener.
+//!
+//! The table records the state of each connection. At the limit, it selects the connection to evict for a new one.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// A client whose connection has been in its state for less than this may have sent a request that is not read yet.
-/// A value of ours.
+/// A connection that entered its state less than this time ago may have a request in transit, so it is evicted after
+/// older ones.
 const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(500);
 
-/// What a connection is doing.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy)]
 enum ConnectionState {
-    /// It was sent its last response.
+    /// The last response was sent, and the connection is being closed.
     Ending,
-    /// It has not sent a complete request yet.
+    /// The connection was accepted, and no complete request has been received.
     Silent,
-    /// Its last request is answered.
+    /// The last request was answered, and another may follow.
     Idle,
-    /// It has a pending response.
+    /// A request was received, and its response is pending.
     Busy,
 }
 
-/// The number of states, each of which has its own order of eviction.
+/// The number of states of a connection.
 const STATES: usize = 4;
 
 #[derive(Debug)]
 struct Connection {
     state: ConnectionState,
-    /// When it entered its state.
+    /// When the connection entered its state.
     since: Instant,
-    /// The task that serves it, once there is one.
+    /// The task that serves the connection; `None` until it is spawned.
     task: Option<AbortHandle>,
 }
 
@@ -38,7 +40,7 @@
 struct ConnectionTable {
     last_id: u64,
     connections: HashMap<u64, Connection>,
-    /// The connections in each state by the time at which they entered it, the oldest first.
+    /// For each state, its connections ordered by the time at which they entered it, the oldest first.
     by_age: [BTreeSet<(Instant, u64)>; STATES],
 }
 
@@ -65,7 +67,8 @@
         self.by_age[state as usize].insert((connection.since, id));
     }
 
-    /// The connection to evict, of those without a pending response. One whose request may be in transit comes last.
+    /// Selects the connection to evict among those without a pending response. Connections that may have a request in
+    /// transit come last.
     fn eviction_candidate(&self, now: Instant) -> Option<u64> {
         self.oldest(ConnectionState::Ending, Duration::ZERO, now)
             .or_else(|| self.oldest(ConnectionState::Silent, REQUEST_TRANSIT_TIME, now))
@@ -74,13 +77,13 @@
             .or_else(|| self.oldest(ConnectionState::Idle, Duration::ZERO, now))
     }
 
-    /// The connection that is longest in a state, if it is in it for `min_age` at least.
+    /// Returns the connection that has been in a state for the longest time, if that is at least `min_age`.
     fn oldest(&self, state: ConnectionState, min_age: Duration, now: Instant) -> Option<u64> {
         let (since, id) = self.by_age[state as usize].first()?;
         (now - *since >= min_age).then_some(*id)
     }
 
-    /// Evicts a connection; false if all have a pending response.
+    /// Evicts a connection by aborting its task. Returns false if all connections have a pending response.
     fn evict_one(&mut self) -> bool {
         let Some(id) = self.eviction_candidate(Instant::now()) else { return false };
         let Some(task) = self.remove(id) else { return false };
@@ -89,7 +92,7 @@
     }
 }
 
-/// The connection slots of a listener.
+/// The connection slots of a listener. Clones share them.
 #[derive(Debug, Clone)]
 pub struct ConnectionSlots {
     max_connections: usize,
@@ -97,18 +100,18 @@
 }
 
 impl ConnectionSlots {
-    /// Slots for at most `max_connections` connections, all of them free.
+    /// Creates `max_connections` free slots.
     pub fn new(max_connections: usize) -> ConnectionSlots {
         ConnectionSlots { max_connections, table: Arc::default() }
     }
 
-    /// The number of connections that may be open.
+    /// The maximum number of open connections.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// Takes a slot for a new connection. If none is free, another connection is evicted; `None` if all of them have
-    /// a pending response.
+    /// Acquires a slot for a new connection. If none is free, another connection is evicted. Returns `None` if all
+    /// connections have a pending response.
     pub fn acquire(&self) -> Option<ConnectionPermit> {
         let mut table = lock(&self.table);
         let full = table.connections.len() >= self.max_connections;
@@ -119,20 +122,20 @@
         Some(ConnectionPermit { id, table: self.table.clone() })
     }
 
-    /// Sets the task that an eviction of this connection aborts. Does nothing if the connection has ended.
+    /// Sets the task that is aborted when this connection is evicted. Does nothing if the connection has ended.
     pub fn set_task(&self, id: u64, task: AbortHandle) {
         if let Some(connection) = lock(&self.table).connections.get_mut(&id) {
             connection.task = Some(task);
         }
     }
 
-    /// Evicts a connection; false if all have a pending response.
+    /// Evicts a connection. Returns false if all connections have a pending response.
     pub fn evict_one(&self) -> bool {
         lock(&self.table).evict_one()
     }
 }
 
-/// A connection's slot among those of its listener. It is given back when the permit is dropped.
+/// The slot that a connection occupies. Dropping the permit releases the slot.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     id: u64,
@@ -140,22 +143,22 @@
 }
 
 impl ConnectionPermit {
-    /// The connection's number, unique among those of its listener.
+    /// The id of the connection, unique within its listener.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// A complete request was read: the connection is not evicted until it is answered.
+    /// Records that a complete request was received. The connection cannot be evicted while its response is pending.
     pub fn busy(&self) {
         lock(&self.table).set_state(self.id, ConnectionState::Busy);
     }
 
-    /// The request is answered, and another may come.
+    /// Records that the request was answered and another may follow.
     pub fn idle(&self) {
         lock(&self.table).set_state(self.id, ConnectionState::Idle);
     }
 
-    /// The last response is sent.
+    /// Records that the last response was sent. Such a connection is evicted first.
     pub fn ending(&self) {
         lock(&self.table).set_state(self.id, ConnectionState::Ending);
     }
--- a/src/frontend/connection_table/tests.rs
+++ b/src/frontend/connection_table/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against a burst of connections in which a new one was evicted before its request arrived, while others that
-/// had long been answered stayed.
+/// Guards against evicting a new connection before its request arrives, in a burst of connections, while connections
+/// that have been idle for longer stay open.
 #[test]
 fn a_connection_whose_request_may_be_in_transit_is_evicted_last() {
     let (start, ms) = (Instant::now(), Duration::from_millis);
--- a/src/frontend/http/connection.rs
+++ b/src/frontend/http/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its requests, one after another.
+//! Serves one connection of a client, one request after another.
 
 use super::Http;
 use super::message::{self, Request, RequestError, Response};
@@ -12,21 +12,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A client that has not read its response within this time is gone. A value of ours.
+/// A connection whose response cannot be written within this time is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// What a client may send ahead of its pending response. More is dropped, this much at a time with a pause after
-/// each: so the close of a client is noticed behind it, and one that never stops sending costs little.
+/// The maximum input that is buffered while a response is pending.
+///
+/// Input beyond it is dropped. Reading goes on at this many bytes per [`AHEAD_PAUSE`], so that the client's close is
+/// detected behind the input, and a client that never stops sending uses little CPU time.
 const MAX_AHEAD_BYTES: usize = 64 * 1024;
-/// The pause after each such read. A value of ours.
+/// The pause after each read whose input is dropped.
 const AHEAD_PAUSE: Duration = Duration::from_millis(10);
-/// The first capacity of a connection's buffer.
+/// The initial capacity of a connection's receive buffer.
 const BUFFER_BYTES: usize = 4096;
 
-/// A client's connection, and what was received of it but is not read yet.
+/// A client's connection, with the input that was received but not parsed yet.
 pub(super) struct Client {
     stream: TcpStream,
     buffer: BytesMut,
-    /// Bytes sent ahead were dropped, so it is unknown where the next request begins.
+    /// Input was dropped while a response was pending, so the start of the next request is unknown.
     dropped_input: bool,
 }
 
@@ -59,15 +61,17 @@
 }
 
 impl Client {
-    /// Waits for the first bytes of a request; false if the client closed the connection, or sent nothing in time, or
-    /// if idle connections are being closed. A request whose bytes are there takes precedence over all of these.
+    /// Waits for the first bytes of a request.
+    ///
+    /// Returns false if the client closed the connection or sent nothing within `wait`, or if idle connections are
+    /// being closed. Input that has already been received takes precedence over all of these.
     async fn wait_for_request(&mut self, frontend: &Http, wait: Duration) -> io::Result<bool> {
         if !self.buffer.is_empty() {
             return Ok(true);
         }
         let close_idle = async {
             frontend.lifecycle.wait_for_idle_close().await;
-            // What was received of a connection that was accepted just now is seen one turn of the scheduler later.
+            // tokio reports the input of a connection that was just accepted only after the task has yielded once.
             tokio::task::yield_now().await;
         };
         tokio::select! {
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Answers a request. The result is whether the connection is to be closed; `None` if the client closed it.
+    /// Answers a request. Returns whether the connection must be closed; `None` if the client disconnected.
     async fn respond(
         &mut self,
         frontend: &Http,
@@ -95,14 +99,14 @@
             }
             Err(error) => unusable(error.status(), &error.to_string()),
         };
-        // The platform's clients follow a `Connection: close`, and reconnect where connections are accepted.
+        // On `Connection: close`, the platform's clients reconnect to a manager that accepts connections.
         let close = close || self.dropped_input || !frontend.lifecycle.keeps_idle_connections();
         let bytes = response.bytes(close);
         tokio::time::timeout(WRITE_TIMEOUT, self.stream.write_all(&bytes)).await??;
         Ok(Some(close))
     }
 
-    /// Submits a request and waits for its answer; `None` if the client closed the connection first.
+    /// Submits a request and waits for its answer; `None` if the client disconnected first.
     pub(super) async fn submit(&mut self, frontend: &Http, request: IncomingRequest) -> Option<Response> {
         let name = request.name.clone();
         let Ok(mut submitted) = frontend.service.submit(request).await else {
@@ -111,12 +115,12 @@
         loop {
             tokio::select! {
                 answer = &mut submitted.answer => {
-                    // The service has ended if the sender is gone.
+                    // The sender is dropped without an answer only when the service has stopped.
                     let answer = answer.unwrap_or(Answer::Failed(None));
                     return Some(frontend.response(&name, answer));
                 }
                 read = self.stream.read_buf(&mut self.buffer) => {
-                    // A client that stops waiting closes its connection.
+                    // The client closed the connection, which cancels its request.
                     if !matches!(read, Ok(1..)) {
                         let disconnected = Input::ClientDisconnected(submitted.request);
                         let _service_ended = frontend.service.notify(disconnected).await;
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Drops what the client sends beyond [`MAX_AHEAD_BYTES`].
+    /// Drops the input that exceeds [`MAX_AHEAD_BYTES`], and all input after it.
     async fn limit_input(&mut self) {
         self.dropped_input |= self.buffer.len() > MAX_AHEAD_BYTES;
         if self.dropped_input {
--- a/src/frontend/http/message/mod.rs
+++ b/src/frontend/http/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages of HTTP/1.1.
+//! Reads HTTP/1.1 requests and writes HTTP/1.1 responses.
 
 mod request;
 mod response;
--- a/src/frontend/http/message/request.rs
+++ b/src/frontend/http/message/request.rs
@@ -1,4 +1,4 @@
-//! Requests of HTTP/1.1 (RFC 9112): the head is parsed with winnow.
+//! Reads HTTP/1.1 requests (RFC 9112). The head is parsed with winnow.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
@@ -7,37 +7,37 @@
 use winnow::error::ContextError;
 use winnow::token::take_while;
 
-/// The longest head that is read. A value of ours, as are the next two.
+/// The maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest body of a client's request.
+/// The maximum size of the body of a client's request.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most header fields that a request may have.
+/// The maximum number of header fields in a request.
 const MAX_FIELDS: usize = 64;
-/// The longest method that is read, in characters.
+/// The maximum length of a method.
 const MAX_METHOD_CHARS: usize = 16;
 
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why a request could not be read.
+/// Why input is not a valid request. The texts are sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// It is not HTTP/1.1, or it can be read in two ways.
+    /// The input is not HTTP/1.1, or it is ambiguous.
     #[error("not a request")]
     Malformed,
-    /// The head is too long.
+    /// The head exceeds its maximum size.
     #[error("the head is too long")]
     HeadTooLong,
-    /// The body is too long.
+    /// The body exceeds the maximum size that the caller allows.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The body has a transfer coding, and so no length that is known in advance.
+    /// The body has a transfer coding, so its length is not known in advance.
     #[error("the body's length must be told")]
     LengthRequired,
 }
 
 impl RequestError {
-    /// The status of the response to such a request.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Malformed => 400,
@@ -48,42 +48,42 @@
     }
 }
 
-/// A request.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// The method, in upper case.
     pub method: String,
     /// The request target, as it was sent.
     pub target: String,
     /// The header fields: names and values, in the order in which they were sent.
     pub fields: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty if the request has none.
     pub body: Bytes,
-    /// Whether the client wants the connection closed after the response.
+    /// Whether the client requests that the connection be closed after the response.
     pub close: bool,
 }
 
 impl Request {
-    /// The value of the first header field of this name. Names are compared without case.
+    /// Returns the value of the first header field with this name. Names are case-insensitive.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut fields = self.fields.iter();
         let (_, value) = fields.find(|(known, _)| known.eq_ignore_ascii_case(name))?;
         Some(value)
     }
 
-    /// The values of all header fields of this name.
+    /// Returns the values of all header fields with this name. Names are case-insensitive.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let same_name = move |(known, _): &&(String, String)| known.eq_ignore_ascii_case(name);
         self.fields.iter().filter(same_name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether a header field has this value. Values are compared without case.
+    /// Whether the first header field with this name has this value. Both are case-insensitive.
     fn field_is(&self, name: &str, value: &str) -> bool {
         self.field(name).is_some_and(|found| found.eq_ignore_ascii_case(value))
     }
 }
 
-/// The head of a request whose body may not have been received yet.
+/// The head of a request. The body may still be incomplete.
 #[derive(Debug)]
 pub struct Head {
     request: Request,
@@ -94,7 +94,7 @@
 }
 
 impl Head {
-    /// Takes the complete request off the front of what was received; `None` if its body is not complete yet.
+    /// Removes the request from the front of the receive buffer; `None` if its body is incomplete.
     pub fn take(self, buffer: &mut BytesMut) -> Option<Request> {
         if buffer.len() < self.head_bytes + self.body_bytes {
             return None;
@@ -107,7 +107,7 @@
 
 type ParseResult<T> = Result<T, ContextError>;
 
-/// The request line and the header fields, as they were parsed.
+/// The parsed request line and header fields.
 struct ParsedHead {
     method: String,
     target: String,
@@ -115,7 +115,7 @@
     fields: Vec<(String, String)>,
 }
 
-/// Whether a character may be in the name of a header field (`tchar` of RFC 9110, section 5.6.2).
+/// Whether a character is allowed in the name of a header field (`tchar` of RFC 9110, section 5.6.2).
 fn is_token_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c)
 }
@@ -143,11 +143,11 @@
     })
 }
 
-/// Reads the head of the next request; `None` if it is not complete yet.
+/// Parses the head of the next request in the receive buffer; `None` if the head is incomplete.
 ///
 /// # Errors
 ///
-/// The request is malformed, or its head or body is too long.
+/// The request is malformed, its head or body is too long, or its body has a transfer coding.
 pub fn read_head(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<Head>, RequestError> {
     // Empty lines before a request are ignored (RFC 9112, section 2.2).
     while buffer.starts_with(LINE_END) {
@@ -173,7 +173,7 @@
     Ok(Some(Head { request, head_bytes, body_bytes, expects_continue }))
 }
 
-/// The length of the head; `None` if its end has not been received yet.
+/// Returns the length of the head; `None` if its end has not been received.
 fn head_length(buffer: &[u8]) -> Result<Option<usize>, RequestError> {
     let end = buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END);
     match end.map(|start| start + HEAD_END.len()) {
@@ -183,8 +183,10 @@
     }
 }
 
-/// The length of the body, by `Content-Length`. With two lengths, or with a length and a transfer coding, a proxy and
-/// we could disagree on where the next request begins (request smuggling).
+/// Returns the length of the body from `Content-Length`, or 0 without that field.
+///
+/// Two lengths, or a transfer coding, are rejected. A proxy and this program could otherwise disagree on where the next
+/// request begins (request smuggling).
 fn body_length(request: &Request) -> Result<usize, RequestError> {
     if request.field("Transfer-Encoding").is_some() {
         return Err(RequestError::LengthRequired);
@@ -197,7 +199,7 @@
     }
 }
 
-/// Parses a decimal integer without a sign; one space after it is accepted.
+/// Parses an unsigned decimal integer. One trailing space is accepted.
 pub fn parse_integer(text: &str) -> Option<usize> {
     terminated(winnow::ascii::dec_uint::<_, usize, ContextError>, opt(' ')).parse(text).ok()
 }
--- a/src/frontend/http/message/response.rs
+++ b/src/frontend/http/message/response.rs
@@ -1,4 +1,4 @@
-//! Responses of HTTP/1.1, written as a whole.
+//! HTTP/1.1 responses. The body is complete before the response is written, so `Content-Length` is always sent.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 /// The media type of the text exposition format of Prometheus.
 const PLAIN_TEXT: &str = "text/plain; version=0.0.4";
 
-/// A response, ready to be written.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Response {
     status: u16,
@@ -16,17 +16,17 @@
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: String) -> Response {
         Response { status, content_type: JSON, fields: Vec::new(), body }
     }
 
-    /// A response with a body of this media type.
+    /// Creates a response whose body has the given media type.
     pub fn of(status: u16, content_type: &'static str, body: String) -> Response {
         Response { status, content_type, fields: Vec::new(), body }
     }
 
-    /// A response with a body of plain text.
+    /// Creates a response whose body is plain text, in the version that Prometheus scrapes.
     pub fn text(status: u16, body: String) -> Response {
         Response { status, content_type: PLAIN_TEXT, fields: Vec::new(), body }
     }
@@ -37,7 +37,7 @@
         self
     }
 
-    /// The bytes to write; `close` tells the client that the connection is closed after them.
+    /// Encodes the response. `close` adds `Connection: close`, which announces that the connection is closed after it.
     pub fn bytes(&self, close: bool) -> Vec<u8> {
         let reason = reason_phrase(self.status);
         let mut text =
@@ -55,7 +55,7 @@
     }
 }
 
-/// The reason phrase of a status (RFC 9110, section 15).
+/// Returns the reason phrase of a status code (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/frontend/http/message/tests.rs
+++ b/src/frontend/http/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading requests.
+//! Tests of how HTTP requests are parsed.
 
 use super::{MAX_BODY_BYTES, read_head};
 use bytes::BytesMut;
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's frontend: HTTP/1.1, one request on a connection at a time.
+//! The HTTP/1.1 frontend for the platform's clients. Each connection carries one request at a time.
 
 mod connection;
 pub mod message;
@@ -15,18 +15,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::net::TcpListener;
 
-/// What the connections of this frontend share.
+/// The state that all connections of this frontend share.
 #[derive(Debug)]
 pub struct Http {
     service: ServiceHandle,
     lifecycle: LifecycleHandle,
     result_pages: Mutex<ResultPages>,
-    /// A result with more bytes than this is split into pages.
+    /// The maximum size of a page. A longer result is split into pages.
     page_bytes: usize,
 }
 
 impl Http {
-    /// A frontend that submits requests to the service, and splits results of more than `page_bytes`.
+    /// Creates a frontend that submits requests to `service` and splits results longer than `page_bytes` into pages.
     pub fn new(service: ServiceHandle, lifecycle: LifecycleHandle, page_bytes: usize) -> Arc<Http> {
         Arc::new(Http { service, lifecycle, result_pages: Mutex::default(), page_bytes })
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Serves at most `max_connections` connections until the program's lifecycle closes the listener.
+/// Serves at most `max_connections` concurrent connections until the program's lifecycle closes the listener.
 pub async fn serve(listener: TcpListener, frontend: Arc<Http>, max_connections: usize) {
     let serve_connection = |stream, permit| {
         let frontend = frontend.clone();
--- a/src/frontend/http/reader.rs
+++ b/src/frontend/http/reader.rs
@@ -7,27 +7,28 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// A request must be complete within this time: the first one from the connection's start, others from their first
-/// byte. A value of ours.
+/// A request must be complete within this time. The time of a connection's first request starts when the connection is
+/// accepted, that of a later request with its first byte.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection without a request is closed after this time. The platform's clients close theirs after 4 s.
+/// An idle connection is closed after this time. The platform's clients close idle connections after 4 s, so they close
+/// first.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// When the first request of a connection that has just been accepted must be complete.
+/// The deadline for the first request of a connection that is accepted now.
 pub fn first_request_deadline() -> Instant {
     Instant::now() + READ_TIMEOUT
 }
 
 /// Reads the next request, whose body may have at most `max_body_bytes`.
 ///
-/// It must be complete by `deadline`, or, where that is `None`, within a fixed time from its first byte. The result is
-/// `None` if the client closed the connection, or did not send a request in time.
+/// The request must be complete by `deadline`. If `deadline` is `None`, it must be complete within `READ_TIMEOUT` of
+/// its first byte. Returns `None` if the client closed the connection or sent no complete request in time.
 ///
 /// # Errors
 ///
-/// The connection broke. What is read, but is no valid request, is the inner error.
+/// The outer error is a failure of the connection. The inner error reports input that is not a valid request.
 pub async fn read_request<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     buffer: &mut BytesMut,
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -1,4 +1,4 @@
-//! The responses to clients.
+//! Builds the HTTP responses to clients.
 
 use super::Http;
 use super::message::Response;
@@ -8,7 +8,7 @@
 use sanddyke_tenancy::Reason;
 
 impl Http {
-    /// The response for an answer of the service to the request of this name.
+    /// Builds the response for the service's answer to the request with this client request id.
     pub(super) fn response(&self, name: &str, answer: Answer) -> Response {
         match answer {
             Answer::Served(table) => {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The response to a request that cannot be used.
+/// Builds the response to an invalid request.
 pub(super) fn unusable(status: u16, message: &str) -> Response {
     Response::json(status, serde_json::json!({ "fault": "Unusable", "why": message }).to_string())
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The body of a fault, with the code of the tenant's limit that is the reason.
+/// Builds the body of an error response. `reason` is the limit of the tenant that caused the error, if one did.
 fn fault_body(fault: &str, reason: Option<Reason>) -> String {
     match reason {
         Some(reason) => format!(r#"{{"fault":"{fault}","reason":"{}"}}"#, reason.code()),
@@ -47,8 +47,10 @@
     }
 }
 
-/// A rejection says when to retry, in whole seconds as HTTP has it, and in milliseconds. One by a limit of the tenant
-/// has the status that HTTP clients know for its kind.
+/// Builds the response to a rejected request.
+///
+/// The retry time is sent in milliseconds (`X-Throttle-Ms`) and in whole seconds (`Retry-After`, which allows no
+/// fractions). A rejection by a limit of the tenant has the HTTP status for that kind of limit.
 fn rejected(retry_after: Micros, reason: Option<Reason>) -> Response {
     let status = match reason {
         None => 503,
--- a/src/frontend/http/result_pages.rs
+++ b/src/frontend/http/result_pages.rs
@@ -1,26 +1,27 @@
-//! Results that are split into pages because they are too long for one response.
+//! Stores results that are too long for one response and are therefore split into pages.
 //!
-//! A page can be read until its result is deleted, or is evicted for newer ones.
+//! A page can be read until its result is deleted or evicted. The oldest results are evicted to make room for new ones.
 
 use crate::core::Row;
 use std::collections::{HashMap, VecDeque};
 
-/// The most results that are retained. A value of ours, as is the next.
+/// The maximum number of stored results.
 const MAX_RESULTS: usize = 512;
-/// The most bytes of pages that are retained.
+/// The maximum total size of the stored pages.
 const MAX_BYTES: usize = 4 << 20;
 
-/// The pages that clients may still read, by the name of their request.
+/// The pages that clients may still read, by client request id.
 #[derive(Debug, Default)]
 pub struct ResultPages {
     results: HashMap<String, Vec<String>>,
-    /// The names in the order in which their results were inserted.
+    /// The client request ids, in the order in which their results were inserted.
     insertion_order: VecDeque<String>,
     bytes: usize,
 }
 
 impl ResultPages {
-    /// Retains a result of several pages, and returns the body of the first. Each body names the path of the next.
+    /// Stores a result of several pages and returns the body of the first page. Each body names the path of the next
+    /// one.
     pub fn insert(&mut self, name: &str, pages: Vec<String>) -> String {
         let last = pages.len() - 1;
         let bodies = pages.iter().enumerate().map(|(number, rows)| {
@@ -40,13 +41,13 @@
         first
     }
 
-    /// The body of the page at a path.
+    /// Returns the body of the page at a path; `None` if there is no such page.
     pub fn get(&self, path: &str) -> Option<String> {
         let page = PagePath::parse(path)?;
         self.results.get(page.name)?.get(page.number).cloned()
     }
 
-    /// Removes the result that has a page at this path; false if there is none.
+    /// Removes the result that a path belongs to. Returns whether the result was stored.
     pub fn remove(&mut self, path: &str) -> bool {
         PagePath::parse(path).is_some_and(|page| self.remove_result(page.name))
     }
@@ -59,7 +60,7 @@
     }
 }
 
-/// A page's path: `/page/NAME/NUMBER`.
+/// The path of a page, `/page/NAME/NUMBER`. `NAME` is the client request id; numbers start at 0.
 struct PagePath<'a> {
     name: &'a str,
     number: usize,
@@ -76,7 +77,7 @@
     bodies.iter().map(String::len).sum()
 }
 
-/// The body of a page with these rows, and the path of the next page.
+/// Returns the body of a page. `rows` is JSON; `next_path` is the path of the next page, `None` for the last one.
 pub fn page_body(rows: &str, next_path: Option<&str>) -> String {
     match next_path {
         Some(path) => format!("{{\"more\":\"{path}\",\"result\":[{rows}]}}"),
@@ -84,11 +85,11 @@
     }
 }
 
-/// The rows as JSON, in pages of at most `max_page_bytes`. A longer row has a page of its own.
+/// Encodes rows as JSON and splits them into pages of at most `max_page_bytes`. A longer row has a page of its own.
 pub fn split_into_pages(rows: &[Row], max_page_bytes: usize) -> Vec<String> {
     let mut pages = vec![String::new()];
     for row in rows {
-        // Text always has a JSON form.
+        // Rows consist of text and nulls, whose encoding cannot fail.
         let json = serde_json::to_string(row).unwrap_or_default();
         let full =
             pages.last().is_some_and(|page| !page.is_empty() && page.len() + json.len() > max_page_bytes);
--- a/src/frontend/http/routes.rs
+++ b/src/frontend/http/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of the frontend, and the header fields of a request.
+//! Routes requests by method and path, and reads their header fields.
 
 use super::Http;
 use super::connection::Client;
@@ -7,11 +7,11 @@
 use crate::clock::Micros;
 use crate::core::IncomingRequest;
 
-/// The length of a request's name, in hexadecimal digits.
+/// The length of a client request id, in hexadecimal digits.
 const NAME_DIGITS: usize = 16;
 
 impl Http {
-    /// Answers a request; `None` if the client closed the connection first.
+    /// Answers a request; `None` if the client disconnected first.
     pub(super) async fn route(&self, client: &mut Client, request: &Request) -> Option<Response> {
         let response = match (request.method.as_str(), request.target.as_str()) {
             ("GET", "/check") => self.readiness(),
@@ -48,7 +48,7 @@
     unusable(404, "no such path")
 }
 
-/// The request for the service that a client's request stands for. The error is the response to an invalid one.
+/// Converts a client's request into a request for the service. The error is the response to an invalid request.
 fn incoming_request(class: &str, request: &Request) -> Result<IncomingRequest, Response> {
     let name = required_field(request, "X-Txn")?;
     if name.len() != NAME_DIGITS || !name.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -73,8 +73,8 @@
     optional_field(request, name)?.ok_or_else(|| unusable(400, &format!("{name} is missing")))
 }
 
-/// The value of a header field. A field that is sent twice is rejected: an intermediary may read the one value, and
-/// this program the other.
+/// Returns the value of a header field; `None` if it was not sent. A field that was sent twice is rejected, because an
+/// intermediary and this program could use different values.
 fn optional_field<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Response> {
     let mut values = request.values(name);
     match (values.next(), values.next()) {
--- a/src/frontend/linger.rs
+++ b/src/frontend/linger.rs
@@ -1,4 +1,4 @@
-//! The lingering close of a connection whose client may still be sending.
+//! Lingering close: closes a connection without losing the last response when the client is still sending.
 
 use bytes::BytesMut;
 use std::io;
@@ -6,15 +6,15 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// How long a client may go on sending after its last response. A value of ours, as is the next.
+/// How long the client's input is read after the last response.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// How much of that is read.
+/// How much of the client's input is read after the last response.
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Closes the sending side, then reads and drops what the client still sends, up to `LINGER_BYTES`.
+/// Shuts down the sending side, then reads and drops up to `LINGER_BYTES` of further input.
 ///
 /// A close with unread input would reset the connection, and the client could lose the response (RFC 9112,
-/// section 9.6). It returns after `LINGER_TIME`, or as soon as the client has closed.
+/// section 9.6). Returns when the client closes the connection, but after `LINGER_TIME` at the latest.
 ///
 /// # Errors
 ///
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,6 @@
-//! The frontends: each reads its own protocol, submits requests to the service, and writes their responses.
+//! The listeners for clients, one for each protocol (HTTP and TDS).
+//!
+//! A frontend reads requests, submits them to the service, and writes the responses.
 
 mod accept;
 mod connection_table;
--- a/src/frontend/tds/connection.rs
+++ b/src/frontend/tds/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: the login, then its requests one after another.
+//! Serves one connection of a client: the login, then one request after another.
 
 use super::tls::Stream;
 use super::{Tds, error_number, prelogin};
@@ -12,23 +12,23 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A connection must be logged in within this time. A value of ours.
+/// The login must be complete within this time of the connection's start.
 const LOGIN_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A message must be complete within this time from its first byte. A value of ours.
+/// A message must be complete within this time of its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection without a request is closed after this time. A value of ours.
+/// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1800);
-/// The first capacity of a connection's buffer.
+/// The initial capacity of a connection's receive buffer.
 const BUFFER_BYTES: usize = 8192;
-/// The severity of a failed login.
+/// The severity (`Class` of MS-TDS) of the error for a denied login.
 const LOGIN_SEVERITY: u8 = 14;
 
-/// A stream from which messages are read.
+/// A stream with the state that is needed to read TDS messages from it.
 pub(super) struct MessageStream<S = Box<dyn Stream>> {
     pub(super) stream: S,
-    /// What was received and is not read yet.
+    /// Input that was received but not parsed yet.
     pub(super) received: BytesMut,
-    /// The message whose packets are being read.
+    /// Assembles messages from the received packets.
     pub(super) messages: Messages,
 }
 
@@ -38,7 +38,7 @@
         MessageStream { stream, received, messages: Messages::default() }
     }
 
-    /// The next message; `None` if the client closed the connection.
+    /// Reads the next message; `None` if the client closed the connection.
     pub(super) async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some(message) = self.messages.next(&mut self.received).map_err(malformed)? {
@@ -52,7 +52,7 @@
 }
 
 impl MessageStream {
-    /// Writes a response.
+    /// Writes a response, whose tokens are `data`, as one message.
     pub(super) async fn respond(&mut self, data: &[u8]) -> io::Result<()> {
         self.stream.write_all(&packet::message(packet::RESULT, data)).await
     }
@@ -83,7 +83,8 @@
     }
 }
 
-/// Reads LOGIN7 and answers it. The result is the tenant; `None` if the login is denied.
+/// Reads LOGIN7 and answers it. Returns the tenant; `None` if the login was denied, or if the client closed the
+/// connection or sent a message of another type.
 async fn log_in(input: &mut MessageStream, frontend: &Tds) -> io::Result<Option<String>> {
     let Some(message) = input.next().await? else { return Ok(None) };
     if message.kind != packet::LOGIN7 {
@@ -105,7 +106,7 @@
     }
 }
 
-/// A connection whose login was granted.
+/// A connection whose login succeeded.
 pub(super) struct Connection<'a> {
     pub(super) input: MessageStream,
     pub(super) frontend: &'a Tds,
@@ -113,7 +114,7 @@
 }
 
 impl<'a> Connection<'a> {
-    /// Negotiates encryption and reads the login; `None` if the connection is to be closed.
+    /// Negotiates encryption and performs the login; `None` if the connection must be closed.
     async fn open(stream: TcpStream, frontend: &'a Tds) -> io::Result<Option<Connection<'a>>> {
         let Some(mut input) = prelogin::negotiate(stream, frontend).await? else { return Ok(None) };
         let tenant = log_in(&mut input, frontend).await?;
@@ -135,8 +136,10 @@
         }
     }
 
-    /// Waits for the first bytes of a request; false if the client closed the connection, or if idle connections are
-    /// being closed: TDS has no message that sends a client elsewhere.
+    /// Waits for the first bytes of a request.
+    ///
+    /// Returns false if the client closed the connection, or if idle connections are being closed. TDS has no message
+    /// that redirects a logged-in client to another manager.
     async fn wait_for_request(&mut self) -> io::Result<bool> {
         if !self.input.received.is_empty() {
             return Ok(true);
--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -1,6 +1,7 @@
-//! The TDS frontend: logins, batches and calls of `sp_executesql`, submitted to the same service as HTTP requests.
+//! The TDS frontend. It accepts logins, SQL batches and RPC calls of `sp_executesql`, and submits the statements to the
+//! same service as the HTTP frontend.
 //!
-//! `docs/tds.md` describes what is supported, and lists the error numbers.
+//! `docs/tds.md` describes the supported part of TDS and lists the error numbers.
 
 mod connection;
 mod prelogin;
@@ -19,28 +20,28 @@
 use tokio::net::TcpListener;
 use tokio_rustls::rustls::ServerConfig;
 
-/// What the connections of this frontend share.
+/// The state that all connections of this frontend share.
 #[derive(Debug)]
 pub struct Tds {
-    /// The service that requests are submitted to.
+    /// The service to which requests are submitted.
     pub service: ServiceHandle,
-    /// The program's lifecycle.
+    /// The program's lifecycle, which counts connections and requests and closes the listener.
     pub lifecycle: LifecycleHandle,
-    /// The configuration for TLS; `None` if connections are not encrypted.
+    /// The TLS configuration; `None` if connections are not encrypted.
     pub tls: Option<Arc<ServerConfig>>,
     /// Maps logins to tenants.
     pub directory: Directory,
-    /// The class of a request that names none.
+    /// The class of a request without a `class` hint.
     pub default_class: String,
-    /// The time budget of a request that names none.
+    /// The time budget of a request without a `ttl_ms` hint.
     pub default_time_budget: Micros,
-    /// The seed of the names of requests.
+    /// The seed of the generated client request ids. It differs between runs of the program.
     pub name_seed: u64,
-    /// The number of the next request, from which its name is derived.
+    /// The number of the next request, from which its client request id is derived.
     pub next_request: AtomicU64,
 }
 
-/// Serves at most `max_connections` connections until the program's lifecycle closes the listener.
+/// Serves at most `max_connections` concurrent connections until the program's lifecycle closes the listener.
 pub async fn serve(listener: TcpListener, frontend: Arc<Tds>, max_connections: usize) {
     let serve_connection = |stream, permit| {
         let frontend = frontend.clone();
--- a/src/frontend/tds/prelogin.rs
+++ b/src/frontend/tds/prelogin.rs
@@ -1,4 +1,4 @@
-//! PRELOGIN: the negotiation of encryption (MS-TDS 2.2.6.5), and the TLS handshake.
+//! Negotiates encryption with PRELOGIN messages (MS-TDS 2.2.6.5) and performs the TLS handshake.
 
 use super::Tds;
 use super::connection::{MessageStream, malformed};
@@ -10,14 +10,15 @@
 use tokio::net::TcpStream;
 use tokio_rustls::TlsAcceptor;
 
-/// Reads the client's PRELOGIN, answers it, and encrypts the connection if the frontend has a certificate. Then the
-/// whole connection is encrypted, otherwise none of it.
+/// Reads the client's PRELOGIN and answers it. Encrypts the whole connection if the frontend has a certificate, and
+/// none of it otherwise.
 ///
-/// `None` if the client closed the connection, sent another message, or does not agree on encryption.
+/// Returns `None` if the client closed the connection, sent a message of another type, or does not accept the
+/// encryption of this listener.
 ///
 /// # Errors
 ///
-/// The connection broke, a message is malformed, or the TLS handshake failed.
+/// The connection failed, a message is malformed, or the TLS handshake failed.
 pub(super) async fn negotiate(stream: TcpStream, frontend: &Tds) -> io::Result<Option<MessageStream>> {
     let mut plain = MessageStream::new(stream);
     let Some(message) = plain.next().await? else { return Ok(None) };
@@ -35,13 +36,17 @@
     plain.stream.write_all(&response).await?;
     let Some(config) = &frontend.tls else {
         if client_requires {
-            log::info!("TDS: a client wants encryption, which this listener does not have");
+            log::info!(
+                "TDS: connection closed: the client requires encryption, but the listener has no certificate"
+            );
             return Ok(None);
         }
         return Ok(Some(plain.boxed()));
     };
     if requested == ENCRYPT_NOT_SUPPORTED {
-        log::info!("TDS: a client without encryption, which this listener requires");
+        log::info!(
+            "TDS: connection closed: the listener requires encryption, but the client does not support it"
+        );
         return Ok(None);
     }
     let acceptor = TlsAcceptor::from(config.clone());
--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a connection: batches, calls of `sp_executesql`, and attentions.
+//! Serves the messages of a logged-in connection: SQL batches, RPC calls of `sp_executesql`, and Attention signals.
 
 use super::Tds;
 use super::connection::{Connection, MessageStream};
@@ -13,20 +13,21 @@
 use std::sync::atomic::Ordering;
 use tokio::io::AsyncReadExt;
 
-/// An odd factor spreads consecutive numbers over 64 bits: 2^64 divided by the golden ratio.
+/// 2^64 divided by the golden ratio, made odd. Multiplication by it spreads consecutive numbers over 64 bits, and maps
+/// distinct numbers to distinct products.
 const NAME_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// How the wait for an answer ended.
 enum WaitOutcome {
     Answered(Answer),
-    /// The client sent an attention: it cancels the request.
+    /// The client cancelled the request with an Attention signal.
     Attention,
-    /// The client closed the connection, or broke the protocol.
+    /// The client closed the connection or violated the protocol.
     Disconnected,
 }
 
 impl Connection<'_> {
-    /// Serves one message of the client; false if the connection is to be closed.
+    /// Serves one message of the client. Returns false if the connection must be closed.
     pub(super) async fn serve_request(&mut self, message: Message) -> io::Result<bool> {
         let _tracked_request = self.frontend.lifecycle.track_request();
         let response = match message.kind {
@@ -38,7 +39,7 @@
                 let statement = token::read_call(&message.data).map_err(|error| error.to_string());
                 self.execute(ResponseKind::Call, statement).await
             }
-            // Its request was answered before it was read. An attention is acknowledged all the same.
+            // The request was answered before the Attention was read. MS-TDS requires an acknowledgement nevertheless.
             packet::ATTENTION => Some(token::attention_done()),
             kind => {
                 let text = format!("messages of type {kind} are not taken here");
@@ -50,7 +51,7 @@
         Ok(true)
     }
 
-    /// Executes a statement and returns the response; `None` if the client disconnected first.
+    /// Submits a statement and returns the response; `None` if the client disconnected first.
     async fn execute(&mut self, kind: ResponseKind, statement: Result<String, String>) -> Option<Vec<u8>> {
         let request =
             statement.and_then(|statement| self.frontend.incoming_request(&statement, &self.tenant));
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Submits a request and waits for its answer, or until the client stops waiting for it.
+    /// Submits a request and waits until it is answered, the client cancels it, or the client disconnects.
     async fn submit(&mut self, request: IncomingRequest) -> WaitOutcome {
         let service = &self.frontend.service;
         let Ok(mut submitted) = service.submit(request).await else {
@@ -73,19 +74,20 @@
         };
         let outcome = tokio::select! {
             answer = &mut submitted.answer => {
-                // The service has ended if the sender is gone.
+                // The sender is dropped without an answer only when the service has stopped.
                 return WaitOutcome::Answered(answer.unwrap_or(Answer::Failed(None)));
             }
             outcome = self.input.wait_for_cancellation() => outcome,
         };
-        // The service cancels the request. If its answer crosses this, it is not written: the client gets one response.
+        // The service cancels the request. An answer that arrives at the same time is not written, because the client
+        // must receive exactly one response.
         let _service_ended = service.notify(Input::ClientDisconnected(submitted.request)).await;
         outcome
     }
 }
 
 impl MessageStream {
-    /// Reads until the client cancels its request. Cancel safe: the future can be dropped and no byte is lost.
+    /// Reads until the client cancels its request or disconnects. Cancel safe: dropping the future loses no input.
     async fn wait_for_cancellation(&mut self) -> WaitOutcome {
         loop {
             let read = self.stream.read_buf(&mut self.received).await;
@@ -95,7 +97,7 @@
             match self.messages.next(&mut self.received) {
                 Ok(None) => {}
                 Ok(Some(message)) if message.kind == packet::ATTENTION => return WaitOutcome::Attention,
-                // Only an attention may be sent before the response.
+                // While a response is pending, a client may send nothing but an Attention.
                 Ok(Some(_)) | Err(_) => return WaitOutcome::Disconnected,
             }
         }
@@ -103,7 +105,8 @@
 }
 
 impl Tds {
-    /// The request for the service, with what the statement's hints say. The error is text for the client.
+    /// Builds the request for the service from a statement and its hints. The error is the text that the client
+    /// receives.
     fn incoming_request(&self, statement: &str, tenant: &str) -> Result<IncomingRequest, String> {
         let hints = sql::hints(statement);
         let hint = |name: &str| hints.iter().find(|hint| hint.name == name).map(|hint| hint.value);
@@ -125,7 +128,8 @@
         })
     }
 
-    /// A name for the next request: distinct for distinct numbers, and unlike those of another start of the program.
+    /// Generates the client request id of the next request. Ids are unique within a run of the program, and the seed
+    /// makes those of different runs differ.
     fn next_name(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = self.name_seed ^ number.wrapping_mul(NAME_FACTOR);
--- a/src/frontend/tds/responses.rs
+++ b/src/frontend/tds/responses.rs
@@ -1,37 +1,39 @@
-//! The responses to clients, and the numbers of the errors in them.
+//! Builds the TDS responses to clients and defines their error numbers.
 
 use crate::clock::Micros;
 use crate::core::Answer;
 use crate::tds::token::{self, ResponseKind};
 use sanddyke_tenancy::Reason;
 
-/// The numbers of errors, as clients see them. Numbers that SQL Server has are used in its meaning.
+/// The error numbers that clients receive. Numbers that SQL Server defines have the same meaning here.
 pub mod error_number {
-    /// The service is busy: SQL Server's number for "retry later".
+    /// The service is busy. Drivers retry after this number of Azure SQL.
     pub const REJECTED: u32 = 40501;
-    /// Rejected by a limit of the tenant that passes by itself: a resource limit, after which drivers retry.
+    /// A temporary limit of the tenant rejected the request. SQL Server uses this number for resource limits, after
+    /// which drivers retry.
     pub const TENANT_LIMITED: u32 = 10928;
-    /// Rejected by a limit of the tenant until an operator changes it: permission denied.
+    /// A limit of the tenant rejected the request and will do so until an operator changes it. SQL Server uses this
+    /// number for denied permissions.
     pub const TENANT_FORBIDDEN: u32 = 229;
-    /// The login failed.
+    /// The login was denied.
     pub const LOGIN_FAILED: u32 = 18456;
-    /// The request failed, and was possibly executed.
+    /// The request failed. It was possibly executed.
     pub const FAILED: u32 = 50010;
-    /// The request cannot be used.
+    /// The request is invalid.
     pub const UNUSABLE: u32 = 50011;
     /// An operator cancelled the request.
     pub const CANCELLED: u32 = 50012;
 }
 
-/// The severity of errors in a request, which leave the connection open.
+/// The severity (`Class` of MS-TDS) of errors of a request. The connection stays open after them.
 const REQUEST_SEVERITY: u8 = 16;
 
-/// The response to a request that cannot be used.
+/// Builds the response to an invalid request.
 pub(super) fn unusable(kind: ResponseKind, message: &str) -> Vec<u8> {
     token::error(kind, error_number::UNUSABLE, REQUEST_SEVERITY, message)
 }
 
-/// The response for an answer of the service.
+/// Builds the response for an answer of the service.
 pub(super) fn answer_response(kind: ResponseKind, answer: Answer) -> Vec<u8> {
     let error = |number, text: &str| token::error(kind, number, REQUEST_SEVERITY, text);
     match answer {
--- a/src/frontend/tds/tls.rs
+++ b/src/frontend/tds/tls.rs
@@ -1,4 +1,5 @@
-//! TLS under TDS 7: the records of the handshake are wrapped in PRELOGIN packets (MS-TDS 2.2.6.5), later ones are not.
+//! TLS for TDS 7. The TLS records of the handshake are wrapped in PRELOGIN packets (MS-TDS 2.2.6.5), later records are
+//! not.
 
 use crate::tds::packet;
 use bytes::{Buf, BytesMut};
@@ -11,31 +12,31 @@
 use tokio::net::TcpStream;
 use tokio_rustls::TlsAcceptor;
 
-/// How much is read at once during the handshake.
+/// The size of one read during the handshake.
 const READ_BYTES: usize = 4096;
 
-/// A client's connection, encrypted or not.
+/// A client's connection, with or without TLS.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
 
 /// A stream whose bytes are wrapped in PRELOGIN packets during the handshake.
 struct HandshakeStream {
     stream: TcpStream,
-    /// Whether the handshake lasts.
+    /// Whether the handshake is in progress. [`accept`] clears it.
     handshaking: Arc<AtomicBool>,
-    /// What was received, packet headers included.
+    /// Received bytes, with packet headers.
     received: BytesMut,
-    /// The data of packets that TLS has not read yet.
+    /// Received TLS records, without packet headers, that TLS has not read yet.
     unwrapped: BytesMut,
-    /// Packets that are not written yet.
+    /// Packets that have not been written to the connection yet.
     unwritten: BytesMut,
 }
 
-/// Does the handshake with a client. `received` is what it sent after its PRELOGIN.
+/// Performs the TLS handshake with a client. `received` is the input that followed the client's PRELOGIN.
 ///
 /// # Errors
 ///
-/// The connection broke, or the handshake failed.
+/// The connection failed, or the handshake failed.
 pub async fn accept(
     acceptor: &TlsAcceptor,
     stream: TcpStream,
@@ -55,7 +56,7 @@
 }
 
 impl HandshakeStream {
-    /// Writes the packets that are not written yet.
+    /// Writes all of `unwritten` to the connection.
     fn write_packets(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.unwritten.is_empty() {
             let written = ready!(Pin::new(&mut self.stream).poll_write(context, &self.unwritten))?;
@@ -67,7 +68,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads more into `received`; false at the end of the stream.
+    /// Reads into `received`. Returns false at the end of the stream.
     fn read_more(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
         let mut space = [0; READ_BYTES];
         let mut read = ReadBuf::new(&mut space);
@@ -86,7 +87,7 @@
         let this = self.get_mut();
         while this.unwrapped.is_empty() {
             if !this.handshaking.load(Ordering::Relaxed) {
-                // What was received right after the handshake is not wrapped any more.
+                // Input that was received together with the end of the handshake is not wrapped.
                 match this.received.is_empty() {
                     true => return Pin::new(&mut this.stream).poll_read(context, out),
                     false => this.unwrapped = this.received.split(),
@@ -111,7 +112,7 @@
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         if this.handshaking.load(Ordering::Relaxed) {
-            // Collected until the flush, so that a flight is written at once.
+            // Buffered until the flush, so that one flight of TLS records is written at once.
             this.unwritten.extend_from_slice(&packet::message(packet::PRELOGIN, data));
             return Poll::Ready(Ok(data.len()));
         }
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -1,6 +1,6 @@
-//! What the service reads of an SQL statement: its table group, the hints in its first comment, and its parameters.
+//! Extracts the table group and the hints from SQL statements, and replaces parameters in them.
 //!
-//! A lexer separates strings and comments from names; there is no parser of SQL.
+//! A lexer separates strings and comments from names. SQL is not parsed.
 
 use winnow::Parser;
 use winnow::ascii::digit1;
@@ -10,26 +10,27 @@
 
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// A statement with more comments than this is not split: nested ones recurse once for each. A value of ours.
+/// The maximum number of block comments in a statement that is split into tokens. Each nested comment adds a level of
+/// recursion.
 const MAX_COMMENTS: usize = 64;
-/// The schema of intermediate tables, which is of no group.
+/// The schema of intermediate tables, which belong to no table group.
 const STAGING_SCHEMA: &str = "staging";
 
-/// A token of a statement.
+/// A token of an SQL statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Token<'a> {
-    /// A string or a comment, with its delimiters.
+    /// A string or a comment, including its delimiters.
     Opaque(&'a str),
-    /// A name, without its quotes.
+    /// An identifier, a keyword or a number, without the quotes of a quoted identifier.
     Name(&'a str),
-    /// A parameter, `@name`.
+    /// A parameter, including its `@`.
     Parameter(&'a str),
-    /// Anything else.
+    /// One character of anything else.
     Other(&'a str),
 }
 
 impl Token<'_> {
-    /// Whether it is neither a string, a comment nor white space.
+    /// Whether the token is neither a string, a comment nor white space.
     fn is_significant(&self) -> bool {
         match self {
             Token::Opaque(_) => false,
@@ -39,10 +40,10 @@
     }
 }
 
-/// A text between two of the same quotation marks, which are doubled within it.
+/// Parses text between two quotation marks `mark`. Within the text, a doubled mark stands for a single one.
 fn quoted<'a>(mark: char) -> impl FnMut(&mut &'a str) -> ParseResult<&'a str> {
     move |input: &mut &'a str| {
-        // A text without its second mark extends to the end of the statement.
+        // Text without a closing mark extends to the end of the statement.
         let part = alt((take_while(1.., move |c| c != mark).void(), (mark, mark).void()));
         let inner = repeat::<_, _, (), _, _>(0.., part).take();
         preceded(mark, terminated(inner, alt((mark.void(), eof.void())))).parse_next(input)
@@ -72,7 +73,7 @@
     .parse_next(input)
 }
 
-/// The tokens of a statement, in order. One with very many comments is a single [`Token::Opaque`].
+/// Splits a statement into tokens. A statement with too many block comments is returned as a single [`Token::Opaque`].
 pub fn tokens(statement: &str) -> Vec<Token<'_>> {
     if statement.matches("/*").count() > MAX_COMMENTS {
         return vec![Token::Opaque(statement)];
@@ -80,7 +81,7 @@
     repeat(0.., token).parse(statement).unwrap_or_default()
 }
 
-/// The number after the last underscore of a schema's name.
+/// Returns the number after the last underscore of a schema's name; `None` if the name does not end in one.
 fn group_number(schema: &str) -> Option<u64> {
     let (stem, number) = schema.rsplit_once('_')?;
     if stem.is_empty() {
@@ -89,7 +90,8 @@
     terminated(digit1::<_, ContextError>.parse_to(), eof).parse(number).ok()
 }
 
-/// The table group of a statement: the number in the name of the first schema that has one, as in `sales_17.orders`.
+/// Returns the table group of a statement: the number at the end of the first schema name that has one. For
+/// `sales_17.orders`, this is 17.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens = tokens(statement);
     let significant: Vec<&Token> = tokens.iter().filter(|token| token.is_significant()).collect();
@@ -101,12 +103,12 @@
     })
 }
 
-/// A hint for the service.
+/// A hint to the service, `name=value`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hint<'a> {
-    /// The name.
+    /// The name, such as `class`.
     pub name: &'a str,
-    /// The value, without its quotation marks.
+    /// The value, without quotation marks.
     pub value: &'a str,
 }
 
@@ -125,7 +127,8 @@
     .parse_next(input)
 }
 
-/// The hints in a comment at the start of a statement: `/*class='report',ttl_ms='1500'*/`.
+/// Returns the hints in a block comment at the start of a statement, such as `/*class='report',ttl_ms='1500'*/`. Text
+/// from the first part that is no hint is ignored.
 pub fn hints(statement: &str) -> Vec<Hint<'_>> {
     let text = statement.trim_start();
     let mut comment = delimited::<_, _, _, _, ContextError, _, _, _>("/*", take_until(0.., "*/"), "*/");
@@ -135,16 +138,16 @@
     hints.unwrap_or_default()
 }
 
-/// The literal that replaces a parameter.
+/// A parameter and the literal that replaces it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Binding {
-    /// The parameter's name, with its `@`.
+    /// The name of the parameter, including its `@`. Names are case-insensitive.
     pub parameter: String,
-    /// The literal.
+    /// The SQL literal.
     pub literal: String,
 }
 
-/// Replaces parameters by literals, except in strings and comments. Other parameters are left as they are.
+/// Replaces parameters by their literals, except in strings and comments. Parameters without a binding are unchanged.
 pub fn bind(statement: &str, bindings: &[Binding]) -> String {
     let mut text = String::with_capacity(statement.len());
     let mut copied = 0;
@@ -152,7 +155,7 @@
         let Token::Parameter(name) = token else { continue };
         let binding = bindings.iter().find(|binding| binding.parameter.eq_ignore_ascii_case(name));
         let Some(binding) = binding else { continue };
-        // The name is a slice of the statement.
+        // `name` is a slice of `statement`, so the difference of their addresses is its position.
         let start = name.as_ptr() as usize - statement.as_ptr() as usize;
         text.push_str(&statement[copied..start]);
         text.push_str(&binding.literal);
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is read of SQL statements.
+//! Tests of table groups, hints and parameters in SQL statements.
 
 use super::*;
 
--- a/src/tds/login.rs
+++ b/src/tds/login.rs
@@ -1,4 +1,4 @@
-//! PRELOGIN (MS-TDS 2.2.6.5) and LOGIN7 (MS-TDS 2.2.6.4).
+//! Reads and writes PRELOGIN (MS-TDS 2.2.6.5) and LOGIN7 (MS-TDS 2.2.6.4) messages.
 
 use super::packet::PACKET_BYTES;
 use super::{ParseResult, TdsError, from_utf16, utf16};
@@ -8,47 +8,47 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
-// Options of PRELOGIN.
+// PRELOGIN option tokens.
 const VERSION: u8 = 0x00;
 const ENCRYPTION: u8 = 0x01;
 const MARS: u8 = 0x04;
 const TERMINATOR: u8 = 0xff;
-/// The length of an option: its token, offset and length.
+/// The length of an option: token, offset and length of its value.
 const OPTION_BYTES: usize = 5;
-/// The most options that are read. A value of ours.
+/// The maximum number of PRELOGIN options.
 const MAX_OPTIONS: usize = 16;
-/// The version that is sent: 16.0, no build.
+/// The product version that is sent in PRELOGIN: 16.0, build 0.
 const OUR_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
 
-/// The connection is not encrypted.
+/// Encryption is not supported (`ENCRYPT_NOT_SUP`).
 pub const ENCRYPT_NOT_SUPPORTED: u8 = 0x02;
-/// The connection is encrypted.
+/// Encryption is on (`ENCRYPT_ON`).
 pub const ENCRYPT_ON: u8 = 0x01;
-/// The connection must be encrypted.
+/// Encryption is required (`ENCRYPT_REQ`).
 pub const ENCRYPT_REQUIRED: u8 = 0x03;
 
-/// TDS 7.4, as LOGIN7 has it.
+/// TDS version 7.4, as encoded in LOGIN7.
 const TDS_74: u32 = 0x7400_0004;
-/// TDS 7.2, the oldest version that is accepted: before it, a batch has no headers and would be misread.
+/// TDS version 7.2, the oldest that is accepted. In older versions, a SQL batch has no headers and would be misread.
 const MIN_VERSION: u32 = 0x7200_0000;
 /// The length of the fixed part of LOGIN7.
 const FIXED_BYTES: usize = 94;
-/// What comes between the version and the fields: sizes, flags, time zone and language.
+/// The length of the data between the version and the field positions: sizes, flags, time zone and language.
 const SKIPPED_BYTES: usize = 28;
-/// The longest field that is read, in UTF-16 units. A value of ours.
+/// The maximum length of a field, in UTF-16 code units.
 const MAX_FIELD_UNITS: usize = 512;
-/// The key with which the bytes of a password are obfuscated.
+/// The byte with which LOGIN7 obfuscates each byte of the password by XOR.
 const PASSWORD_KEY: u8 = 0xa5;
 
-// The indexes of the fields of LOGIN7 that are used.
+// Indexes of the LOGIN7 fields that are used, in the order of their positions in the message.
 const USER: usize = 1;
 const PASSWORD: usize = 2;
 const APPLICATION: usize = 3;
 const DATABASE: usize = 8;
-/// The number of fields up to the last that is used.
+/// The number of field positions that are read, up to that of the last field used.
 const FIELDS: usize = 9;
 
-/// Writes a PRELOGIN message with this value for encryption. Clients and servers send the same form.
+/// Encodes a PRELOGIN message with this encryption option. Clients and servers send the same format.
 pub fn prelogin(encryption: u8) -> Vec<u8> {
     let options: [(u8, &[u8]); 3] = [(VERSION, &OUR_VERSION), (ENCRYPTION, &[encryption]), (MARS, &[0])];
     let mut offset = options.len() * OPTION_BYTES + size_of_val(&TERMINATOR);
@@ -66,7 +66,7 @@
     out
 }
 
-/// An option of PRELOGIN: where in the message its value is.
+/// A PRELOGIN option, with the position of its value in the message.
 struct PreloginOption {
     token: u8,
     offset: usize,
@@ -85,7 +85,7 @@
     Ok(options)
 }
 
-/// Reads a PRELOGIN message. The result is its value for encryption; `None` if it has none.
+/// Reads a PRELOGIN message. Returns its encryption option; `None` if it has none.
 ///
 /// # Errors
 ///
@@ -103,23 +103,23 @@
     Ok(encryption)
 }
 
-/// The fields of a LOGIN7 message that are used.
+/// The LOGIN7 fields that are used.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Login {
-    /// The user.
+    /// The user name.
     pub user: String,
-    /// The password.
+    /// The password, in plain text.
     pub password: String,
-    /// The name of the client's program.
+    /// The name of the client application.
     pub app: String,
-    /// The database, which is the tenant.
+    /// The database, whose name is that of the tenant. It may be empty.
     pub database: String,
 }
 
-/// Where in the message a field is.
+/// The position of a field in the message.
 struct FieldPosition {
     offset: usize,
-    /// Its length in UTF-16 units.
+    /// The length in UTF-16 code units.
     units: usize,
 }
 
@@ -158,7 +158,7 @@
     })
 }
 
-/// A byte of a password as LOGIN7 obfuscates it. This is no encryption.
+/// Obfuscates a byte of a password as LOGIN7 requires. This is not encryption.
 fn obfuscate(byte: u8) -> u8 {
     byte.rotate_left(4) ^ PASSWORD_KEY
 }
@@ -171,12 +171,12 @@
 ///
 /// # Errors
 ///
-/// The message is malformed, or of a version before TDS 7.2.
+/// The message is malformed, or its version is older than TDS 7.2.
 pub fn read_login(data: &[u8]) -> Result<Login, TdsError> {
     parse_login(data).map_err(|_| TdsError::Message("LOGIN7"))
 }
 
-/// Writes a LOGIN7 message.
+/// Encodes a LOGIN7 message.
 pub fn login(login: &Login) -> Vec<u8> {
     let fields = [
         utf16("sanddyke"), // host
--- a/src/tds/login/tests.rs
+++ b/src/tds/login/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of PRELOGIN and LOGIN7.
+//! Tests of PRELOGIN and LOGIN7 messages.
 
 use super::*;
 
--- a/src/tds/mod.rs
+++ b/src/tds/mod.rs
@@ -1,6 +1,7 @@
-//! TDS (MS-TDS), for the frontend as well as for connections to engines: packets, logins, values and tokens.
+//! The TDS protocol (MS-TDS), for client connections and for connections to engines: packets, logins, values and
+//! tokens.
 //!
-//! What is received is parsed with winnow; what is sent is written by hand.
+//! Input is parsed with winnow. Output is encoded without a library.
 
 pub mod login;
 pub mod packet;
@@ -13,29 +14,29 @@
 /// The result of a parser.
 pub type ParseResult<T> = Result<T, ContextError>;
 
-/// The most characters of a text whose length is written in one byte.
+/// The maximum length of text that is written as `B_VARCHAR`.
 const MAX_SHORT_TEXT_CHARS: usize = 120;
 
-/// Why received data could not be read.
+/// Why input is not valid TDS.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TdsError {
-    /// The header of a packet is invalid.
-    #[error("a packet's header can't be read")]
+    /// A packet header has an unknown message type, or a length that is shorter than the header.
+    #[error("invalid TDS packet header: unknown message type, or length below the header's 8 bytes")]
     PacketHeader,
     /// A message is longer than [`packet::MAX_MESSAGE_BYTES`].
-    #[error("a message is too long")]
+    #[error("TDS message exceeds the limit of {} bytes", packet::MAX_MESSAGE_BYTES)]
     MessageTooLong,
-    /// A message of this kind is malformed.
+    /// A message of this type is malformed. The text is sent to the client.
     #[error("a {0} can't be read")]
     Message(&'static str),
 }
 
-/// Encodes text as UTF-16, little endian: the form of all text in TDS.
+/// Encodes text as UTF-16, little endian, which TDS uses for names, statements and messages.
 pub fn utf16(text: &str) -> Vec<u8> {
     text.encode_utf16().flat_map(u16::to_le_bytes).collect()
 }
 
-/// Decodes text from UTF-16, little endian; `None` if it is invalid.
+/// Decodes UTF-16, little endian; `None` if the input is not valid UTF-16.
 pub fn from_utf16(bytes: &[u8]) -> Option<String> {
     if !bytes.len().is_multiple_of(2) {
         return None;
@@ -44,7 +45,7 @@
     String::from_utf16(&units).ok()
 }
 
-/// Writes text with its length in one byte (`B_VARCHAR`). Longer text is truncated.
+/// Writes text that is preceded by its length in one byte (`B_VARCHAR`). Text of more than 120 characters is truncated.
 pub fn put_short_text(out: &mut Vec<u8>, text: &str) {
     let truncated: String = text.chars().take(MAX_SHORT_TEXT_CHARS).collect();
     out.push(truncated.encode_utf16().count() as u8);
--- a/src/tds/packet.rs
+++ b/src/tds/packet.rs
@@ -1,68 +1,68 @@
-//! Packets, and the messages that they carry (MS-TDS 2.2.3).
+//! Reads and writes packets, and assembles messages from them (MS-TDS 2.2.3).
 
 use super::{ParseResult, TdsError};
 use bytes::{Buf, BytesMut};
 use winnow::Parser;
 use winnow::binary::{be_u8, be_u16};
 
-// Types of messages (MS-TDS 2.2.3.1.1).
+// Message types (MS-TDS 2.2.3.1.1).
 
-/// A batch of SQL.
+/// SQL batch.
 pub const SQL_BATCH: u8 = 0x01;
-/// A call of a procedure.
+/// Remote procedure call (RPC).
 pub const RPC: u8 = 0x03;
-/// A response (tabular result).
+/// Tabular result: the type of all responses.
 pub const RESULT: u8 = 0x04;
-/// An attention: the client cancels its request.
+/// Attention signal, with which a client cancels its request.
 pub const ATTENTION: u8 = 0x06;
-/// Bulk load data.
+/// Bulk load data. Recognised, but not supported.
 const BULK_LOAD: u8 = 0x07;
-/// A request to the transaction manager.
+/// Transaction manager request. Recognised, but not supported.
 const TRANSACTION_MANAGER: u8 = 0x0e;
-/// A login.
+/// LOGIN7.
 pub const LOGIN7: u8 = 0x10;
-/// A token of integrated authentication.
+/// SSPI token of integrated authentication. Recognised, but not supported.
 const SSPI: u8 = 0x11;
-/// The negotiation before a login.
+/// PRELOGIN: negotiates encryption before the login.
 pub const PRELOGIN: u8 = 0x12;
 
-// Bits of a packet's status (MS-TDS 2.2.3.1.2).
+// Status bits of a packet header (MS-TDS 2.2.3.1.2).
 const END_OF_MESSAGE: u8 = 0x01;
 const IGNORE: u8 = 0x02;
 
 const HEADER_BYTES: usize = 8;
-/// The size of the packets that are sent, which is the default of SQL Server.
+/// The maximum size of packets that are sent, which is SQL Server's default.
 pub const PACKET_BYTES: usize = 4096;
-/// The longest message that is read, from a client or an engine. A value of ours.
+/// The maximum size of a message that is read, from a client or an engine.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// A complete message.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The type.
+    /// The message type, such as [`SQL_BATCH`].
     pub kind: u8,
-    /// The data of its packets.
+    /// The data of all its packets, without their headers.
     pub data: Vec<u8>,
 }
 
-/// A packet.
+/// A complete packet.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// The type of its message.
+    /// The type of the message that the packet belongs to.
     pub kind: u8,
-    /// Whether it is the last of its message.
+    /// Whether the packet is the last of its message.
     pub last: bool,
-    /// Whether its message is to be ignored.
+    /// Whether the message must be ignored. Valid only in the last packet.
     pub ignore: bool,
-    /// The data.
+    /// The data, without the header.
     pub data: BytesMut,
 }
 
-/// A packet's header, as far as it is used.
+/// The fields of a packet header that are used.
 struct Header {
     kind: u8,
     status: u8,
-    /// The length of the packet, with the header.
+    /// The length of the packet, including the header.
     length: usize,
 }
 
@@ -85,7 +85,7 @@
     Ok(Header { kind, status, length: usize::from(length) })
 }
 
-/// Takes the next packet off the front of what was received; `None` if it is not complete yet.
+/// Removes the next packet from the front of the receive buffer; `None` if it is incomplete.
 ///
 /// # Errors
 ///
@@ -115,11 +115,12 @@
 }
 
 impl Messages {
-    /// Takes the next complete message off the front of what was received; `None` if there is none yet.
+    /// Removes packets from the front of the receive buffer up to the end of the next message, and returns the message;
+    /// `None` if the message is incomplete. Messages that must be ignored are skipped.
     ///
     /// # Errors
     ///
-    /// A packet's header is invalid, or the message is too long.
+    /// A packet header is invalid, or the message exceeds [`MAX_MESSAGE_BYTES`].
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Message>, TdsError> {
         while let Some(packet) = next_packet(buffer)? {
             let mut message = self.message_of(packet.kind);
@@ -136,19 +137,19 @@
         Ok(None)
     }
 
-    /// The message that a packet of this type belongs to. An attention may be sent in the middle of another message,
-    /// which is discarded then.
+    /// Returns the message that a packet of this type belongs to. A client may send an Attention in the middle of
+    /// another message, whose packets are then dropped.
     fn message_of(&mut self, kind: u8) -> Message {
         let incomplete = self.incomplete.take().filter(|message| message.kind == kind);
         incomplete.unwrap_or(Message { kind, data: Vec::new() })
     }
 }
 
-/// Writes a message as packets.
+/// Encodes a message as packets of at most [`PACKET_BYTES`].
 pub fn message(kind: u8, data: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(data.len() + HEADER_BYTES * (1 + data.len() / PACKET_BYTES));
     let parts: Vec<&[u8]> = data.chunks(PACKET_BYTES - HEADER_BYTES).collect();
-    // A message without data has one packet all the same.
+    // A message without data consists of one empty packet.
     let parts: &[&[u8]] = if parts.is_empty() { &[&[]] } else { &parts };
     for (index, part) in parts.iter().enumerate() {
         let last = index + 1 == parts.len();
--- a/src/tds/packet/tests.rs
+++ b/src/tds/packet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of packets and messages.
+//! Tests of how messages are assembled from packets.
 
 use super::*;
 
--- a/src/tds/token/mod.rs
+++ b/src/tds/token/mod.rs
@@ -1,4 +1,4 @@
-//! Tokens of responses (MS-TDS 2.2.7), and the contents of batches and calls.
+//! Reads and writes the tokens of responses (MS-TDS 2.2.7) and the data of SQL batches and RPC calls.
 
 mod request;
 mod response_reader;
@@ -15,14 +15,14 @@
 const INFO: u8 = 0xab;
 const LOGINACK: u8 = 0xad;
 const ROW: u8 = 0xd1;
-/// A row with a bitmap of its null values.
+/// A row with null bitmap compression: a bitmap marks null values, which are not sent.
 const NBCROW: u8 = 0xd2;
 const ENVCHANGE: u8 = 0xe3;
 const DONE: u8 = 0xfd;
 const DONEPROC: u8 = 0xfe;
 const DONEINPROC: u8 = 0xff;
 
-// Bits of a DONE token's status (MS-TDS 2.2.7.6).
+// Status bits of DONE, DONEPROC and DONEINPROC (MS-TDS 2.2.7.6).
 const DONE_MORE: u16 = 0x01;
 const DONE_ERROR: u16 = 0x02;
 const DONE_COUNT: u16 = 0x10;
--- a/src/tds/token/request.rs
+++ b/src/tds/token/request.rs
@@ -1,4 +1,4 @@
-//! The contents of batches and calls.
+//! Reads and writes the data of SQL batches, and reads that of RPC calls.
 
 use super::response_reader::parse_short_text;
 use crate::sql::{self, Binding};
@@ -10,27 +10,27 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
-/// The most parameters that are read. A value of ours.
+/// The maximum number of parameters of an RPC call.
 const MAX_PARAMETERS: usize = 256;
-/// The length of a procedure's name that says that its number follows instead.
+/// The length of a procedure's name that means that a procedure number follows instead (`ProcIDSwitch`).
 const PROCEDURE_BY_NUMBER: u16 = 0xffff;
-/// The number of `sp_executesql`.
+/// The procedure number of `sp_executesql`.
 const SP_EXECUTESQL: u16 = 10;
-/// The type of the transaction descriptor header, which every batch has to have.
+/// The type of the transaction descriptor header, which is mandatory in SQL batches.
 const TRANSACTION_HEADER: u16 = 2;
-/// The length of that header.
+/// The length of the transaction descriptor header.
 const TRANSACTION_HEADER_BYTES: u32 = 18;
-/// The length of all headers, with the length itself.
+/// The total length of the headers, including this length field.
 const HEADERS_BYTES: u32 = 4 + TRANSACTION_HEADER_BYTES;
 
-/// Skips the headers before the contents of a request (ALL_HEADERS, MS-TDS 2.2.5.3).
+/// Skips the headers that precede the data of a request (ALL_HEADERS, MS-TDS 2.2.5.3).
 fn skip_headers(input: &mut &[u8]) -> ParseResult<()> {
     let length = le_u32.parse_next(input)? as usize;
     let rest = length.checked_sub(size_of::<u32>()).ok_or_else(ContextError::new)?;
     take(rest).void().parse_next(input)
 }
 
-/// Reads the statement of a batch (MS-TDS 2.2.6.7).
+/// Reads the statement of a SQL batch (MS-TDS 2.2.6.7).
 ///
 /// # Errors
 ///
@@ -61,7 +61,7 @@
     Ok(Parameter { name, value })
 }
 
-/// Whether the procedure that is called, by its number or its name, is `sp_executesql`.
+/// Reads the procedure that is called, by number or by name. Returns whether it is `sp_executesql`.
 fn parse_is_executesql(input: &mut &[u8]) -> ParseResult<bool> {
     match le_u16.parse_next(input)? {
         PROCEDURE_BY_NUMBER => Ok(le_u16.parse_next(input)? == SP_EXECUTESQL),
@@ -80,7 +80,8 @@
     if !is_executesql || !input.is_empty() {
         return Err(ContextError::new());
     }
-    // The first parameter is the statement, the second declares the others.
+    // The first parameter is the statement, the second declares the statement's parameters, the others are their
+    // values.
     let mut parameters = parameters.into_iter();
     let statement = parameters.next().and_then(|parameter| parameter.value.into_text());
     let statement = statement.ok_or_else(ContextError::new)?;
@@ -88,16 +89,17 @@
     Ok(sql::bind(&statement, &bindings))
 }
 
-/// Reads a call of `sp_executesql` (MS-TDS 2.2.6.6): its statement, with literals in place of its parameters.
+/// Reads an RPC call of `sp_executesql` (MS-TDS 2.2.6.6). Returns its statement, in which literals replace the
+/// parameters.
 ///
 /// # Errors
 ///
-/// The call is malformed, has a value of an unknown type, or is of another procedure.
+/// The call is malformed, has a value of an unsupported type, or calls another procedure.
 pub fn read_call(data: &[u8]) -> Result<String, TdsError> {
     parse_call(&mut &data[..]).map_err(|_| TdsError::Message("call of sp_executesql"))
 }
 
-/// Writes a batch, with the headers that it needs.
+/// Encodes a SQL batch with the mandatory headers.
 pub fn batch(statement: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADERS_BYTES as usize + statement.len() * 2);
     out.extend(HEADERS_BYTES.to_le_bytes());
--- a/src/tds/token/response_reader.rs
+++ b/src/tds/token/response_reader.rs
@@ -13,57 +13,57 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
-/// The most columns that are read. A value of ours.
+/// The maximum number of columns in a result.
 const MAX_COLUMNS: u16 = 256;
-/// The count of columns that says that there is no metadata.
+/// The column count that means that the token has no metadata (`NoMetaData`).
 const NO_METADATA: u16 = 0xffff;
 
 /// A column of a result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Column {
-    /// The name.
+    /// The name; empty if the engine sent none.
     pub name: String,
-    /// The type of its values.
+    /// The type of the column's values.
     pub value_type: ValueType,
 }
 
-/// A token of a response, as an engine sends it.
+/// A token of an engine's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Token {
-    /// The columns.
+    /// COLMETADATA: the columns of the rows that follow.
     Columns(Vec<Column>),
-    /// A row.
+    /// ROW or NBCROW: one row.
     Row(Row),
-    /// An error.
+    /// ERROR.
     Error {
-        /// The number.
+        /// The error number.
         number: u32,
-        /// The text.
+        /// The error text.
         text: String,
     },
-    /// A message that is no error.
+    /// INFO: a message that reports no error.
     Info {
-        /// The number.
+        /// The message number.
         number: u32,
-        /// The text.
+        /// The message text.
         text: String,
     },
-    /// The login was granted.
+    /// LOGINACK: the login succeeded.
     LoginAck,
-    /// A statement has ended.
+    /// DONE, DONEPROC or DONEINPROC: a statement has completed.
     Done {
-        /// More results follow.
+        /// Whether more results follow (`DONE_MORE`).
         more: bool,
-        /// It failed.
+        /// Whether the statement failed (`DONE_ERROR`).
         error: bool,
-        /// It acknowledges an attention.
+        /// Whether the token acknowledges an Attention (`DONE_ATTN`).
         attention: bool,
     },
-    /// A token that is ignored.
+    /// ENVCHANGE, ORDER or RETURNSTATUS, whose data is ignored.
     Other,
 }
 
-/// The part that ERROR and INFO have in common, as far as it is used.
+/// The fields of ERROR and INFO that are used. Both tokens have the same layout.
 struct ServerMessage {
     number: u32,
     text: String,
@@ -79,7 +79,7 @@
     Ok(ServerMessage { number, text })
 }
 
-/// Reads text with its length in one byte.
+/// Reads text that is preceded by its length in one byte (`B_VARCHAR`).
 pub(super) fn parse_short_text(input: &mut &[u8]) -> ParseResult<String> {
     let count = le_u8.parse_next(input)?;
     let text: &[u8] = take(usize::from(count) * 2).parse_next(input)?;
@@ -103,7 +103,7 @@
     repeat(usize::from(count), column).parse_next(input)
 }
 
-/// Reads a row. `null_bitmap` has a bit for each column whose value is null, or is empty.
+/// Reads the values of a row. `null_bitmap` is that of NBCROW, with a bit set for each null; it is empty for ROW.
 fn parse_row(columns: &[Column], null_bitmap: &[u8], input: &mut &[u8]) -> ParseResult<Row> {
     let mut row = Row::with_capacity(columns.len());
     for (index, column) in columns.iter().enumerate() {
@@ -113,11 +113,11 @@
     Ok(row)
 }
 
-/// Reads the next token. `columns` are those of the last [`Token::Columns`].
+/// Reads the next token. `columns` are the columns of the last [`Token::Columns`].
 ///
 /// # Errors
 ///
-/// The token is unknown, malformed, or not complete yet.
+/// The token is unknown or malformed, or the input is incomplete.
 pub fn read(columns: &[Column], input: &mut &[u8]) -> ParseResult<Token> {
     match le_u8.parse_next(input)? {
         COLMETADATA => parse_columns(input).map(Token::Columns),
--- a/src/tds/token/response_writer.rs
+++ b/src/tds/token/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the tokens of a response.
+//! Writes responses as sequences of tokens.
 
 use super::{
     COLMETADATA, DONE, DONE_ATTN, DONE_COUNT, DONE_ERROR, DONEPROC, ENVCHANGE, ERROR, LOGINACK, RETURNSTATUS,
@@ -9,36 +9,36 @@
 use crate::tds::value::{self, TextLength};
 use crate::tds::{put_short_text, utf16};
 
-/// The command of a DONE token, where it is a SELECT.
+/// The `CurCmd` of a DONE token for a SELECT.
 const COMMAND_SELECT: u16 = 0xc1;
-/// The longest text of an error, in characters. A value of ours.
+/// The maximum length of an error's text. Longer text is truncated.
 const MAX_ERROR_CHARS: usize = 1000;
-/// The state of an error, which is the server's own choice.
+/// The `State` of an error. MS-TDS leaves its value to the server.
 const ERROR_STATE: u8 = 1;
 /// The name of the server in errors and login acknowledgements.
 const SERVER_NAME: &str = "sanddyke";
-/// A column that may be null and updated (`fNullable` and `usUpdateable` of MS-TDS 2.2.7.4).
+/// Column flags of MS-TDS 2.2.7.4: `fNullable`, and `usUpdateable` with the value 2.
 const COLUMN_FLAGS: [u8; 2] = [0x09, 0];
-/// Changes of the session (MS-TDS 2.2.7.9): the database, and the size of packets.
+/// ENVCHANGE types (MS-TDS 2.2.7.9) for the database and the packet size.
 const ENV_DATABASE: u8 = 1;
 const ENV_PACKET_BYTES: u8 = 4;
-/// The database of a session before its login.
+/// The old database in the ENVCHANGE of a login.
 const INITIAL_DATABASE: &str = "master";
-/// The T-SQL interface, TDS 7.4 (big endian here), and the program's version.
+/// Fields of LOGINACK: the T-SQL interface, TDS version 7.4 (big endian in this token), and the server's version 16.0.
 const INTERFACE_SQL: u8 = 1;
 const TDS_74: [u8; 4] = [0x74, 0, 0, 0x04];
 const SERVER_VERSION: [u8; 4] = [16, 0, 0, 0];
 
-/// What a response is to; this decides on the tokens at its end.
+/// The type of the request that a response answers. It determines the tokens that end the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// A batch.
+    /// A SQL batch: the response ends with DONE.
     Batch,
-    /// A call of a procedure.
+    /// An RPC call: the response ends with RETURNSTATUS and DONEPROC.
     Call,
 }
 
-/// Writes the end of a response.
+/// Writes the tokens that end a response.
 fn put_done(out: &mut Vec<u8>, kind: ResponseKind, status: u16, rows: u64) {
     match kind {
         ResponseKind::Batch => out.push(DONE),
@@ -54,14 +54,14 @@
     out.extend(rows.to_le_bytes());
 }
 
-/// Writes a token with its length.
+/// Writes a token whose data is preceded by its length.
 fn put_token(out: &mut Vec<u8>, token: u8, data: &[u8]) {
     out.push(token);
     out.extend((data.len() as u16).to_le_bytes());
     out.extend(data);
 }
 
-/// A response with a complete result.
+/// Encodes a response with a complete result. A result without columns consists of the final tokens only.
 pub fn table(kind: ResponseKind, table: &Table) -> Vec<u8> {
     let mut out = Vec::new();
     let lengths = column_lengths(table);
@@ -79,7 +79,7 @@
     out
 }
 
-/// Which length each column's type has to allow, by its longest text.
+/// Returns the length limit of each column's type, as its longest text requires.
 fn column_lengths(table: &Table) -> Vec<TextLength> {
     let widest_row = table.rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = widest_row.max(table.columns.len());
@@ -102,7 +102,7 @@
     }
 }
 
-/// A response with an error.
+/// Encodes a response that consists of an error.
 pub fn error(kind: ResponseKind, number: u32, severity: u8, text: &str) -> Vec<u8> {
     let text: String = text.chars().take(MAX_ERROR_CHARS).collect();
     let mut data = Vec::new();
@@ -119,7 +119,7 @@
     out
 }
 
-/// The acknowledgement of an attention.
+/// Encodes the acknowledgement of an Attention: a DONE token with `DONE_ATTN`.
 pub fn attention_done() -> Vec<u8> {
     let mut out = Vec::new();
     put_done(&mut out, ResponseKind::Batch, DONE_ATTN, 0);
@@ -133,7 +133,7 @@
     put_token(out, ENVCHANGE, &data);
 }
 
-/// The response to a login that is granted.
+/// Encodes the response to a successful login.
 pub fn login_ack(database: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put_env_change(&mut out, ENV_DATABASE, database, INITIAL_DATABASE);
--- a/src/tds/token/tests.rs
+++ b/src/tds/token/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of tokens, batches and calls.
+//! Tests of tokens, SQL batches and RPC calls.
 
 use super::*;
 use crate::core::{Row, Table};
--- a/src/tds/value.rs
+++ b/src/tds/value.rs
@@ -1,4 +1,4 @@
-//! Values and their types (MS-TDS 2.2.5.4). Types that neither clients nor engines use are rejected.
+//! Reads and writes values and their types (MS-TDS 2.2.5.4). Types that neither clients nor engines use are rejected.
 
 use super::{ParseResult, from_utf16, utf16};
 use winnow::Parser;
@@ -6,7 +6,7 @@
 use winnow::error::ContextError;
 use winnow::token::take;
 
-// Types of variable length (MS-TDS 2.2.5.4.2).
+// Variable-length types (MS-TDS 2.2.5.4.2).
 const NVARCHAR: u8 = 0xe7;
 const NCHAR: u8 = 0xef;
 const VARCHAR: u8 = 0xa7;
@@ -15,7 +15,7 @@
 const BITN: u8 = 0x68;
 const FLTN: u8 = 0x6d;
 
-// Types of fixed length (MS-TDS 2.2.5.4.1).
+// Fixed-length types (MS-TDS 2.2.5.4.1).
 const INT1: u8 = 0x30;
 const BIT: u8 = 0x32;
 const INT2: u8 = 0x34;
@@ -24,37 +24,39 @@
 const FLT8: u8 = 0x3e;
 const INT8: u8 = 0x7f;
 
-/// The length of a type without a limit, and of a null of a type with one.
+/// As the length of a type, it marks a type without a limit (`max`). As the length of a value, it marks a null
+/// (`CHARBIN_NULL`).
 const NO_LENGTH: u16 = 0xffff;
-/// The length of a null of a type without a limit.
+/// The length that marks a null of a type without a limit. Values of such types are sent as partially length-prefixed
+/// (PLP) data.
 const NO_LONG_LENGTH: u64 = u64::MAX;
-/// The collation of the text that is written: `SQL_Latin1_General_CP1_CI_AS`.
+/// The collation of the columns that are written, `SQL_Latin1_General_CP1_CI_AS`.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
-/// The longest text of a type with a limit.
+/// The maximum size of text of a type with a limit.
 const MAX_LIMITED_BYTES: usize = 8000;
-/// The longest value that is read. A value of ours.
+/// The maximum size of a PLP value that is read.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// The encoding of text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TextEncoding {
-    /// UTF-16.
+    /// UTF-16, little endian.
     Utf16,
-    /// Bytes, which are read as UTF-8.
+    /// Single-byte text. It is read as UTF-8, whatever its collation.
     Bytes,
 }
 
-/// The length that a type of text allows. Values are written in different forms for the two.
+/// The length limit of a text type. Values with and without a limit are encoded differently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TextLength {
     /// At most 8000 bytes.
     Limited,
-    /// Any length.
+    /// No limit (`max`); values are PLP data.
     Unlimited,
 }
 
 impl TextLength {
-    /// The length that a type needs for a text of this many bytes.
+    /// Returns the limit of a type that can hold text of this many bytes.
     pub fn for_bytes(bytes: usize) -> TextLength {
         if bytes > MAX_LIMITED_BYTES { TextLength::Unlimited } else { TextLength::Limited }
     }
@@ -65,30 +67,30 @@
 pub enum ValueType {
     /// Text.
     Text {
-        /// Its encoding.
+        /// The encoding of values.
         encoding: TextEncoding,
-        /// The length that it may have.
+        /// The length limit of values.
         length: TextLength,
     },
-    /// An integer, a bit or a float, with its length before it.
+    /// An integer, a bit or a float of variable length, by its type byte. A length byte precedes each value.
     Number(u8),
-    /// An integer, a bit or a float of fixed length.
+    /// An integer, a bit or a float of fixed length, by its type byte.
     Fixed(u8),
 }
 
-/// A value.
+/// A decoded value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
     /// A null.
     Null,
     /// Text.
     Text(String),
-    /// A number, as text.
+    /// A number in decimal notation.
     Number(String),
 }
 
 impl Value {
-    /// The value as text; `None` for a null.
+    /// Returns the value as text; `None` for a null.
     pub fn into_text(self) -> Option<String> {
         match self {
             Value::Null => None,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The value as a literal of SQL.
+    /// Returns the value as an SQL literal.
     pub fn literal(&self) -> String {
         match self {
             Value::Null => "NULL".to_owned(),
@@ -110,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The type is unknown, or not complete yet.
+/// The type is not supported, or the input is incomplete.
 pub fn read_type(input: &mut &[u8]) -> ParseResult<ValueType> {
     let kind = byte.parse_next(input)?;
     match kind {
@@ -130,7 +132,7 @@
     }
 }
 
-/// Reads a number of `length` bytes; `kind` is its type of variable length.
+/// Reads a number of `length` bytes. `kind` is its variable-length type.
 fn parse_number(kind: u8, length: u8, input: &mut &[u8]) -> ParseResult<Value> {
     let text = match (kind, length) {
         (_, 0) => return Ok(Value::Null),
@@ -157,7 +159,7 @@
 ///
 /// # Errors
 ///
-/// The value is malformed, too long, or not complete yet.
+/// The value is malformed or too long, or the input is incomplete.
 pub fn read(value_type: ValueType, input: &mut &[u8]) -> ParseResult<Value> {
     match value_type {
         ValueType::Text { encoding, length: TextLength::Limited } => match le_u16.parse_next(input)? {
@@ -180,7 +182,7 @@
     }
 }
 
-/// Reads text of a type without a limit: its length, which may be unknown, then parts up to an empty one.
+/// Reads PLP text: a total length, which may be unknown and is not checked, then chunks. An empty chunk terminates it.
 fn parse_unlimited_text(encoding: TextEncoding, input: &mut &[u8]) -> ParseResult<Value> {
     if le_u64.parse_next(input)? == NO_LONG_LENGTH {
         return Ok(Value::Null);
@@ -199,7 +201,7 @@
     }
 }
 
-/// Writes the type of a column of text.
+/// Writes the type of a text column, `nvarchar` with the given length limit.
 pub fn put_text_type(out: &mut Vec<u8>, length: TextLength) {
     let length = match length {
         TextLength::Limited => MAX_LIMITED_BYTES as u16,
@@ -210,7 +212,7 @@
     out.extend(COLLATION);
 }
 
-/// Writes a value of such a column; `None` is a null.
+/// Writes a value of a column whose type [`put_text_type`] has written; `None` is a null.
 pub fn put_text(out: &mut Vec<u8>, length: TextLength, text: Option<&str>) {
     match (length, text.map(utf16)) {
         (TextLength::Limited, None) => out.extend(NO_LENGTH.to_le_bytes()),
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -1,4 +1,4 @@
-//! Maps a login to its tenant: by the database that it names, or by an LDAP directory.
+//! Maps a TDS login to its tenant, by the database name in the login or by an LDAP directory.
 
 use crate::tds::login::Login;
 use crate::tenants::KnownTenants;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// An LDAP directory must answer a login within this time. A value of ours.
+/// The maximum time of an LDAP lookup. A login is denied after it.
 const LDAP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where users are looked up.
@@ -37,62 +37,65 @@
     "o".to_owned()
 }
 
-/// Why a login is denied. This is logged, and not sent to the client.
+/// Why a login is denied. The reason is logged, but not sent to the client.
 #[derive(Debug, Error)]
 pub enum LoginError {
     /// There is no such tenant.
-    #[error("database {tenant:?} is no tenant")]
+    #[error("unknown tenant {tenant:?}")]
     UnknownTenant {
-        /// The tenant that the login names, or that the directory names for it.
+        /// The tenant, from the login's database or from the LDAP directory.
         tenant: String,
     },
-    /// The name or the password is empty. A directory would grant such a bind as unauthenticated (RFC 4513, 5.1.2).
-    #[error("user {user:?} gave no name or no password")]
+    /// The user name or the password is empty. An LDAP directory would accept such a bind as unauthenticated (RFC 4513,
+    /// 5.1.2).
+    #[error("user {user:?}: the user name or the password is empty")]
     EmptyCredentials {
-        /// The user.
+        /// The user name.
         user: String,
     },
-    /// The directory denied the bind, or the search failed.
-    #[error("user {user:?}: the directory says: {source}")]
+    /// The LDAP directory rejected the bind, the search failed, or the lookup timed out.
+    #[error("user {user:?}: LDAP bind or search failed: {source}")]
     Ldap {
-        /// The user.
+        /// The user name.
         user: String,
-        /// What failed.
+        /// The error of the LDAP client.
         source: LdapError,
     },
-    /// The directory does not have one entry for the user that names one tenant.
-    #[error("user {user:?}: {entries} entries name {tenants} tenants")]
+    /// The LDAP search did not find exactly one entry with exactly one tenant.
+    #[error(
+        "user {user:?}: expected one LDAP entry with one tenant, found {entries} entries with {tenants} tenants"
+    )]
     AmbiguousEntry {
-        /// The user.
+        /// The user name.
         user: String,
-        /// How many entries match the user.
+        /// The number of entries found.
         entries: usize,
-        /// How many tenants they name.
+        /// The number of tenants in these entries.
         tenants: usize,
     },
-    /// The login names another tenant than the user's.
-    #[error("user {user:?} of {tenant:?} asked for {requested:?}")]
+    /// The login's database is not the user's tenant.
+    #[error("user {user:?}: the login names database {requested:?}, but the user's tenant is {tenant:?}")]
     OtherTenant {
-        /// The user.
+        /// The user name.
         user: String,
         /// The user's tenant.
         tenant: String,
-        /// The tenant that the login names.
+        /// The database that the login names.
         requested: String,
     },
 }
 
-/// How the tenant of a login is found.
+/// The source of the tenant of a login.
 #[derive(Debug, Clone)]
 pub enum Directory {
-    /// The login's database is the tenant. The password is not checked.
+    /// The database in the login names the tenant. The password is not checked.
     Database(KnownTenants),
-    /// An LDAP directory checks the password, and its entry for the user names the tenant.
+    /// An LDAP directory verifies the password, and the user's entry names the tenant.
     Ldap(Ldap, KnownTenants),
 }
 
 impl Directory {
-    /// The tenant of a login.
+    /// Returns the tenant of a login.
     ///
     /// # Errors
     ///
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Binds as the user, and searches for the user's entries.
+    /// Binds as the user and searches for the user's entries.
     async fn find_entries(&self, user: &str, password: &str) -> Result<Vec<SearchEntry>, LdapError> {
         let settings = LdapConnSettings::new().set_conn_timeout(LDAP_TIMEOUT);
         let (connection, mut ldap) = LdapConnAsync::with_settings(settings, &self.url).await?;
