--- a/src/frontend/tds/mod.rs
+++ b/src/frontend/tds/mod.rs
@@ -36,7 +36,7 @@
     /// The time budget of a request without a `ttl_ms` hint.
     pub default_time_budget: Micros,
     /// The seed of the generated client request ids. It differs between runs of the program.
-    pub name_seed: u64,
+    pub client_request_id_seed: u64,
     /// The number of the next request, from which its client request id is derived.
     pub next_request: AtomicU64,
 }
--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -132,7 +132,7 @@
     /// makes those of different runs differ.
     fn next_name(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let name = self.name_seed ^ number.wrapping_mul(NAME_FACTOR);
+        let name = self.client_request_id_seed ^ number.wrapping_mul(NAME_FACTOR);
         format!("{name:016x}")
     }
 }
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -79,7 +79,7 @@
             tls: settings.tls,
             default_class: settings.class,
             default_time_budget: settings.budget,
-            name_seed: seed,
+            client_request_id_seed: seed,
             next_request: AtomicU64::new(1),
         };
         let max_connections = self.descriptors.max_tds_connections();
