--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -54,7 +54,7 @@
         backlog = backlog.map(|length| length - 1);
         match accepted {
             Ok((stream, _)) => acceptor.open(stream).await,
-            Err(error) => acceptor.recover(&error).await,
+            Err(error) => acceptor.handle_accept_error(&error).await,
         }
     }
 }
@@ -94,14 +94,14 @@
 
     /// Handles a failed accept(2). Evicts a connection if resources are exhausted, which frees a descriptor at once. An
     /// error of the connection that was being accepted evicts none.
-    async fn recover(&self, error: &io::Error) {
+    async fn handle_accept_error(&self, error: &io::Error) {
         let listener_name = self.listener_name;
-        if is_of_one_connection(error) {
+        if affects_one_connection(error) {
             log::debug!("{listener_name} connection failed before it was accepted: {error}");
             return;
         }
         log::error!("cannot accept a {listener_name} connection: {error}");
-        if is_short_of_resources(error) {
+        if is_resource_exhaustion(error) {
             self.slots.evict_one();
         }
         tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
@@ -110,7 +110,7 @@
 
 /// Whether accept(2) reports an error of the connection that it would have returned. Such an error does not affect the
 /// next connection.
-fn is_of_one_connection(error: &io::Error) -> bool {
+fn affects_one_connection(error: &io::Error) -> bool {
     let kinds = [
         io::ErrorKind::ConnectionAborted,
         io::ErrorKind::ConnectionReset,
@@ -125,7 +125,7 @@
 
 /// Whether accept(2) failed because descriptors or memory are exhausted. Such an error affects every waiting
 /// connection.
-fn is_short_of_resources(error: &io::Error) -> bool {
+fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
 }
 
--- a/src/frontend/accept/tests.rs
+++ b/src/frontend/accept/tests.rs
@@ -11,12 +11,12 @@
 #[rstest]
 #[case::aborted(ECONNABORTED, false)]
 #[case::protocol_error(EPROTO, false)]
-#[case::no_resource(EINVAL, false)]
+#[case::invalid_argument(EINVAL, false)]
 #[case::no_descriptor(EMFILE, true)]
 #[case::no_descriptor_in_the_system(ENFILE, true)]
 #[case::no_buffer(ENOBUFS, true)]
 #[tokio::test]
-async fn a_connection_is_evicted_only_where_a_resource_is_short(#[case] errno: i32, #[case] evicted: bool) {
+async fn a_connection_is_evicted_only_if_resources_are_exhausted(#[case] errno: i32, #[case] evicted: bool) {
     let slots = ConnectionSlots::new(4);
     let permit = slots.acquire().expect("a free slot");
     let (alive, ended) = oneshot::channel::<()>();
@@ -30,7 +30,7 @@
         slots,
         serve: |_: TcpStream, _: ConnectionPermit| std::future::ready(Ok(())),
     };
-    acceptor.recover(&io::Error::from_raw_os_error(errno)).await;
-    let is_over = tokio::time::timeout(ACCEPT_ERROR_PAUSE, ended).await.is_ok();
-    assert_eq!(is_over, evicted);
+    acceptor.handle_accept_error(&io::Error::from_raw_os_error(errno)).await;
+    let task_ended = tokio::time::timeout(ACCEPT_ERROR_PAUSE, ended).await.is_ok();
+    assert_eq!(task_ended, evicted);
 }
--- a/src/frontend/connection_table.rs
+++ b/src/frontend/connection_table.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy)]
 enum ConnectionState {
     /// The last response was sent, and the connection is being closed.
-    Ending,
+    Closing,
     /// The connection was accepted, and no complete request has been received.
-    Silent,
+    AwaitingFirstRequest,
     /// The last request was answered, and another may follow.
     Idle,
     /// A request was received, and its response is pending.
@@ -25,7 +25,7 @@
 }
 
 /// The number of states of a connection.
-const STATES: usize = 4;
+const STATE_COUNT: usize = 4;
 
 #[derive(Debug)]
 struct Connection {
@@ -41,7 +41,7 @@
     last_id: u64,
     connections: HashMap<u64, Connection>,
     /// For each state, its connections ordered by the time at which they entered it, the oldest first.
-    by_age: [BTreeSet<(Instant, u64)>; STATES],
+    by_age: [BTreeSet<(Instant, u64)>; STATE_COUNT],
 }
 
 impl ConnectionTable {
@@ -70,10 +70,10 @@
     /// Selects the connection to evict among those without a pending response. Connections that may have a request in
     /// transit come last.
     fn eviction_candidate(&self, now: Instant) -> Option<u64> {
-        self.oldest(ConnectionState::Ending, Duration::ZERO, now)
-            .or_else(|| self.oldest(ConnectionState::Silent, REQUEST_TRANSIT_TIME, now))
+        self.oldest(ConnectionState::Closing, Duration::ZERO, now)
+            .or_else(|| self.oldest(ConnectionState::AwaitingFirstRequest, REQUEST_TRANSIT_TIME, now))
             .or_else(|| self.oldest(ConnectionState::Idle, REQUEST_TRANSIT_TIME, now))
-            .or_else(|| self.oldest(ConnectionState::Silent, Duration::ZERO, now))
+            .or_else(|| self.oldest(ConnectionState::AwaitingFirstRequest, Duration::ZERO, now))
             .or_else(|| self.oldest(ConnectionState::Idle, Duration::ZERO, now))
     }
 
@@ -118,7 +118,7 @@
         if full && !table.evict_one() {
             return None;
         }
-        let id = table.add(ConnectionState::Silent, Instant::now());
+        let id = table.add(ConnectionState::AwaitingFirstRequest, Instant::now());
         Some(ConnectionPermit { id, table: self.table.clone() })
     }
 
@@ -160,7 +160,7 @@
 
     /// Records that the last response was sent. Such a connection is evicted first.
     pub fn ending(&self) {
-        lock(&self.table).set_state(self.id, ConnectionState::Ending);
+        lock(&self.table).set_state(self.id, ConnectionState::Closing);
     }
 }
 
--- a/src/frontend/connection_table/tests.rs
+++ b/src/frontend/connection_table/tests.rs
@@ -10,11 +10,11 @@
     let mut table = ConnectionTable::default();
     let _busy = table.add(ConnectionState::Busy, start);
     let idle = table.add(ConnectionState::Idle, start + ms(400));
-    let silent = table.add(ConnectionState::Silent, start + ms(450));
-    let new_silent = table.add(ConnectionState::Silent, start + ms(900));
+    let awaiting = table.add(ConnectionState::AwaitingFirstRequest, start + ms(450));
+    let new_awaiting = table.add(ConnectionState::AwaitingFirstRequest, start + ms(900));
     let new_idle = table.add(ConnectionState::Idle, start + ms(950));
-    let ending = table.add(ConnectionState::Ending, start + ms(999));
-    for expected in [ending, silent, idle, new_silent, new_idle] {
+    let closing = table.add(ConnectionState::Closing, start + ms(999));
+    for expected in [closing, awaiting, idle, new_awaiting, new_idle] {
         assert_eq!(table.eviction_candidate(start + ms(1000)), Some(expected));
         table.remove(expected);
     }
--- a/src/frontend/http/connection.rs
+++ b/src/frontend/http/connection.rs
@@ -3,7 +3,7 @@
 use super::Http;
 use super::message::{self, Request, RequestError, Response};
 use super::reader::{IDLE_TIMEOUT, READ_TIMEOUT, first_request_deadline, read_request};
-use super::responses::unusable;
+use super::responses::error_response;
 use crate::core::{Answer, IncomingRequest, Input};
 use crate::frontend::{ConnectionPermit, linger};
 use bytes::BytesMut;
@@ -16,11 +16,11 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The maximum input that is buffered while a response is pending.
 ///
-/// Input beyond it is dropped. Reading goes on at this many bytes per [`AHEAD_PAUSE`], so that the client's close is
-/// detected behind the input, and a client that never stops sending uses little CPU time.
-const MAX_AHEAD_BYTES: usize = 64 * 1024;
+/// Input beyond it is dropped. Reading goes on at this many bytes per [`PIPELINED_INPUT_PAUSE`], so that the client's
+/// close is detected behind the input, and a client that never stops sending uses little CPU time.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 /// The pause after each read whose input is dropped.
-const AHEAD_PAUSE: Duration = Duration::from_millis(10);
+const PIPELINED_INPUT_PAUSE: Duration = Duration::from_millis(10);
 /// The initial capacity of a connection's receive buffer.
 const BUFFER_BYTES: usize = 4096;
 
@@ -97,7 +97,7 @@
                 let Some(response) = frontend.route(self, &request).await else { return Ok(None) };
                 response
             }
-            Err(error) => unusable(error.status(), &error.to_string()),
+            Err(error) => error_response(error.status(), &error.to_string()),
         };
         // On `Connection: close`, the platform's clients reconnect to a manager that accepts connections.
         let close = close || self.dropped_input || !frontend.lifecycle.keeps_idle_connections();
@@ -108,16 +108,16 @@
 
     /// Submits a request and waits for its answer; `None` if the client disconnected first.
     pub(super) async fn submit(&mut self, frontend: &Http, request: IncomingRequest) -> Option<Response> {
-        let name = request.name.clone();
+        let client_request_id = request.name.clone();
         let Ok(mut submitted) = frontend.service.submit(request).await else {
-            return Some(frontend.response(&name, Answer::Failed(None)));
+            return Some(frontend.response(&client_request_id, Answer::Failed(None)));
         };
         loop {
             tokio::select! {
                 answer = &mut submitted.answer => {
                     // The sender is dropped without an answer only when the service has stopped.
                     let answer = answer.unwrap_or(Answer::Failed(None));
-                    return Some(frontend.response(&name, answer));
+                    return Some(frontend.response(&client_request_id, answer));
                 }
                 read = self.stream.read_buf(&mut self.buffer) => {
                     // The client closed the connection, which cancels its request.
@@ -132,13 +132,13 @@
         }
     }
 
-    /// Drops the input that exceeds [`MAX_AHEAD_BYTES`], and all input after it.
+    /// Drops the input that exceeds [`MAX_PIPELINED_BYTES`], and all input after it.
     async fn limit_input(&mut self) {
-        self.dropped_input |= self.buffer.len() > MAX_AHEAD_BYTES;
+        self.dropped_input |= self.buffer.len() > MAX_PIPELINED_BYTES;
         if self.dropped_input {
             self.buffer.clear();
-            self.buffer.reserve(MAX_AHEAD_BYTES);
-            tokio::time::sleep(AHEAD_PAUSE).await;
+            self.buffer.reserve(MAX_PIPELINED_BYTES);
+            tokio::time::sleep(PIPELINED_INPUT_PAUSE).await;
         }
     }
 }
--- a/src/frontend/http/message/tests.rs
+++ b/src/frontend/http/message/tests.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 
 #[test]
-fn a_request_is_read_however_it_is_split() {
+fn a_request_split_at_any_byte_is_parsed() {
     let sent = b"POST /do/report HTTP/1.1\r\nX-Txn: 9b\r\nContent-Length: 3\r\n\r\nabc";
     for cut in 0..sent.len() {
         let mut buffer = BytesMut::from(&sent[..cut]);
--- a/src/frontend/http/reader.rs
+++ b/src/frontend/http/reader.rs
@@ -35,9 +35,9 @@
     deadline: Option<Instant>,
     max_body_bytes: usize,
 ) -> io::Result<Option<Result<Request, RequestError>>> {
-    let mut continued = false;
-    let mut begun = deadline.is_some() || !buffer.is_empty();
-    let timeout = if begun { READ_TIMEOUT } else { IDLE_TIMEOUT };
+    let mut continue_sent = false;
+    let mut started = deadline.is_some() || !buffer.is_empty();
+    let timeout = if started { READ_TIMEOUT } else { IDLE_TIMEOUT };
     let mut deadline = deadline.unwrap_or(Instant::now() + timeout);
     loop {
         let head = match message::read_head(buffer, max_body_bytes) {
@@ -49,8 +49,8 @@
             if let Some(request) = head.take(buffer) {
                 return Ok(Some(Ok(request)));
             }
-            if expects_continue && !continued {
-                continued = true;
+            if expects_continue && !continue_sent {
+                continue_sent = true;
                 stream.write_all(CONTINUE).await?;
             }
         }
@@ -59,8 +59,8 @@
             Ok(Err(error)) => return Err(error),
             Ok(Ok(0)) | Err(_) => return Ok(None),
         }
-        if !begun {
-            begun = true;
+        if !started {
+            started = true;
             deadline = Instant::now() + READ_TIMEOUT;
         }
     }
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -9,25 +9,25 @@
 
 impl Http {
     /// Builds the response for the service's answer to the request with this client request id.
-    pub(super) fn response(&self, name: &str, answer: Answer) -> Response {
+    pub(super) fn response(&self, client_request_id: &str, answer: Answer) -> Response {
         match answer {
             Answer::Served(table) => {
                 let mut pages = split_into_pages(&table.rows, self.page_bytes);
                 if pages.len() == 1 {
                     return Response::json(200, page_body(&pages.remove(0), None));
                 }
-                Response::json(200, self.result_pages().insert(name, pages))
+                Response::json(200, self.result_pages().insert(client_request_id, pages))
             }
-            Answer::Rejected { retry_after, reason } => rejected(retry_after, reason),
-            Answer::Failed(reason) => Response::json(500, fault_body("Crashed", reason)),
-            Answer::Cancelled => Response::json(500, fault_body("Cancelled", None)),
-            Answer::Invalid(error) => unusable(invalid_status(&error), &error.to_string()),
+            Answer::Rejected { retry_after, reason } => rejection_response(retry_after, reason),
+            Answer::Failed(reason) => Response::json(500, error_body("Crashed", reason)),
+            Answer::Cancelled => Response::json(500, error_body("Cancelled", None)),
+            Answer::Invalid(error) => error_response(invalid_status(&error), &error.to_string()),
         }
     }
 }
 
-/// Builds the response to an invalid request.
-pub(super) fn unusable(status: u16, message: &str) -> Response {
+/// Builds an error response with this status and message. Its fault is `Unusable`.
+pub(super) fn error_response(status: u16, message: &str) -> Response {
     Response::json(status, serde_json::json!({ "fault": "Unusable", "why": message }).to_string())
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// Builds the body of an error response. `reason` is the limit of the tenant that caused the error, if one did.
-fn fault_body(fault: &str, reason: Option<Reason>) -> String {
+fn error_body(fault: &str, reason: Option<Reason>) -> String {
     match reason {
         Some(reason) => format!(r#"{{"fault":"{fault}","reason":"{}"}}"#, reason.code()),
         None => format!(r#"{{"fault":"{fault}"}}"#),
@@ -51,14 +51,14 @@
 ///
 /// The retry time is sent in milliseconds (`X-Throttle-Ms`) and in whole seconds (`Retry-After`, which allows no
 /// fractions). A rejection by a limit of the tenant has the HTTP status for that kind of limit.
-fn rejected(retry_after: Micros, reason: Option<Reason>) -> Response {
+fn rejection_response(retry_after: Micros, reason: Option<Reason>) -> Response {
     let status = match reason {
         None => 503,
         Some(Reason::StatementBytes) => 413,
         Some(reason) if reason.passes_by_itself() => 429,
         Some(_) => 403,
     };
-    let response = Response::json(status, fault_body("Rejected", reason));
+    let response = Response::json(status, error_body("Rejected", reason));
     if retry_after.0 <= 0 {
         return response;
     }
--- a/src/frontend/http/result_pages.rs
+++ b/src/frontend/http/result_pages.rs
@@ -22,18 +22,18 @@
 impl ResultPages {
     /// Stores a result of several pages and returns the body of the first page. Each body names the path of the next
     /// one.
-    pub fn insert(&mut self, name: &str, pages: Vec<String>) -> String {
+    pub fn insert(&mut self, client_request_id: &str, pages: Vec<String>) -> String {
         let last = pages.len() - 1;
         let bodies = pages.iter().enumerate().map(|(number, rows)| {
-            let next_path = (number < last).then(|| format!("/page/{name}/{}", number + 1));
+            let next_path = (number < last).then(|| format!("/page/{client_request_id}/{}", number + 1));
             page_body(rows, next_path.as_deref())
         });
         let bodies: Vec<String> = bodies.collect();
         let first = bodies[0].clone();
         self.bytes += total_bytes(&bodies);
-        self.remove_result(name);
-        self.results.insert(name.to_owned(), bodies);
-        self.insertion_order.push_back(name.to_owned());
+        self.remove_result(client_request_id);
+        self.results.insert(client_request_id.to_owned(), bodies);
+        self.insertion_order.push_back(client_request_id.to_owned());
         while self.insertion_order.len() > MAX_RESULTS || self.bytes > MAX_BYTES {
             let Some(oldest) = self.insertion_order.front().cloned() else { break };
             self.remove_result(&oldest);
@@ -44,32 +44,32 @@
     /// Returns the body of the page at a path; `None` if there is no such page.
     pub fn get(&self, path: &str) -> Option<String> {
         let page = PagePath::parse(path)?;
-        self.results.get(page.name)?.get(page.number).cloned()
+        self.results.get(page.client_request_id)?.get(page.number).cloned()
     }
 
     /// Removes the result that a path belongs to. Returns whether the result was stored.
     pub fn remove(&mut self, path: &str) -> bool {
-        PagePath::parse(path).is_some_and(|page| self.remove_result(page.name))
+        PagePath::parse(path).is_some_and(|page| self.remove_result(page.client_request_id))
     }
 
-    fn remove_result(&mut self, name: &str) -> bool {
-        let Some(bodies) = self.results.remove(name) else { return false };
+    fn remove_result(&mut self, client_request_id: &str) -> bool {
+        let Some(bodies) = self.results.remove(client_request_id) else { return false };
         self.bytes = self.bytes.saturating_sub(total_bytes(&bodies));
-        self.insertion_order.retain(|other| other != name);
+        self.insertion_order.retain(|other| other != client_request_id);
         true
     }
 }
 
 /// The path of a page, `/page/NAME/NUMBER`. `NAME` is the client request id; numbers start at 0.
 struct PagePath<'a> {
-    name: &'a str,
+    client_request_id: &'a str,
     number: usize,
 }
 
 impl PagePath<'_> {
     fn parse(path: &str) -> Option<PagePath<'_>> {
-        let (name, number) = path.strip_prefix("/page/")?.split_once('/')?;
-        Some(PagePath { name, number: number.parse().ok()? })
+        let (client_request_id, number) = path.strip_prefix("/page/")?.split_once('/')?;
+        Some(PagePath { client_request_id, number: number.parse().ok()? })
     }
 }
 
--- a/src/frontend/http/routes.rs
+++ b/src/frontend/http/routes.rs
@@ -3,12 +3,12 @@
 use super::Http;
 use super::connection::Client;
 use super::message::{self, Request, Response};
-use super::responses::unusable;
+use super::responses::error_response;
 use crate::clock::Micros;
 use crate::core::IncomingRequest;
 
 /// The length of a client request id, in hexadecimal digits.
-const NAME_DIGITS: usize = 16;
+const CLIENT_REQUEST_ID_DIGITS: usize = 16;
 
 impl Http {
     /// Answers a request; `None` if the client disconnected first.
@@ -27,40 +27,42 @@
                 None => no_such_path(),
             },
             ("DELETE", target) => match self.result_pages().remove(target) {
-                true => empty(),
+                true => empty_response(),
                 false => no_such_path(),
             },
-            _ => unusable(405, "no such method"),
+            _ => error_response(405, "no such method"),
         };
         Some(response)
     }
 
     fn readiness(&self) -> Response {
-        if self.lifecycle.is_ready() { empty() } else { unusable(503, "not ready") }
+        if self.lifecycle.is_ready() { empty_response() } else { error_response(503, "not ready") }
     }
 }
 
-fn empty() -> Response {
+fn empty_response() -> Response {
     Response::json(200, "{}".to_owned())
 }
 
 fn no_such_path() -> Response {
-    unusable(404, "no such path")
+    error_response(404, "no such path")
 }
 
 /// Converts a client's request into a request for the service. The error is the response to an invalid request.
 fn incoming_request(class: &str, request: &Request) -> Result<IncomingRequest, Response> {
-    let name = required_field(request, "X-Txn")?;
-    if name.len() != NAME_DIGITS || !name.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(unusable(400, "X-Txn must be 16 hex digits"));
+    let client_request_id = required_field(request, "X-Txn")?;
+    if client_request_id.len() != CLIENT_REQUEST_ID_DIGITS
+        || !client_request_id.bytes().all(|byte| byte.is_ascii_hexdigit())
+    {
+        return Err(error_response(400, "X-Txn must be 16 hex digits"));
     }
     let ttl_ms = message::parse_integer(required_field(request, "X-Ttl-Ms")?);
-    let ttl_ms = ttl_ms.ok_or_else(|| unusable(400, "X-Ttl-Ms must be a whole number"))?;
+    let ttl_ms = ttl_ms.ok_or_else(|| error_response(400, "X-Ttl-Ms must be a whole number"))?;
     let statement = std::str::from_utf8(&request.body);
-    let statement = statement.map_err(|_| unusable(400, "the statement must be UTF-8"))?;
+    let statement = statement.map_err(|_| error_response(400, "the statement must be UTF-8"))?;
     Ok(IncomingRequest {
         id: 0,
-        name: name.to_owned(),
+        name: client_request_id.to_owned(),
         class: class.to_owned(),
         tenant: optional_field(request, "X-Merchant")?.map(str::to_owned),
         idempotency_key: optional_field(request, "X-Txn-Key")?.map(str::to_owned),
@@ -70,7 +72,7 @@
 }
 
 fn required_field<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, Response> {
-    optional_field(request, name)?.ok_or_else(|| unusable(400, &format!("{name} is missing")))
+    optional_field(request, name)?.ok_or_else(|| error_response(400, &format!("{name} is missing")))
 }
 
 /// Returns the value of a header field; `None` if it was not sent. A field that was sent twice is rejected, because an
@@ -78,7 +80,7 @@
 fn optional_field<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Response> {
     let mut values = request.values(name);
     match (values.next(), values.next()) {
-        (_, Some(_)) => Err(unusable(400, &format!("{name} is there twice"))),
+        (_, Some(_)) => Err(error_response(400, &format!("{name} is there twice"))),
         (value, None) => Ok(value),
     }
 }
--- a/src/frontend/tds/connection.rs
+++ b/src/frontend/tds/connection.rs
@@ -3,7 +3,7 @@
 use super::tls::Stream;
 use super::{Tds, error_number, prelogin};
 use crate::frontend::ConnectionPermit;
-use crate::tds::packet::{self, Message, Messages};
+use crate::tds::packet::{self, Message, MessageAssembler};
 use crate::tds::token::{self, ResponseKind};
 use crate::tds::{TdsError, login};
 use bytes::BytesMut;
@@ -29,19 +29,19 @@
     /// Input that was received but not parsed yet.
     pub(super) received: BytesMut,
     /// Assembles messages from the received packets.
-    pub(super) messages: Messages,
+    pub(super) assembler: MessageAssembler,
 }
 
 impl<S: AsyncRead + Unpin> MessageStream<S> {
     pub(super) fn new(stream: S) -> MessageStream<S> {
         let received = BytesMut::with_capacity(BUFFER_BYTES);
-        MessageStream { stream, received, messages: Messages::default() }
+        MessageStream { stream, received, assembler: MessageAssembler::default() }
     }
 
     /// Reads the next message; `None` if the client closed the connection.
     pub(super) async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
-            if let Some(message) = self.messages.next(&mut self.received).map_err(malformed)? {
+            if let Some(message) = self.assembler.next(&mut self.received).map_err(malformed)? {
                 return Ok(Some(message));
             }
             if self.stream.read_buf(&mut self.received).await? == 0 {
@@ -54,13 +54,13 @@
 impl MessageStream {
     /// Writes a response, whose tokens are `data`, as one message.
     pub(super) async fn respond(&mut self, data: &[u8]) -> io::Result<()> {
-        self.stream.write_all(&packet::message(packet::RESULT, data)).await
+        self.stream.write_all(&packet::message(packet::TABULAR_RESULT, data)).await
     }
 }
 
 impl MessageStream<TcpStream> {
     pub(super) fn boxed(self) -> MessageStream {
-        MessageStream { stream: Box::new(self.stream), received: self.received, messages: self.messages }
+        MessageStream { stream: Box::new(self.stream), received: self.received, assembler: self.assembler }
     }
 }
 
--- a/src/frontend/tds/prelogin.rs
+++ b/src/frontend/tds/prelogin.rs
@@ -32,7 +32,7 @@
         Some(_) if client_requires => ENCRYPT_ON,
         Some(_) => ENCRYPT_REQUIRED,
     };
-    let response = packet::message(packet::RESULT, &login::prelogin(offered));
+    let response = packet::message(packet::TABULAR_RESULT, &login::prelogin(offered));
     plain.stream.write_all(&response).await?;
     let Some(config) = &frontend.tls else {
         if client_requires {
@@ -51,5 +51,5 @@
     }
     let acceptor = TlsAcceptor::from(config.clone());
     let encrypted = tls::accept(&acceptor, plain.stream, plain.received.split()).await?;
-    Ok(Some(MessageStream { stream: encrypted, received: plain.received, messages: plain.messages }))
+    Ok(Some(MessageStream { stream: encrypted, received: plain.received, assembler: plain.assembler }))
 }
--- a/src/frontend/tds/requests.rs
+++ b/src/frontend/tds/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Tds;
 use super::connection::{Connection, MessageStream};
-use super::responses::{answer_response, unusable};
+use super::responses::{answer_response, invalid_request};
 use crate::clock::Micros;
 use crate::core::{Answer, IncomingRequest, Input};
 use crate::frontend::http::message::parse_integer;
@@ -15,7 +15,7 @@
 
 /// 2^64 divided by the golden ratio, made odd. Multiplication by it spreads consecutive numbers over 64 bits, and maps
 /// distinct numbers to distinct products.
-const NAME_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+const CLIENT_REQUEST_ID_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// How the wait for an answer ended.
 enum WaitOutcome {
@@ -36,14 +36,14 @@
                 self.execute(ResponseKind::Batch, statement).await
             }
             packet::RPC => {
-                let statement = token::read_call(&message.data).map_err(|error| error.to_string());
-                self.execute(ResponseKind::Call, statement).await
+                let statement = token::read_rpc(&message.data).map_err(|error| error.to_string());
+                self.execute(ResponseKind::Rpc, statement).await
             }
             // The request was answered before the Attention was read. MS-TDS requires an acknowledgement nevertheless.
-            packet::ATTENTION => Some(token::attention_done()),
+            packet::ATTENTION => Some(token::attention_acknowledgement()),
             kind => {
                 let text = format!("messages of type {kind} are not taken here");
-                Some(unusable(ResponseKind::Batch, &text))
+                Some(invalid_request(ResponseKind::Batch, &text))
             }
         };
         let Some(response) = response else { return Ok(false) };
@@ -57,11 +57,11 @@
             statement.and_then(|statement| self.frontend.incoming_request(&statement, &self.tenant));
         let request = match request {
             Ok(request) => request,
-            Err(reason) => return Some(unusable(kind, &reason)),
+            Err(reason) => return Some(invalid_request(kind, &reason)),
         };
         match self.submit(request).await {
             WaitOutcome::Answered(answer) => Some(answer_response(kind, answer)),
-            WaitOutcome::Attention => Some(token::attention_done()),
+            WaitOutcome::Attention => Some(token::attention_acknowledgement()),
             WaitOutcome::Disconnected => None,
         }
     }
@@ -94,7 +94,7 @@
             if !matches!(read, Ok(1..)) {
                 return WaitOutcome::Disconnected;
             }
-            match self.messages.next(&mut self.received) {
+            match self.assembler.next(&mut self.received) {
                 Ok(None) => {}
                 Ok(Some(message)) if message.kind == packet::ATTENTION => return WaitOutcome::Attention,
                 // While a response is pending, a client may send nothing but an Attention.
@@ -119,7 +119,7 @@
         };
         Ok(IncomingRequest {
             id: 0,
-            name: self.next_name(),
+            name: self.next_client_request_id(),
             class: hint("class").unwrap_or(&self.default_class).to_owned(),
             tenant: Some(tenant.to_owned()).filter(|tenant| !tenant.is_empty()),
             idempotency_key: hint("key").map(str::to_owned),
@@ -130,9 +130,9 @@
 
     /// Generates the client request id of the next request. Ids are unique within a run of the program, and the seed
     /// makes those of different runs differ.
-    fn next_name(&self) -> String {
+    fn next_client_request_id(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let name = self.client_request_id_seed ^ number.wrapping_mul(NAME_FACTOR);
-        format!("{name:016x}")
+        let id = self.client_request_id_seed ^ number.wrapping_mul(CLIENT_REQUEST_ID_FACTOR);
+        format!("{id:016x}")
     }
 }
--- a/src/frontend/tds/responses.rs
+++ b/src/frontend/tds/responses.rs
@@ -20,7 +20,7 @@
     /// The request failed. It was possibly executed.
     pub const FAILED: u32 = 50010;
     /// The request is invalid.
-    pub const UNUSABLE: u32 = 50011;
+    pub const INVALID_REQUEST: u32 = 50011;
     /// An operator cancelled the request.
     pub const CANCELLED: u32 = 50012;
 }
@@ -29,8 +29,8 @@
 const REQUEST_SEVERITY: u8 = 16;
 
 /// Builds the response to an invalid request.
-pub(super) fn unusable(kind: ResponseKind, message: &str) -> Vec<u8> {
-    token::error(kind, error_number::UNUSABLE, REQUEST_SEVERITY, message)
+pub(super) fn invalid_request(kind: ResponseKind, message: &str) -> Vec<u8> {
+    token::error(kind, error_number::INVALID_REQUEST, REQUEST_SEVERITY, message)
 }
 
 /// Builds the response for an answer of the service.
@@ -50,7 +50,7 @@
             error(error_number::FAILED, &text)
         }
         Answer::Cancelled => error(error_number::CANCELLED, "The request was ended by an operator."),
-        Answer::Invalid(error) => unusable(kind, &error.to_string()),
+        Answer::Invalid(error) => invalid_request(kind, &error.to_string()),
     }
 }
 
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Token<'a> {
     /// A string or a comment, including its delimiters.
-    Opaque(&'a str),
+    StringOrComment(&'a str),
     /// An identifier, a keyword or a number, without the quotes of a quoted identifier.
     Name(&'a str),
     /// A parameter, including its `@`.
@@ -33,7 +33,7 @@
     /// Whether the token is neither a string, a comment nor white space.
     fn is_significant(&self) -> bool {
         match self {
-            Token::Opaque(_) => false,
+            Token::StringOrComment(_) => false,
             Token::Other(text) => !text.trim().is_empty(),
             Token::Name(_) | Token::Parameter(_) => true,
         }
@@ -61,9 +61,9 @@
 
 fn token<'a>(input: &mut &'a str) -> ParseResult<Token<'a>> {
     alt((
-        quoted('\'').take().map(Token::Opaque),
-        ("--", take_till(0.., '\n')).take().map(Token::Opaque),
-        block_comment.map(Token::Opaque),
+        quoted('\'').take().map(Token::StringOrComment),
+        ("--", take_till(0.., '\n')).take().map(Token::StringOrComment),
+        block_comment.map(Token::StringOrComment),
         quoted('"').map(Token::Name),
         delimited('[', take_until(0.., "]"), ']').map(Token::Name),
         ('@', take_while(1.., is_name_char)).take().map(Token::Parameter),
@@ -73,10 +73,11 @@
     .parse_next(input)
 }
 
-/// Splits a statement into tokens. A statement with too many block comments is returned as a single [`Token::Opaque`].
+/// Splits a statement into tokens. A statement with too many block comments is returned as a single
+/// [`Token::StringOrComment`].
 pub fn tokens(statement: &str) -> Vec<Token<'_>> {
     if statement.matches("/*").count() > MAX_COMMENTS {
-        return vec![Token::Opaque(statement)];
+        return vec![Token::StringOrComment(statement)];
     }
     repeat(0.., token).parse(statement).unwrap_or_default()
 }
--- a/src/tds/login.rs
+++ b/src/tds/login.rs
@@ -18,7 +18,7 @@
 /// The maximum number of PRELOGIN options.
 const MAX_OPTIONS: usize = 16;
 /// The product version that is sent in PRELOGIN: 16.0, build 0.
-const OUR_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
+const PRODUCT_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
 
 /// Encryption is not supported (`ENCRYPT_NOT_SUP`).
 pub const ENCRYPT_NOT_SUPPORTED: u8 = 0x02;
@@ -32,7 +32,7 @@
 /// TDS version 7.2, the oldest that is accepted. In older versions, a SQL batch has no headers and would be misread.
 const MIN_VERSION: u32 = 0x7200_0000;
 /// The length of the fixed part of LOGIN7.
-const FIXED_BYTES: usize = 94;
+const FIXED_PART_BYTES: usize = 94;
 /// The length of the data between the version and the field positions: sizes, flags, time zone and language.
 const SKIPPED_BYTES: usize = 28;
 /// The maximum length of a field, in UTF-16 code units.
@@ -46,11 +46,11 @@
 const APPLICATION: usize = 3;
 const DATABASE: usize = 8;
 /// The number of field positions that are read, up to that of the last field used.
-const FIELDS: usize = 9;
+const FIELD_COUNT: usize = 9;
 
 /// Encodes a PRELOGIN message with this encryption option. Clients and servers send the same format.
 pub fn prelogin(encryption: u8) -> Vec<u8> {
-    let options: [(u8, &[u8]); 3] = [(VERSION, &OUR_VERSION), (ENCRYPTION, &[encryption]), (MARS, &[0])];
+    let options: [(u8, &[u8]); 3] = [(VERSION, &PRODUCT_VERSION), (ENCRYPTION, &[encryption]), (MARS, &[0])];
     let mut offset = options.len() * OPTION_BYTES + size_of_val(&TERMINATOR);
     let mut out = Vec::new();
     let mut data = Vec::new();
@@ -141,14 +141,15 @@
 fn parse_login(data: &[u8]) -> ParseResult<Login> {
     let mut input = data;
     let (length, version) = (le_u32, le_u32).parse_next(&mut input)?;
-    if length as usize != data.len() || data.len() < FIXED_BYTES || version < MIN_VERSION {
+    if length as usize != data.len() || data.len() < FIXED_PART_BYTES || version < MIN_VERSION {
         return Err(ContextError::new());
     }
     take(SKIPPED_BYTES).void().parse_next(&mut input)?;
-    let positions: Vec<FieldPosition> = repeat(FIELDS..=FIELDS, parse_position).parse_next(&mut input)?;
+    let positions: Vec<FieldPosition> =
+        repeat(FIELD_COUNT..=FIELD_COUNT, parse_position).parse_next(&mut input)?;
     let decode = |bytes: &[u8]| from_utf16(bytes).ok_or_else(ContextError::new);
     let field = |index: usize| decode(positions[index].bytes(data)?);
-    let password = positions[PASSWORD].bytes(data)?.iter().map(|byte| reveal(*byte));
+    let password = positions[PASSWORD].bytes(data)?.iter().map(|byte| deobfuscate(*byte));
     let password: Vec<u8> = password.collect();
     Ok(Login {
         user: field(USER)?,
@@ -163,7 +164,7 @@
     byte.rotate_left(4) ^ PASSWORD_KEY
 }
 
-fn reveal(byte: u8) -> u8 {
+fn deobfuscate(byte: u8) -> u8 {
     (byte ^ PASSWORD_KEY).rotate_left(4)
 }
 
@@ -192,19 +193,19 @@
     let mut positions = Vec::new();
     let mut data = Vec::new();
     for field in &fields {
-        positions.extend(((FIXED_BYTES + data.len()) as u16).to_le_bytes());
+        positions.extend(((FIXED_PART_BYTES + data.len()) as u16).to_le_bytes());
         positions.extend(((field.len() / 2) as u16).to_le_bytes());
         data.extend_from_slice(field);
     }
-    let end = ((FIXED_BYTES + data.len()) as u16).to_le_bytes();
+    let end = ((FIXED_PART_BYTES + data.len()) as u16).to_le_bytes();
     positions.extend([0; 6]); // client id
     for _ in 0..3 {
         positions.extend(end); // SSPI, attached file, new password: none
         positions.extend([0, 0]);
     }
     positions.extend([0; 4]);
-    let mut out = Vec::with_capacity(FIXED_BYTES + data.len());
-    out.extend(((FIXED_BYTES + data.len()) as u32).to_le_bytes());
+    let mut out = Vec::with_capacity(FIXED_PART_BYTES + data.len());
+    out.extend(((FIXED_PART_BYTES + data.len()) as u32).to_le_bytes());
     out.extend(TDS_74.to_le_bytes());
     out.extend((PACKET_BYTES as u32).to_le_bytes());
     out.extend([0; 24]); // program version, process, connection, flags, zone, language
--- a/src/tds/login/tests.rs
+++ b/src/tds/login/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_login_is_read_as_it_was_written_and_rejected_when_truncated() {
+fn a_login_round_trips_and_a_truncated_one_is_rejected() {
     let sent =
         Login { user: "ann".into(), password: "pâss".into(), app: "x".into(), database: "acme".into() };
     let data = login(&sent);
--- a/src/tds/mod.rs
+++ b/src/tds/mod.rs
@@ -15,7 +15,7 @@
 pub type ParseResult<T> = Result<T, ContextError>;
 
 /// The maximum length of text that is written as `B_VARCHAR`.
-const MAX_SHORT_TEXT_CHARS: usize = 120;
+const MAX_B_VARCHAR_CHARS: usize = 120;
 
 /// Why input is not valid TDS.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -46,8 +46,8 @@
 }
 
 /// Writes text that is preceded by its length in one byte (`B_VARCHAR`). Text of more than 120 characters is truncated.
-pub fn put_short_text(out: &mut Vec<u8>, text: &str) {
-    let truncated: String = text.chars().take(MAX_SHORT_TEXT_CHARS).collect();
+pub fn put_b_varchar(out: &mut Vec<u8>, text: &str) {
+    let truncated: String = text.chars().take(MAX_B_VARCHAR_CHARS).collect();
     out.push(truncated.encode_utf16().count() as u8);
     out.extend(utf16(&truncated));
 }
--- a/src/tds/packet.rs
+++ b/src/tds/packet.rs
@@ -12,7 +12,7 @@
 /// Remote procedure call (RPC).
 pub const RPC: u8 = 0x03;
 /// Tabular result: the type of all responses.
-pub const RESULT: u8 = 0x04;
+pub const TABULAR_RESULT: u8 = 0x04;
 /// Attention signal, with which a client cancels its request.
 pub const ATTENTION: u8 = 0x06;
 /// Bulk load data. Recognised, but not supported.
@@ -74,7 +74,15 @@
     fn is_valid(&self) -> bool {
         let known = matches!(
             self.kind,
-            SQL_BATCH | RPC | RESULT | ATTENTION | BULK_LOAD | TRANSACTION_MANAGER | LOGIN7 | SSPI | PRELOGIN
+            SQL_BATCH
+                | RPC
+                | TABULAR_RESULT
+                | ATTENTION
+                | BULK_LOAD
+                | TRANSACTION_MANAGER
+                | LOGIN7
+                | SSPI
+                | PRELOGIN
         );
         known && self.length >= HEADER_BYTES
     }
@@ -110,11 +118,11 @@
 
 /// Assembles messages from packets.
 #[derive(Debug, Default)]
-pub struct Messages {
+pub struct MessageAssembler {
     incomplete: Option<Message>,
 }
 
-impl Messages {
+impl MessageAssembler {
     /// Removes packets from the front of the receive buffer up to the end of the next message, and returns the message;
     /// `None` if the message is incomplete. Messages that must be ignored are skipped.
     ///
@@ -123,7 +131,7 @@
     /// A packet header is invalid, or the message exceeds [`MAX_MESSAGE_BYTES`].
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Message>, TdsError> {
         while let Some(packet) = next_packet(buffer)? {
-            let mut message = self.message_of(packet.kind);
+            let mut message = self.message_for_packet(packet.kind);
             if message.data.len() + packet.data.len() > MAX_MESSAGE_BYTES {
                 return Err(TdsError::MessageTooLong);
             }
@@ -139,7 +147,7 @@
 
     /// Returns the message that a packet of this type belongs to. A client may send an Attention in the middle of
     /// another message, whose packets are then dropped.
-    fn message_of(&mut self, kind: u8) -> Message {
+    fn message_for_packet(&mut self, kind: u8) -> Message {
         let incomplete = self.incomplete.take().filter(|message| message.kind == kind);
         incomplete.unwrap_or(Message { kind, data: Vec::new() })
     }
--- a/src/tds/packet/tests.rs
+++ b/src/tds/packet/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[test]
-fn a_message_is_complete_however_its_packets_are_split() {
+fn a_message_received_in_two_parts_is_assembled() {
     let data: Vec<u8> = (0..10_000u32).map(|at| at as u8).collect();
     let sent = message(SQL_BATCH, &data);
     for cut in (0..sent.len()).step_by(7) {
-        let (mut messages, mut buffer) = (Messages::default(), BytesMut::from(&sent[..cut]));
+        let (mut messages, mut buffer) = (MessageAssembler::default(), BytesMut::from(&sent[..cut]));
         assert_eq!(messages.next(&mut buffer).unwrap(), None, "cut at {cut}");
         buffer.extend_from_slice(&sent[cut..]);
         let complete = messages.next(&mut buffer).unwrap().unwrap();
--- a/src/tds/token/mod.rs
+++ b/src/tds/token/mod.rs
@@ -4,9 +4,9 @@
 mod response_reader;
 mod response_writer;
 
-pub use request::{batch, read_batch, read_call};
+pub use request::{batch, read_batch, read_rpc};
 pub use response_reader::{Column, Token, read};
-pub use response_writer::{ResponseKind, attention_done, error, login_ack, table};
+pub use response_writer::{ResponseKind, attention_acknowledgement, error, login_ack, table};
 
 const COLMETADATA: u8 = 0x81;
 const RETURNSTATUS: u8 = 0x79;
--- a/src/tds/token/request.rs
+++ b/src/tds/token/request.rs
@@ -1,6 +1,6 @@
 //! Reads and writes the data of SQL batches, and reads that of RPC calls.
 
-use super::response_reader::parse_short_text;
+use super::response_reader::parse_b_varchar;
 use crate::sql::{self, Binding};
 use crate::tds::value::{self, Value};
 use crate::tds::{ParseResult, TdsError, from_utf16, utf16};
@@ -54,7 +54,7 @@
 }
 
 fn parse_parameter(input: &mut &[u8]) -> ParseResult<Parameter> {
-    let name = parse_short_text(input)?;
+    let name = parse_b_varchar(input)?;
     let _status = le_u8.parse_next(input)?;
     let value_type = value::read_type(input)?;
     let value = value::read(value_type, input)?;
@@ -72,7 +72,7 @@
     }
 }
 
-fn parse_call(input: &mut &[u8]) -> ParseResult<String> {
+fn parse_rpc(input: &mut &[u8]) -> ParseResult<String> {
     skip_headers(input)?;
     let is_executesql = parse_is_executesql(input)?;
     let _flags = le_u16.parse_next(input)?;
@@ -95,8 +95,8 @@
 /// # Errors
 ///
 /// The call is malformed, has a value of an unsupported type, or calls another procedure.
-pub fn read_call(data: &[u8]) -> Result<String, TdsError> {
-    parse_call(&mut &data[..]).map_err(|_| TdsError::Message("call of sp_executesql"))
+pub fn read_rpc(data: &[u8]) -> Result<String, TdsError> {
+    parse_rpc(&mut &data[..]).map_err(|_| TdsError::Message("call of sp_executesql"))
 }
 
 /// Encodes a SQL batch with the mandatory headers.
--- a/src/tds/token/response_reader.rs
+++ b/src/tds/token/response_reader.rs
@@ -80,7 +80,7 @@
 }
 
 /// Reads text that is preceded by its length in one byte (`B_VARCHAR`).
-pub(super) fn parse_short_text(input: &mut &[u8]) -> ParseResult<String> {
+pub(super) fn parse_b_varchar(input: &mut &[u8]) -> ParseResult<String> {
     let count = le_u8.parse_next(input)?;
     let text: &[u8] = take(usize::from(count) * 2).parse_next(input)?;
     from_utf16(text).ok_or_else(ContextError::new)
@@ -97,7 +97,7 @@
     let column = |input: &mut &[u8]| {
         let _user_type_and_flags = (le_u32, le_u16).parse_next(input)?;
         let value_type = value::read_type(input)?;
-        let name = parse_short_text(input)?;
+        let name = parse_b_varchar(input)?;
         Ok(Column { name, value_type })
     };
     repeat(usize::from(count), column).parse_next(input)
--- a/src/tds/token/response_writer.rs
+++ b/src/tds/token/response_writer.rs
@@ -7,7 +7,7 @@
 use crate::core::Table;
 use crate::tds::packet::PACKET_BYTES;
 use crate::tds::value::{self, TextLength};
-use crate::tds::{put_short_text, utf16};
+use crate::tds::{put_b_varchar, utf16};
 
 /// The `CurCmd` of a DONE token for a SELECT.
 const COMMAND_SELECT: u16 = 0xc1;
@@ -35,14 +35,14 @@
     /// A SQL batch: the response ends with DONE.
     Batch,
     /// An RPC call: the response ends with RETURNSTATUS and DONEPROC.
-    Call,
+    Rpc,
 }
 
 /// Writes the tokens that end a response.
 fn put_done(out: &mut Vec<u8>, kind: ResponseKind, status: u16, rows: u64) {
     match kind {
         ResponseKind::Batch => out.push(DONE),
-        ResponseKind::Call => {
+        ResponseKind::Rpc => {
             let return_status = u32::from(status & DONE_ERROR != 0);
             out.push(RETURNSTATUS);
             out.extend(return_status.to_le_bytes());
@@ -66,7 +66,7 @@
     let mut out = Vec::new();
     let lengths = column_lengths(table);
     if !lengths.is_empty() {
-        put_columns(&mut out, table, &lengths);
+        put_column_metadata(&mut out, table, &lengths);
         for row in &table.rows {
             out.push(ROW);
             for (index, length) in lengths.iter().enumerate() {
@@ -90,7 +90,7 @@
     (0..width).map(|index| TextLength::for_bytes(longest_bytes(index))).collect()
 }
 
-fn put_columns(out: &mut Vec<u8>, table: &Table, lengths: &[TextLength]) {
+fn put_column_metadata(out: &mut Vec<u8>, table: &Table, lengths: &[TextLength]) {
     out.push(COLMETADATA);
     out.extend((lengths.len() as u16).to_le_bytes());
     for (index, length) in lengths.iter().enumerate() {
@@ -98,7 +98,7 @@
         out.extend(COLUMN_FLAGS);
         value::put_text_type(out, *length);
         let default_name = format!("column{}", index + 1);
-        put_short_text(out, table.columns.get(index).unwrap_or(&default_name));
+        put_b_varchar(out, table.columns.get(index).unwrap_or(&default_name));
     }
 }
 
@@ -110,8 +110,8 @@
     data.extend([ERROR_STATE, severity]);
     data.extend((text.encode_utf16().count() as u16).to_le_bytes());
     data.extend(utf16(&text));
-    put_short_text(&mut data, SERVER_NAME);
-    put_short_text(&mut data, ""); // no procedure
+    put_b_varchar(&mut data, SERVER_NAME);
+    put_b_varchar(&mut data, ""); // no procedure
     data.extend(0u32.to_le_bytes()); // no line
     let mut out = Vec::new();
     put_token(&mut out, ERROR, &data);
@@ -120,7 +120,7 @@
 }
 
 /// Encodes the acknowledgement of an Attention: a DONE token with `DONE_ATTN`.
-pub fn attention_done() -> Vec<u8> {
+pub fn attention_acknowledgement() -> Vec<u8> {
     let mut out = Vec::new();
     put_done(&mut out, ResponseKind::Batch, DONE_ATTN, 0);
     out
@@ -128,8 +128,8 @@
 
 fn put_env_change(out: &mut Vec<u8>, change: u8, new: &str, old: &str) {
     let mut data = vec![change];
-    put_short_text(&mut data, new);
-    put_short_text(&mut data, old);
+    put_b_varchar(&mut data, new);
+    put_b_varchar(&mut data, old);
     put_token(out, ENVCHANGE, &data);
 }
 
@@ -141,7 +141,7 @@
     put_env_change(&mut out, ENV_PACKET_BYTES, &packet_bytes, &packet_bytes);
     let mut data = vec![INTERFACE_SQL];
     data.extend(TDS_74);
-    put_short_text(&mut data, SERVER_NAME);
+    put_b_varchar(&mut data, SERVER_NAME);
     data.extend(SERVER_VERSION);
     put_token(&mut out, LOGINACK, &data);
     put_done(&mut out, ResponseKind::Batch, 0, 0);
--- a/src/tds/token/tests.rs
+++ b/src/tds/token/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_table_is_read_as_it_was_written() {
+fn a_table_round_trips() {
     let long = "x".repeat(5000);
     let rows: Vec<Row> = vec![vec![Some("a".into()), None], vec![Some(String::new()), Some(long)]];
     let sent = Table { columns: vec!["day".into()], rows: rows.clone() };
@@ -38,6 +38,6 @@
     for cut in 0..data.len() - 13 {
         assert!(read(&[], &mut &data[..cut]).is_err(), "cut at {cut}");
     }
-    assert!(read_call(&[0xff; 40]).is_err());
+    assert!(read_rpc(&[0xff; 40]).is_err());
     assert!(read_batch(&[1, 0, 0, 0, 1]).is_err());
 }
--- a/src/tds/value.rs
+++ b/src/tds/value.rs
@@ -26,16 +26,16 @@
 
 /// As the length of a type, it marks a type without a limit (`max`). As the length of a value, it marks a null
 /// (`CHARBIN_NULL`).
-const NO_LENGTH: u16 = 0xffff;
+const USHORT_MAX_LENGTH: u16 = 0xffff;
 /// The length that marks a null of a type without a limit. Values of such types are sent as partially length-prefixed
 /// (PLP) data.
-const NO_LONG_LENGTH: u64 = u64::MAX;
+const PLP_NULL: u64 = u64::MAX;
 /// The collation of the columns that are written, `SQL_Latin1_General_CP1_CI_AS`.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 /// The maximum size of text of a type with a limit.
 const MAX_LIMITED_BYTES: usize = 8000;
 /// The maximum size of a PLP value that is read.
-const MAX_VALUE_BYTES: usize = 1 << 20;
+const MAX_PLP_BYTES: usize = 1 << 20;
 
 /// The encoding of text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,7 +120,8 @@
             let (length, _collation) = (le_u16, take(5usize)).parse_next(input)?;
             let is_wide = matches!(kind, NVARCHAR | NCHAR);
             let encoding = if is_wide { TextEncoding::Utf16 } else { TextEncoding::Bytes };
-            let length = if length == NO_LENGTH { TextLength::Unlimited } else { TextLength::Limited };
+            let length =
+                if length == USHORT_MAX_LENGTH { TextLength::Unlimited } else { TextLength::Limited };
             Ok(ValueType::Text { encoding, length })
         }
         INTN | BITN | FLTN => {
@@ -163,10 +164,10 @@
 pub fn read(value_type: ValueType, input: &mut &[u8]) -> ParseResult<Value> {
     match value_type {
         ValueType::Text { encoding, length: TextLength::Limited } => match le_u16.parse_next(input)? {
-            NO_LENGTH => Ok(Value::Null),
+            USHORT_MAX_LENGTH => Ok(Value::Null),
             length => decode_text(encoding, take(length).parse_next(input)?),
         },
-        ValueType::Text { encoding, length: TextLength::Unlimited } => parse_unlimited_text(encoding, input),
+        ValueType::Text { encoding, length: TextLength::Unlimited } => parse_plp_text(encoding, input),
         ValueType::Number(kind) => {
             let length = byte.parse_next(input)?;
             parse_number(kind, length, input)
@@ -183,8 +184,8 @@
 }
 
 /// Reads PLP text: a total length, which may be unknown and is not checked, then chunks. An empty chunk terminates it.
-fn parse_unlimited_text(encoding: TextEncoding, input: &mut &[u8]) -> ParseResult<Value> {
-    if le_u64.parse_next(input)? == NO_LONG_LENGTH {
+fn parse_plp_text(encoding: TextEncoding, input: &mut &[u8]) -> ParseResult<Value> {
+    if le_u64.parse_next(input)? == PLP_NULL {
         return Ok(Value::Null);
     }
     let mut bytes = Vec::new();
@@ -193,11 +194,11 @@
         if length == 0 {
             return decode_text(encoding, &bytes);
         }
-        let part: &[u8] = take(length).parse_next(input)?;
-        if bytes.len() + part.len() > MAX_VALUE_BYTES {
+        let chunk: &[u8] = take(length).parse_next(input)?;
+        if bytes.len() + chunk.len() > MAX_PLP_BYTES {
             return Err(ContextError::new());
         }
-        bytes.extend_from_slice(part);
+        bytes.extend_from_slice(chunk);
     }
 }
 
@@ -205,7 +206,7 @@
 pub fn put_text_type(out: &mut Vec<u8>, length: TextLength) {
     let length = match length {
         TextLength::Limited => MAX_LIMITED_BYTES as u16,
-        TextLength::Unlimited => NO_LENGTH,
+        TextLength::Unlimited => USHORT_MAX_LENGTH,
     };
     out.push(NVARCHAR);
     out.extend(length.to_le_bytes());
@@ -215,12 +216,12 @@
 /// Writes a value of a column whose type [`put_text_type`] has written; `None` is a null.
 pub fn put_text(out: &mut Vec<u8>, length: TextLength, text: Option<&str>) {
     match (length, text.map(utf16)) {
-        (TextLength::Limited, None) => out.extend(NO_LENGTH.to_le_bytes()),
+        (TextLength::Limited, None) => out.extend(USHORT_MAX_LENGTH.to_le_bytes()),
         (TextLength::Limited, Some(bytes)) => {
             out.extend((bytes.len() as u16).to_le_bytes());
             out.extend(bytes);
         }
-        (TextLength::Unlimited, None) => out.extend(NO_LONG_LENGTH.to_le_bytes()),
+        (TextLength::Unlimited, None) => out.extend(PLP_NULL.to_le_bytes()),
         (TextLength::Unlimited, Some(bytes)) => {
             out.extend((bytes.len() as u64).to_le_bytes());
             if !bytes.is_empty() {
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -22,18 +22,18 @@
     /// Where entries are sought.
     pub base: String,
     /// What a user's entry fits; `{user}` stands for the user.
-    #[serde(default = "filter")]
+    #[serde(default = "default_filter")]
     pub filter: String,
     /// The attribute that names the tenant.
-    #[serde(default = "attribute")]
+    #[serde(default = "default_tenant_attribute")]
     pub tenant_attribute: String,
 }
 
-fn filter() -> String {
+fn default_filter() -> String {
     "(uid={user})".to_owned()
 }
 
-fn attribute() -> String {
+fn default_tenant_attribute() -> String {
     "o".to_owned()
 }
 
@@ -75,7 +75,7 @@
     },
     /// The login's database is not the user's tenant.
     #[error("user {user:?}: the login names database {requested:?}, but the user's tenant is {tenant:?}")]
-    OtherTenant {
+    TenantMismatch {
         /// The user name.
         user: String,
         /// The user's tenant.
@@ -107,7 +107,7 @@
         };
         if !login.database.is_empty() && login.database != tenant {
             let (user, requested) = (login.user.clone(), login.database.clone());
-            return Err(LoginError::OtherTenant { user, tenant, requested });
+            return Err(LoginError::TenantMismatch { user, tenant, requested });
         }
         match tenants.contains(&tenant) {
             true => Ok(tenant),
