--- a/src/frontend/http/reader.rs
+++ b/src/frontend/http/reader.rs
@@ -7,36 +7,37 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// A request must be complete within this time: the first one from the connection's start, others from their first
-/// byte. A value of ours.
+/// A request must be complete within this time. The time of a connection's first request starts when the connection is
+/// accepted, that of a later request with its first byte.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection without a request is closed after this time. The platform's clients close theirs after 4 s.
+/// An idle connection is closed after this time. The platform's clients close idle connections after 4 s, so they close
+/// first.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// When the first request of a connection that has just been accepted must be complete.
+/// The deadline for the first request of a connection that is accepted now.
 pub fn first_request_deadline() -> Instant {
     Instant::now() + READ_TIMEOUT
 }
 
 /// Reads the next request, whose body may have at most `max_body_bytes`.
 ///
-/// It must be complete by `deadline`, or, where that is `None`, within a fixed time from its first byte. The result is
-/// `None` if the client closed the connection, or did not send a request in time.
+/// The request must be complete by `deadline`. If `deadline` is `None`, it must be complete within `READ_TIMEOUT` of
+/// its first byte. Returns `None` if the client closed the connection or sent no complete request in time.
 ///
 /// # Errors
 ///
-/// The connection broke. What is read, but is no valid request, is the inner error.
+/// The outer error is a failure of the connection. The inner error reports input that is not a valid request.
 pub async fn read_request<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     buffer: &mut BytesMut,
     deadline: Option<Instant>,
     max_body_bytes: usize,
 ) -> io::Result<Option<Result<Request, RequestError>>> {
-    let mut continued = false;
-    let mut begun = deadline.is_some() || !buffer.is_empty();
-    let timeout = if begun { READ_TIMEOUT } else { IDLE_TIMEOUT };
+    let mut continue_sent = false;
+    let mut started = deadline.is_some() || !buffer.is_empty();
+    let timeout = if started { READ_TIMEOUT } else { IDLE_TIMEOUT };
     let mut deadline = deadline.unwrap_or(Instant::now() + timeout);
     loop {
         let head = match message::read_head(buffer, max_body_bytes) {
@@ -48,8 +49,8 @@
             if let Some(request) = head.take(buffer) {
                 return Ok(Some(Ok(request)));
             }
-            if expects_continue && !continued {
-                continued = true;
+            if expects_continue && !continue_sent {
+                continue_sent = true;
                 stream.write_all(CONTINUE).await?;
             }
         }
@@ -58,8 +59,8 @@
             Ok(Err(error)) => return Err(error),
             Ok(Ok(0)) | Err(_) => return Ok(None),
         }
-        if !begun {
-            begun = true;
+        if !started {
+            started = true;
             deadline = Instant::now() + READ_TIMEOUT;
         }
     }
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -1,4 +1,4 @@
-//! The responses to clients.
+//! Builds the HTTP responses to clients.
 
 use super::Http;
 use super::message::Response;
@@ -8,26 +8,26 @@
 use sanddyke_tenancy::Reason;
 
 impl Http {
-    /// The response for an answer of the service to the request of this name.
-    pub(super) fn response(&self, name: &str, answer: Answer) -> Response {
+    /// Builds the response for the service's answer to the request with this client request id.
+    pub(super) fn response(&self, client_request_id: &str, answer: Answer) -> Response {
         match answer {
             Answer::Served(table) => {
                 let mut pages = split_into_pages(&table.rows, self.page_bytes);
                 if pages.len() == 1 {
                     return Response::json(200, page_body(&pages.remove(0), None));
                 }
-                Response::json(200, self.result_pages().insert(name, pages))
+                Response::json(200, self.result_pages().insert(client_request_id, pages))
             }
-            Answer::Rejected { retry_after, reason } => rejected(retry_after, reason),
-            Answer::Failed(reason) => Response::json(500, fault_body("Crashed", reason)),
-            Answer::Cancelled => Response::json(500, fault_body("Cancelled", None)),
-            Answer::Invalid(error) => unusable(invalid_status(&error), &error.to_string()),
+            Answer::Rejected { retry_after, reason } => rejection_response(retry_after, reason),
+            Answer::Failed(reason) => Response::json(500, error_body("Crashed", reason)),
+            Answer::Cancelled => Response::json(500, error_body("Cancelled", None)),
+            Answer::Invalid(error) => error_response(invalid_status(&error), &error.to_string()),
         }
     }
 }
 
-/// The response to a request that cannot be used.
-pub(super) fn unusable(status: u16, message: &str) -> Response {
+/// Builds an error response with this status and message. Its fault is `Unusable`.
+pub(super) fn error_response(status: u16, message: &str) -> Response {
     Response::json(status, serde_json::json!({ "fault": "Unusable", "why": message }).to_string())
 }
 
@@ -39,24 +39,26 @@
     }
 }
 
-/// The body of a fault, with the code of the tenant's limit that is the reason.
-fn fault_body(fault: &str, reason: Option<Reason>) -> String {
+/// Builds the body of an error response. `reason` is the limit of the tenant that caused the error, if one did.
+fn error_body(fault: &str, reason: Option<Reason>) -> String {
     match reason {
         Some(reason) => format!(r#"{{"fault":"{fault}","reason":"{}"}}"#, reason.code()),
         None => format!(r#"{{"fault":"{fault}"}}"#),
     }
 }
 
-/// A rejection says when to retry, in whole seconds as HTTP has it, and in milliseconds. One by a limit of the tenant
-/// has the status that HTTP clients know for its kind.
-fn rejected(retry_after: Micros, reason: Option<Reason>) -> Response {
+/// Builds the response to a rejected request.
+///
+/// The retry time is sent in milliseconds (`X-Throttle-Ms`) and in whole seconds (`Retry-After`, which allows no
+/// fractions). A rejection by a limit of the tenant has the HTTP status for that kind of limit.
+fn rejection_response(retry_after: Micros, reason: Option<Reason>) -> Response {
     let status = match reason {
         None => 503,
         Some(Reason::StatementBytes) => 413,
         Some(reason) if reason.passes_by_itself() => 429,
         Some(_) => 403,
     };
-    let response = Response::json(status, fault_body("Rejected", reason));
+    let response = Response::json(status, error_body("Rejected", reason));
     if retry_after.0 <= 0 {
         return response;
     }
