--- a/crates/cluster/src/lease_holder.rs
+++ b/crates/cluster/src/lease_holder.rs
@@ -152,7 +152,7 @@
 
     /// Returns the fencing token for an operation under the lease; `None` if no operation may begin at this time,
     /// because the lease is not held, has expired, or is being handed over. To be called right before each operation.
-    pub fn may_act(&self, lease: &str, now: Micros) -> Option<u64> {
+    pub fn fencing_token_for_operation(&self, lease: &str, now: Micros) -> Option<u64> {
         let held = self.held.get(lease)?;
         (now < held.expires_at_us && !held.is_finishing).then_some(held.fencing_token)
     }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -16,7 +16,7 @@
 mod schedule;
 
 pub use group::{AdmissionError, GroupVoters, VoterDisk, VoterIdentity};
-pub use input_output::{Input, Notice, Output};
+pub use input_output::{Input, LogEvent, Output};
 pub use message::{Envelope, MAX_MESSAGE_BYTES, MessageRejection, PROTOCOL_VERSION, PeerMessage};
 pub use routing::RoutedRequest;
 
@@ -199,11 +199,11 @@
                 self.membership.leave(now, &mut self.membership_events);
             }
         }
-        self.settle(now, disk, out);
+        self.process_events(now, disk, out);
     }
 
     /// Handles events and effects until no more follow.
-    fn settle(&mut self, now: Micros, mut disk: Option<&mut dyn VoterDisk>, out: &mut Vec<Output>) {
+    fn process_events(&mut self, now: Micros, mut disk: Option<&mut dyn VoterDisk>, out: &mut Vec<Output>) {
         loop {
             for event in std::mem::take(&mut self.membership_events) {
                 self.handle_membership_event(event, out);
@@ -235,7 +235,7 @@
                 out.push(Output::MemberDown(member));
                 self.update_ranks();
             }
-            MembershipEvent::Rejoined => out.push(Output::Notice(Notice::Rejoined)),
+            MembershipEvent::Rejoined => out.push(Output::LogEvent(LogEvent::Rejoined)),
         }
     }
 
@@ -256,7 +256,10 @@
     }
 
     fn send_restart_step(&self, now: Micros, member: &str, step: RestartStep, out: &mut Vec<Output>) {
-        let Some(fencing_token) = self.holder.may_act(rolling_restart::LEASE_NAME, now) else { return };
+        let Some(fencing_token) = self.holder.fencing_token_for_operation(rolling_restart::LEASE_NAME, now)
+        else {
+            return;
+        };
         let Some(to) = self.membership.address_of(member) else { return };
         if to == self.config.local.address {
             out.push(Output::RestartStep { reply_to: to, step });
@@ -283,7 +286,7 @@
         };
         out.push(match message::encode(&envelope) {
             Some(bytes) => Output::Send { to, bytes },
-            None => Output::Notice(Notice::MessageTooLong),
+            None => Output::LogEvent(LogEvent::MessageTooLong),
         });
     }
 
--- a/crates/cluster/src/node/group.rs
+++ b/crates/cluster/src/node/group.rs
@@ -5,7 +5,7 @@
 //! until an operator admits it under its new id.
 
 use super::message::{MessageRejection, PeerMessage};
-use super::{Node, Notice, Output};
+use super::{LogEvent, Node, Output};
 use crate::lease::{Incarnation, LeaseTable};
 use crate::lease_holder::Micros;
 use crate::voter::{Disk, PersistedState, Voter, VoterError};
@@ -213,7 +213,7 @@
                     *ids = voters.into_iter().map(|(id, name)| (name, id)).collect();
                 } else {
                     let reason = "its file was lost: the group knows it under another number".to_owned();
-                    out.push(Output::Notice(Notice::VoteUnavailable { reason: reason.clone() }));
+                    out.push(Output::LogEvent(LogEvent::VoteUnavailable { reason: reason.clone() }));
                     self.voter_state = VoterState::Disabled { reason };
                 }
             }
@@ -234,7 +234,7 @@
             Voter::start(id, &state)
         });
         if voter.is_ok() {
-            out.push(Output::Notice(Notice::VotingStarted { voters: voter_count }));
+            out.push(Output::LogEvent(LogEvent::VotingStarted { voters: voter_count }));
         }
         self.voter_identity = Some(VoterIdentity { id, founded: true });
         self.voter_state = VoterState::from_result(voter);
--- a/crates/cluster/src/node/input_output.rs
+++ b/crates/cluster/src/node/input_output.rs
@@ -77,12 +77,12 @@
     /// A manager reported its status.
     MemberStatus(ReportedStatus),
     /// An event for the log.
-    Notice(Notice),
+    LogEvent(LogEvent),
 }
 
 /// An event for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Notice {
+pub enum LogEvent {
     /// The other members had considered this manager down; it rejoined.
     Rejoined,
     /// A message exceeds the limit and is not sent.
@@ -109,18 +109,18 @@
     },
 }
 
-impl std::fmt::Display for Notice {
+impl std::fmt::Display for LogEvent {
     /// The text of the log line.
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Notice::Rejoined => {
+            LogEvent::Rejoined => {
                 out.write_str("rejoined after the other members considered this manager down")
             }
-            Notice::MessageTooLong => out.write_str("a message exceeds the size limit and is not sent"),
-            Notice::VotingStarted { voters } => write!(out, "voting started in a group of {voters}"),
-            Notice::VoteUnavailable { reason } => write!(out, "no vote: {reason}"),
-            Notice::VotingStopped { reason } => write!(out, "voting stopped: {reason}"),
-            Notice::LeaderChanged { leader } => {
+            LogEvent::MessageTooLong => out.write_str("a message exceeds the size limit and is not sent"),
+            LogEvent::VotingStarted { voters } => write!(out, "voting started in a group of {voters}"),
+            LogEvent::VoteUnavailable { reason } => write!(out, "no vote: {reason}"),
+            LogEvent::VotingStopped { reason } => write!(out, "voting stopped: {reason}"),
+            LogEvent::LeaderChanged { leader } => {
                 write!(out, "leader of the voters: {}", leader.as_deref().unwrap_or("none"))
             }
         }
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -1,7 +1,7 @@
 //! Routing of requests to the leader of the voters, and of its responses back.
 
 use super::message::PeerMessage;
-use super::{Node, Notice, Output, VoterState};
+use super::{LogEvent, Node, Output, VoterState};
 use crate::lease::{Incarnation, LeaseRequest, Proposal};
 use crate::lease_holder::Micros;
 use crate::voter::{AppliedProposal, Disk, VoterMessage, VoterOutput};
@@ -78,7 +78,7 @@
             Err(error) => {
                 // What it promised is persisted; it promises nothing more.
                 let reason = error.to_string();
-                out.push(Output::Notice(Notice::VotingStopped { reason: reason.clone() }));
+                out.push(Output::LogEvent(LogEvent::VotingStopped { reason: reason.clone() }));
                 self.voter_state = VoterState::Disabled { reason };
                 return;
             }
@@ -88,7 +88,7 @@
         let changed_table = output.table_changed.then(|| voter.table().clone());
         let VoterOutput { messages, applied, .. } = output;
         if leader != self.leader {
-            out.push(Output::Notice(Notice::LeaderChanged { leader: leader.clone() }));
+            out.push(Output::LogEvent(LogEvent::LeaderChanged { leader: leader.clone() }));
             self.leader = leader;
         }
         self.send_voter_messages(messages, out);
--- a/crates/cluster/src/simulation.rs
+++ b/crates/cluster/src/simulation.rs
@@ -8,29 +8,29 @@
 //! - at no moment of true time do two managers hold one lease, each by its own clock;
 //! - an act that a resource accepts never has a lower fencing token than one that it accepted before;
 //! - voters that have applied the same entries have the same table;
-//! - once all faults are over, each lease has a holder and all managers see each other within [`SETTLE_TIMEOUT_US`].
+//! - once all faults are over, each lease has a holder and all managers see each other within [`RECOVERY_TIMEOUT_US`].
 //!
 //! ```text
 //!   manager  a manager with its clock and disk     network  loss, delay, corruption of messages
-//!   world    events in order of virtual time       faults   what fails, and when
+//!   fleet    events in order of virtual time       faults   what fails, and when
 //!   checks   the invariants                        effects  what the managers do
 //! ```
 
 mod checks;
 mod effects;
 mod faults;
+mod fleet;
 mod manager;
 mod network;
-mod world;
 
 use crate::lease_holder::Micros;
+use fleet::SimulatedFleet;
 use thiserror::Error;
-use world::World;
 
 /// How long after the last fault each lease has a holder again, and all managers see each other: the longest lease that
 /// may have to expire (3 s), the time to find other members (a seed is asked each 5 s), and an election of the voters
 /// (1 s). Of 10,000 seeds the slowest took 5.0 s.
-pub const SETTLE_TIMEOUT_US: Micros = 10_000_000;
+pub const RECOVERY_TIMEOUT_US: Micros = 10_000_000;
 /// Duration of the leases, in microseconds.
 const LEASE_US: u64 = 3_000_000;
 /// Names of the leases.
@@ -80,9 +80,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SimulationSummary {
     /// Acts that the resource accepted.
-    pub acts: u64,
+    pub operations: u64,
     /// Acts of a former holder that the resource rejected by their fencing token.
-    pub fenced_acts: u64,
+    pub fenced_operations: u64,
     /// Number of grants.
     pub grants: u64,
     /// Total time without a holder, over all leases, in microseconds of true time.
@@ -94,7 +94,7 @@
     /// Their size, in bytes.
     pub message_bytes: u64,
     /// Time from the last fault until each lease had a holder, in microseconds.
-    pub settled_after_us: Micros,
+    pub recovery_time_us: Micros,
 }
 
 /// An invariant that did not hold.
@@ -116,7 +116,7 @@
     },
     /// The resource accepted an act with a lower fencing token than one before.
     #[error("{lease}: act {fencing_token} was accepted after {highest}")]
-    StaleAct {
+    StaleOperation {
         /// Name of the lease.
         lease: &'static str,
         /// Fencing token of the act.
@@ -146,9 +146,9 @@
     /// The fleet did not recover from the faults in time.
     #[error(
         "{} s after the last fault a lease has no holder, or a manager does not see all others",
-        SETTLE_TIMEOUT_US / 1_000_000
+        RECOVERY_TIMEOUT_US / 1_000_000
     )]
-    NotSettled,
+    NotRecovered,
     /// No event was left.
     #[error("no event is left")]
     NoEvents,
@@ -159,17 +159,17 @@
 /// # Errors
 /// The invariant that did not hold, and when.
 pub fn run(plan: SimulationPlan) -> Result<SimulationSummary, SimulationError> {
-    let mut world = World::new(plan);
-    let end_us = plan.fault_period_us + SETTLE_TIMEOUT_US;
-    while let Some(event) = world.next_event() {
-        let at_us = world.now;
+    let mut fleet = SimulatedFleet::new(plan);
+    let end_us = plan.fault_period_us + RECOVERY_TIMEOUT_US;
+    while let Some(event) = fleet.next_event() {
+        let at_us = fleet.now;
         if at_us > end_us {
-            return Err(SimulationError::NotSettled);
+            return Err(SimulationError::NotRecovered);
         }
-        world.handle(event).map_err(|violation| SimulationError::Violation { at_us, violation })?;
-        if at_us > plan.fault_period_us && world.is_settled() {
-            world.summary.settled_after_us = at_us - plan.fault_period_us;
-            return Ok(world.summary);
+        fleet.handle(event).map_err(|violation| SimulationError::Violation { at_us, violation })?;
+        if at_us > plan.fault_period_us && fleet.has_recovered() {
+            fleet.summary.recovery_time_us = at_us - plan.fault_period_us;
+            return Ok(fleet.summary);
         }
     }
     Err(SimulationError::NoEvents)
--- a/crates/cluster/src/simulation/checks.rs
+++ b/crates/cluster/src/simulation/checks.rs
@@ -1,13 +1,13 @@
 //! The holders of the leases in true time, and the invariants on them.
 
-use super::world::World;
+use super::fleet::SimulatedFleet;
 use super::{LEASES, Violation};
 use crate::lease_holder::Micros;
 use std::collections::HashMap;
 
 /// A lease as its holder counts it.
 #[derive(Debug, Clone, Copy)]
-struct Holding {
+struct HeldLease {
     fencing_token: u64,
     /// In true time.
     until: Micros,
@@ -17,14 +17,14 @@
 #[derive(Debug)]
 struct Holders {
     /// By manager.
-    holdings: HashMap<usize, Holding>,
+    held_by_manager: HashMap<usize, HeldLease>,
     /// Since when it has no holder.
-    free_since: Option<Micros>,
+    without_holder_since: Option<Micros>,
 }
 
 impl Holders {
     fn is_held(&self, now: Micros) -> bool {
-        self.holdings.values().any(|holding| holding.until > now)
+        self.held_by_manager.values().any(|held| held.until > now)
     }
 }
 
@@ -34,33 +34,33 @@
 
 impl HolderTracker {
     pub(super) fn new() -> HolderTracker {
-        let free = || Holders { holdings: HashMap::new(), free_since: Some(0) };
+        let free = || Holders { held_by_manager: HashMap::new(), without_holder_since: Some(0) };
         HolderTracker(LEASES.iter().map(|_| free()).collect())
     }
 
     pub(super) fn acquire(&mut self, lease: usize, manager: usize, fencing_token: u64, until: Micros) {
-        self.0[lease].holdings.insert(manager, Holding { fencing_token, until });
+        self.0[lease].held_by_manager.insert(manager, HeldLease { fencing_token, until });
     }
 
     pub(super) fn extend(&mut self, lease: usize, manager: usize, until: Micros) {
-        if let Some(holding) = self.0[lease].holdings.get_mut(&manager) {
-            holding.until = until;
+        if let Some(held) = self.0[lease].held_by_manager.get_mut(&manager) {
+            held.until = until;
         }
     }
 
     pub(super) fn end(&mut self, lease: usize, manager: usize) {
-        self.0[lease].holdings.remove(&manager);
+        self.0[lease].held_by_manager.remove(&manager);
     }
 
     pub(super) fn remove_manager(&mut self, manager: usize) {
         for lease in &mut self.0 {
-            lease.holdings.remove(&manager);
+            lease.held_by_manager.remove(&manager);
         }
     }
 
     /// The first manager that holds a lease.
     pub(super) fn first_holder(&self) -> Option<usize> {
-        self.0.iter().flat_map(|lease| lease.holdings.keys()).min().copied()
+        self.0.iter().flat_map(|lease| lease.held_by_manager.keys()).min().copied()
     }
 
     fn all_held(&self, now: Micros) -> bool {
@@ -68,18 +68,18 @@
     }
 }
 
-impl World {
+impl SimulatedFleet {
     /// Two managers never hold a lease at the same moment.
     pub(super) fn check_single_holder(&self, lease: usize, manager: usize) -> Result<(), Violation> {
-        let holdings = &self.holders.0[lease].holdings;
-        let other = holdings.iter().find(|(other, holding)| **other != manager && holding.until > self.now);
+        let held_by_manager = &self.holders.0[lease].held_by_manager;
+        let other = held_by_manager.iter().find(|(other, held)| **other != manager && held.until > self.now);
         match other {
-            Some((other, holding)) => Err(Violation::TwoHolders {
+            Some((other, held)) => Err(Violation::TwoHolders {
                 lease: LEASES[lease],
                 manager,
                 other: *other,
-                other_token: holding.fencing_token,
-                remaining_us: holding.until - self.now,
+                other_token: held.fencing_token,
+                remaining_us: held.until - self.now,
             }),
             None => Ok(()),
         }
@@ -88,22 +88,22 @@
     /// Records when leases become free or held.
     pub(super) fn update_holder_gaps(&mut self) {
         for lease in &mut self.holders.0 {
-            match (lease.is_held(self.now), lease.free_since) {
+            match (lease.is_held(self.now), lease.without_holder_since) {
                 (true, Some(since)) => {
                     let gap_us = self.now - since;
                     let summary = &mut self.summary;
                     summary.without_holder_us += gap_us;
                     summary.longest_without_holder_us = summary.longest_without_holder_us.max(gap_us);
-                    lease.free_since = None;
+                    lease.without_holder_since = None;
                 }
-                (false, None) => lease.free_since = Some(self.now),
+                (false, None) => lease.without_holder_since = Some(self.now),
                 _ => {}
             }
         }
     }
 
     /// Whether each lease has a holder, and all managers see each other.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn has_recovered(&self) -> bool {
         let sees_all = |other_count: usize| other_count + 1 == self.managers.len();
         self.holders.all_held(self.now)
             && self.managers.iter().all(|manager| {
--- a/crates/cluster/src/simulation/effects.rs
+++ b/crates/cluster/src/simulation/effects.rs
@@ -1,6 +1,6 @@
 //! What the managers do: inputs of their nodes, and the effects of the outputs.
 
-use super::world::World;
+use super::fleet::SimulatedFleet;
 use super::{DisabledSafeguard, LEASES, Violation};
 use crate::lease_holder::LeaseEffect;
 use crate::node::{Input, Output};
@@ -9,11 +9,11 @@
 const RETAINED_TABLES: usize = 64;
 
 /// Position of a lease.
-fn position(lease: &str) -> usize {
+fn lease_index(lease: &str) -> usize {
     LEASES.iter().position(|known| *known == lease).unwrap_or(0)
 }
 
-impl World {
+impl SimulatedFleet {
     /// Passes an input to a manager, and carries out its outputs.
     pub(super) fn input(&mut self, manager: usize, input: Input<'_>) -> Result<(), Violation> {
         let outputs = self.managers[manager].handle(self.now, input);
@@ -26,7 +26,7 @@
                 | Output::MemberDown(_)
                 | Output::RestartStep { .. }
                 | Output::MemberStatus(_)
-                | Output::Notice(_) => {}
+                | Output::LogEvent(_) => {}
             }
         }
         Ok(())
@@ -54,14 +54,14 @@
             LeaseEffect::Acquired { lease, fencing_token, expires_at_us } => {
                 self.summary.grants += 1;
                 let until = clock.true_time(expires_at_us);
-                self.holders.acquire(position(&lease), manager, fencing_token, until);
-                self.check_single_holder(position(&lease), manager)?;
+                self.holders.acquire(lease_index(&lease), manager, fencing_token, until);
+                self.check_single_holder(lease_index(&lease), manager)?;
             }
             LeaseEffect::Extended { lease, expires_at_us, .. } => {
-                self.holders.extend(position(&lease), manager, clock.true_time(expires_at_us));
-                self.check_single_holder(position(&lease), manager)?;
+                self.holders.extend(lease_index(&lease), manager, clock.true_time(expires_at_us));
+                self.check_single_holder(lease_index(&lease), manager)?;
             }
-            LeaseEffect::Ended { lease, .. } => self.holders.end(position(&lease), manager),
+            LeaseEffect::Ended { lease, .. } => self.holders.end(lease_index(&lease), manager),
             LeaseEffect::FinishWork { lease, .. } => {
                 self.input(manager, Input::WorkFinished { lease: &lease })?;
             }
@@ -72,18 +72,18 @@
     }
 
     /// An act arrives at its resource, which rejects tokens below the highest that it has accepted.
-    pub(super) fn accept_act(&mut self, lease: usize, fencing_token: u64) -> Result<(), Violation> {
+    pub(super) fn accept_operation(&mut self, lease: usize, fencing_token: u64) -> Result<(), Violation> {
         let highest = self.highest_tokens[lease];
         let is_stale = fencing_token < highest;
         if is_stale && self.plan.disabled != DisabledSafeguard::Fencing {
-            self.summary.fenced_acts += 1;
+            self.summary.fenced_operations += 1;
             return Ok(());
         }
         if is_stale {
-            return Err(Violation::StaleAct { lease: LEASES[lease], fencing_token, highest });
+            return Err(Violation::StaleOperation { lease: LEASES[lease], fencing_token, highest });
         }
         self.highest_tokens[lease] = fencing_token;
-        self.summary.acts += 1;
+        self.summary.operations += 1;
         Ok(())
     }
 }
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! What fails, and when.
 
-use super::network::MAX_LOSS;
-use super::world::{Event, World};
+use super::fleet::{Event, SimulatedFleet};
+use super::network::MAX_LOSS_PROBABILITY;
 use crate::lease_holder::Micros;
 
 /// When the first fault occurs, in microseconds.
@@ -17,7 +17,7 @@
 /// Maximum duration of a suspension, in microseconds.
 const MAX_SUSPENSION_US: Micros = 10_000_000;
 /// Maximum time until a crashed manager restarts, in microseconds.
-const MAX_DOWN_US: Micros = 5_000_000;
+const MAX_DOWNTIME_US: Micros = 5_000_000;
 /// Maximum time until a manager with a full disk restarts, in microseconds.
 const MAX_DISK_FULL_US: Micros = 8_000_000;
 /// Probability that a holder is suspended, rather than any manager.
@@ -26,7 +26,7 @@
 const OUTBOUND: u64 = 1;
 const INBOUND: u64 = 2;
 
-impl World {
+impl SimulatedFleet {
     pub(super) fn schedule_first_fault(&mut self) {
         let at = self.rng.rand_range(FIRST_FAULT_US);
         self.schedule_at(at, Event::Fault);
@@ -47,11 +47,11 @@
             3 | 4 => self.suspend(manager),
             5 | 6 if is_up => {
                 self.crash(manager);
-                let max_us = MAX_DOWN_US.min(self.remaining_us());
+                let max_us = MAX_DOWNTIME_US.min(self.remaining_us());
                 self.schedule_after(0, max_us, Event::Restart { manager });
             }
             7 if has_state => self.fill_disk(manager),
-            _ => self.network.loss = self.rng.rand_float() * MAX_LOSS,
+            _ => self.network.loss = self.rng.rand_float() * MAX_LOSS_PROBABILITY,
         }
         let next = self.now + self.rng.rand_range(FAULT_INTERVAL_US);
         if next < self.plan.fault_period_us {
--- a/crates/cluster/src/simulation/world.rs
+++ b/crates/cluster/src/simulation/fleet.rs
@@ -1,7 +1,7 @@
 //! The simulated fleet: events in order of virtual time.
 
 use super::checks::HolderTracker;
-use super::manager::{LocalClock, Manager, MemoryDisk, PermittedAct};
+use super::manager::{LocalClock, Manager, MemoryDisk, PermittedOperation};
 use super::network::Network;
 use super::{DisabledSafeguard, LEASE_US, LEASES, SimulationPlan, SimulationSummary, Violation};
 use crate::lease::{Incarnation, LeaseTable};
@@ -19,22 +19,22 @@
 /// Clocks start at a value below this one: some 13 days.
 const MAX_CLOCK_OFFSET_US: u64 = 1 << 40;
 /// The probability of losing a message at the start is below this one.
-const MAX_INITIAL_LOSS: f64 = 0.05;
+const MAX_INITIAL_LOSS_PROBABILITY: f64 = 0.05;
 /// Port of the first manager.
 const FIRST_PORT: u16 = 20_000;
 /// Number of zones.
 const ZONES: usize = 3;
 /// Probability that a manager is suspended between its check of the clock and its act.
-const SLOW_ACT_PROBABILITY: f64 = 0.01;
+const SLOW_OPERATION_PROBABILITY: f64 = 0.01;
 /// Maximum duration of an act, in microseconds.
-const MAX_ACT_US: Micros = 20_000;
+const MAX_OPERATION_US: Micros = 20_000;
 
 /// An event. Managers and leases are given by their position.
 #[derive(Debug, Clone)]
 pub(super) enum Event {
     Tick { manager: usize },
     Message { from: usize, to: usize, bytes: Vec<u8> },
-    Act { lease: usize, fencing_token: u64 },
+    Operation { lease: usize, fencing_token: u64 },
     Fault,
     Resume { manager: usize },
     Restart { manager: usize },
@@ -63,7 +63,7 @@
 }
 
 /// The simulated fleet.
-pub(super) struct World {
+pub(super) struct SimulatedFleet {
     pub(super) plan: SimulationPlan,
     pub(super) rng: Rand64,
     /// True time.
@@ -88,11 +88,11 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-impl World {
-    pub(super) fn new(plan: SimulationPlan) -> World {
+impl SimulatedFleet {
+    pub(super) fn new(plan: SimulationPlan) -> SimulatedFleet {
         let mut rng = Rand64::new(u128::from(plan.seed));
-        let network = Network::new(rng.rand_float() * MAX_INITIAL_LOSS);
-        let mut world = World {
+        let network = Network::new(rng.rand_float() * MAX_INITIAL_LOSS_PROBABILITY);
+        let mut fleet = SimulatedFleet {
             plan,
             rng,
             now: 0,
@@ -105,10 +105,10 @@
             summary: SimulationSummary::default(),
         };
         for number in 0..plan.managers {
-            world.add_manager(number);
+            fleet.add_manager(number);
         }
-        world.schedule_first_fault();
-        world
+        fleet.schedule_first_fault();
+        fleet
     }
 
     fn add_manager(&mut self, number: usize) {
@@ -153,7 +153,7 @@
                     self.input(to, Input::Message(&bytes))?;
                 }
             }
-            Event::Act { lease, fencing_token } => self.accept_act(lease, fencing_token)?,
+            Event::Operation { lease, fencing_token } => self.accept_operation(lease, fencing_token)?,
             Event::Resume { manager } => self.resume(manager)?,
             Event::Restart { manager } => {
                 if self.managers[manager].node.is_some() {
@@ -172,17 +172,19 @@
             return Ok(());
         }
         self.input(manager, Input::Tick)?;
-        self.begin_acts(manager);
+        self.begin_operations(manager);
         self.schedule_after(TICK_US * 9 / 10, TICK_US, Event::Tick { manager });
         Ok(())
     }
 
-    /// A holder checks whether it may act, and acts: the act arrives later, after whatever happens in between.
-    fn begin_acts(&mut self, manager: usize) {
-        for PermittedAct { lease, fencing_token } in self.managers[manager].permitted_acts(self.now) {
-            let is_slow = self.rng.rand_float() < SLOW_ACT_PROBABILITY;
-            let max_us = if is_slow { 4 * LEASE_US } else { MAX_ACT_US };
-            self.schedule_after(0, max_us, Event::Act { lease, fencing_token });
+    /// A holder checks whether it may act, and operations: the act arrives later, after whatever happens in between.
+    fn begin_operations(&mut self, manager: usize) {
+        for PermittedOperation { lease, fencing_token } in
+            self.managers[manager].permitted_operations(self.now)
+        {
+            let is_slow = self.rng.rand_float() < SLOW_OPERATION_PROBABILITY;
+            let max_us = if is_slow { 4 * LEASE_US } else { MAX_OPERATION_US };
+            self.schedule_after(0, max_us, Event::Operation { lease, fencing_token });
         }
     }
 
--- a/crates/cluster/src/simulation/manager.rs
+++ b/crates/cluster/src/simulation/manager.rs
@@ -1,7 +1,7 @@
 //! A simulated manager: its node, disk and clock.
 
 use super::LEASES;
-use super::world::Event;
+use super::fleet::Event;
 use crate::lease_holder::Micros;
 use crate::node::{Input, Node, Output, VoterDisk, VoterIdentity};
 use crate::voter::{Disk, PersistBatch, PersistedState};
@@ -89,7 +89,7 @@
 }
 
 /// An act that a manager may begin.
-pub(super) struct PermittedAct {
+pub(super) struct PermittedOperation {
     /// Position of the lease.
     pub(super) lease: usize,
     pub(super) fencing_token: u64,
@@ -122,13 +122,13 @@
         outputs
     }
 
-    /// The acts that may begin now.
-    pub(super) fn permitted_acts(&self, now: Micros) -> Vec<PermittedAct> {
+    /// The operations that may begin now.
+    pub(super) fn permitted_operations(&self, now: Micros) -> Vec<PermittedOperation> {
         let Some(node) = &self.node else { return Vec::new() };
         let local_time = self.clock.local_time(now);
         let permitted = |lease: usize| {
-            let fencing_token = node.holder().may_act(LEASES[lease], local_time)?;
-            Some(PermittedAct { lease, fencing_token })
+            let fencing_token = node.holder().fencing_token_for_operation(LEASES[lease], local_time)?;
+            Some(PermittedOperation { lease, fencing_token })
         };
         (0..LEASES.len()).filter_map(permitted).collect()
     }
--- a/crates/cluster/src/simulation/network.rs
+++ b/crates/cluster/src/simulation/network.rs
@@ -1,12 +1,12 @@
 //! The simulated network between managers.
 
-use super::world::{Event, World, manager_at};
+use super::fleet::{Event, SimulatedFleet, manager_at};
 use crate::lease_holder::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The probability of losing a message, after a fault, is below this one.
-pub(super) const MAX_LOSS: f64 = 0.3;
+pub(super) const MAX_LOSS_PROBABILITY: f64 = 0.3;
 /// Probability that a message is delivered twice.
 const DUPLICATE_PROBABILITY: f64 = 0.02;
 /// Probability that a message is delivered very late.
@@ -56,7 +56,7 @@
     }
 }
 
-impl World {
+impl SimulatedFleet {
     /// Sends a message over the network.
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.summary.messages += 1;
--- a/crates/cluster/tests/simulation.rs
+++ b/crates/cluster/tests/simulation.rs
@@ -22,8 +22,11 @@
     for seed in first..first + runs {
         match simulate(seed, DisabledSafeguard::None) {
             Ok(summary) => {
-                assert!(summary.acts > 0 && summary.grants > 0, "seed {seed}: nothing was done: {summary:?}");
-                fenced += summary.fenced_acts;
+                assert!(
+                    summary.operations > 0 && summary.grants > 0,
+                    "seed {seed}: nothing was done: {summary:?}"
+                );
+                fenced += summary.fenced_operations;
             }
             Err(error) => panic!("seed {seed}: {error}"),
         }
--- a/crates/testbed/src/bin/sanddyke-testbed/seeds.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/seeds.rs
@@ -81,14 +81,14 @@
 }
 
 fn print_summaries(summaries: &[SimulationSummary]) {
-    let acts: u64 = summaries.iter().map(|summary| summary.acts).sum();
-    let fenced: u64 = summaries.iter().map(|summary| summary.fenced_acts).sum();
+    let acts: u64 = summaries.iter().map(|summary| summary.operations).sum();
+    let fenced: u64 = summaries.iter().map(|summary| summary.fenced_operations).sum();
     let grants: u64 = summaries.iter().map(|summary| summary.grants).sum();
     println!(
         "{acts} acts, {fenced} kept out by their number, {grants} grants; after the last fault a holder within:"
     );
     let mut settled_after_ms: Vec<u64> =
-        summaries.iter().map(|summary| summary.settled_after_us / 1000).collect();
+        summaries.iter().map(|summary| summary.recovery_time_us / 1000).collect();
     settled_after_ms.sort_unstable();
     let quantile_ms = |quantile: f64| {
         let position = (settled_after_ms.len() as f64 * quantile) as usize;
--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -50,7 +50,7 @@
     if last_period.is_some_and(|last_period| last_period >= period) {
         return;
     }
-    let Some(fencing_token) = cluster.may_act(LEASE_NAME) else { return };
+    let Some(fencing_token) = cluster.fencing_token_for_operation(LEASE_NAME) else { return };
     match tenant_service.backup_as(&format!("period-{period}.redb"), fencing_token).await {
         Ok(is_written) => {
             let message = if is_written { "backup written" } else { "backup already present" };
--- a/src/cluster/handle.rs
+++ b/src/cluster/handle.rs
@@ -90,7 +90,7 @@
     }
 
     /// The fencing token to act under, if an act of the lease may begin now. To be called right before each act.
-    pub fn may_act(&self, lease: &str) -> Option<u64> {
+    pub fn fencing_token_for_operation(&self, lease: &str) -> Option<u64> {
         let now_us = self.clock.now().0.unsigned_abs();
         let held = self.held.borrow();
         let held = held.get(lease)?;
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -241,10 +241,10 @@
                     log::info!(incarnation:%; "cluster: member left or does not respond");
                     self.published.statuses.send_modify(|statuses| statuses.remove(&incarnation.name));
                 }
-                Output::Notice(notice) => log::info!("cluster: {notice}"),
+                Output::LogEvent(notice) => log::info!("cluster: {notice}"),
                 Output::RestartStep { reply_to, step } => {
                     let local_incarnation = self.node.membership().local().incarnation.number;
-                    self.process.take_step(step, local_incarnation);
+                    self.process.apply_step(step, local_incarnation);
                     replies
                         .push(Input::SendStatus { to: reply_to, status: self.process.status(&self.clock) });
                 }
@@ -272,7 +272,7 @@
         };
         self.publish_held_leases(now_us);
         if let (Some(event), Some(events)) = (event, self.event_senders.get(&lease))
-            // A task that misses the event finds out by `Cluster::may_act`.
+            // A task that misses the event finds out by `Cluster::fencing_token_for_operation`.
             && events.try_send(event).is_err()
         {
             log::warn!(lease = lease.as_str(); "lease event dropped: its task does not keep up");
@@ -308,7 +308,7 @@
             let state = HeldLease {
                 fencing_token: held.fencing_token,
                 expires_at_us: held.expires_at_us,
-                is_finishing: holder.may_act(held.lease, now_us).is_none(),
+                is_finishing: holder.fencing_token_for_operation(held.lease, now_us).is_none(),
             };
             (held.lease.to_owned(), state)
         });
--- a/src/cluster/process.rs
+++ b/src/cluster/process.rs
@@ -28,7 +28,7 @@
     }
 
     /// Takes a step of a rolling restart, unless it is for another incarnation than this one.
-    pub fn take_step(&self, step: RestartStep, local_incarnation: u64) {
+    pub fn apply_step(&self, step: RestartStep, local_incarnation: u64) {
         let result = match step {
             RestartStep::ReportStatus => return,
             RestartStep::Quiesce { incarnation } | RestartStep::Restart { incarnation }
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -92,7 +92,7 @@
     observations: &mut Observations,
     clock: &Clock,
 ) {
-    if cluster.may_act(LEASE_NAME).is_none() {
+    if cluster.fencing_token_for_operation(LEASE_NAME).is_none() {
         return;
     }
     let checkpoint = cluster.checkpoint(LEASE_NAME);
@@ -154,7 +154,7 @@
 /// # Errors
 /// If this manager does not hold the lease, the command does not fit the current state, or it was not saved.
 pub async fn execute(cluster: &Cluster, command: OperatorCommand) -> Result<(), OperatorCommandError> {
-    if cluster.may_act(LEASE_NAME).is_none() {
+    if cluster.fencing_token_for_operation(LEASE_NAME).is_none() {
         let holder = cluster.view().lease(LEASE_NAME).and_then(|lease| lease.holder.clone());
         return Err(OperatorCommandError::NotController { holder });
     }
