--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -1,9 +1,10 @@
-//! The lease of scheduled backups: one backup of the store in each period, whichever manager holds the lease.
+//! Scheduled backups of the store. The holder of the lease [`LEASE_NAME`] writes one backup in each period.
 //!
-//! Periods are counted from the Unix epoch, so that they are the same for every manager. A backup is named after its
-//! period, and appears under that name only once it is complete and if there is none (`Store::backup`); the lease's
-//! checkpoint is the last completed period. So if a holder crashes before its checkpoint is saved, the next one finds
-//! the file; if a holder is suspended in the middle, it finds the name taken when it resumes. Neither makes a second one.
+//! Periods are counted from the Unix epoch, so all managers agree on them. A backup is named after its period. It
+//! appears under this name only once it is complete, and never replaces an existing file (`Store::backup`). The
+//! checkpoint of the lease is the last completed period. A period therefore never gets a second backup: if a holder
+//! crashes before its checkpoint is saved, the next holder finds the file, and if a holder is suspended during a
+//! backup, it finds the name in use when it resumes.
 
 use super::{Cluster, LeaseEvent};
 use crate::clock::Clock;
@@ -12,14 +13,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Name of the lease.
+/// Name of the lease whose holder writes the backups.
 pub const LEASE_NAME: &str = "backup";
-/// How often a holder checks whether a period has begun.
+/// Interval at which each manager checks whether a backup is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a holder waits after a failed backup.
+/// Delay after a failed backup before the next attempt to write it.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Does the work of the lease as long as the program runs.
+/// Writes the due backups whenever this manager holds the lease. Returns when the sender of lease events is dropped.
 pub async fn run(
     cluster: Cluster,
     mut events: mpsc::Receiver<LeaseEvent>,
@@ -32,7 +33,7 @@
     loop {
         tokio::select! {
             event = events.recv() => match event {
-                // No backup is in progress between two polls.
+                // A poll awaits its backup, so none is in progress here and the lease can be released.
                 Some(LeaseEvent::FinishWork) => cluster.work_finished(LEASE_NAME).await,
                 Some(LeaseEvent::Acquired | LeaseEvent::CheckpointSaved | LeaseEvent::Ended) => {}
                 None => return,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Makes the backup of the current period, if this manager holds the lease and there is none.
+/// Writes the backup of the current period, if this manager holds the lease and the checkpoint shows no such backup.
 async fn back_up_if_due(cluster: &Cluster, tenant_service: &TenantService, clock: &Clock, period_ms: u64) {
     let period = clock.unix_ms() / period_ms;
     let checkpoint = cluster.checkpoint(LEASE_NAME);
@@ -57,7 +58,8 @@
             let at_us = clock.unix_us();
             log::info!(lease = LEASE_NAME, period, fencing_token, at_us; "{message}");
             cluster.save_checkpoint(LEASE_NAME, checkpoint.index, period.to_string()).await;
-            // The checkpoint is seen after some round trips of the voters; until then the next poll finds the file.
+            // The saved checkpoint becomes visible here after some round trips between the voters. A poll before that
+            // finds the existing file.
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(error) => {
--- a/src/cluster/handle.rs
+++ b/src/cluster/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of the program's tasks to the fleet: commands to the node, and its latest state.
+//! [`Cluster`], the handle through which the tasks of this process send commands to the node and read its latest state.
 
 use super::{ClusterView, HeldLeases};
 use crate::clock::Clock;
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// A command to the node, handled by its driver.
+/// A command to the node. The node driver executes it.
 #[cfg_attr(not(feature = "cluster"), allow(dead_code))]
 #[derive(Debug)]
 pub(super) enum NodeCommand {
@@ -39,39 +39,39 @@
     },
 }
 
-/// Where the result of a command is sent.
+/// Channel for the result of a command.
 pub(super) type Reply = oneshot::Sender<Result<(), CommandError>>;
 
-/// Why a command was rejected. The texts are those of the administration API.
+/// Why a command was rejected. The administration API returns these texts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// The lease is not held by this manager.
+    /// The lease can't be handed over, because this manager does not hold it.
     #[error("{lease} is not held here")]
     NotHeld {
-        /// Name of the lease.
+        /// Name of the lease that the command referred to.
         lease: String,
     },
-    /// The voter was not admitted.
+    /// The voter was not admitted: this manager is not the leader, or the voter is not waiting for admission.
     #[error("{reason}")]
     AdmissionRejected {
-        /// Why not.
+        /// Cause, as text for operators.
         reason: String,
     },
-    /// The program is shutting down.
+    /// The node driver stopped before it replied, because this process is shutting down.
     #[error("the program ends")]
     ShuttingDown,
 }
 
-/// A checkpoint of a lease with its log index.
+/// A checkpoint of a lease, and the index of the log entry that saved it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// Log index; 0 if there is no checkpoint.
+    /// Index of the log entry; 0 if there is no checkpoint.
     pub index: u64,
-    /// Progress of the lease's work.
+    /// Progress of the work under the lease, in the format of the task that does this work. Empty if there is none.
     pub text: String,
 }
 
-/// Handle to the fleet. Clones refer to the same node.
+/// Handle to the fleet. All clones refer to the node of this process.
 #[derive(Debug, Clone)]
 pub struct Cluster {
     pub(super) commands: mpsc::Sender<NodeCommand>,
@@ -84,12 +84,14 @@
 }
 
 impl Cluster {
-    /// The fleet as this manager sees it.
+    /// The latest published view of the fleet, as this manager sees it.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.borrow().clone()
     }
 
-    /// The fencing token to act under, if an act of the lease may begin now. To be called right before each act.
+    /// Returns the fencing token for an operation under the lease; `None` if no operation may begin now, because this
+    /// manager does not hold the lease, it has expired, or it is being handed over. To be called right before each
+    /// operation.
     pub fn fencing_token_for_operation(&self, lease: &str) -> Option<u64> {
         let now_us = self.clock.now().0.unsigned_abs();
         let held = self.held.borrow();
@@ -97,12 +99,12 @@
         (now_us < held.expires_at_us && !held.is_finishing).then_some(held.fencing_token)
     }
 
-    /// Name of this manager.
+    /// The configured name of this manager.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The latest checkpoint of a lease that is known here.
+    /// The latest checkpoint of a lease that this manager knows. Index 0 and an empty text if it knows none.
     pub fn checkpoint(&self, lease: &str) -> Checkpoint {
         let view = self.view.borrow();
         let lease = view.lease(lease);
@@ -112,20 +114,21 @@
         })
     }
 
-    /// Status of the managers, as they reported it to this one.
+    /// The latest status that each manager has reported to this one, by manager.
     #[cfg(feature = "cluster")]
     pub fn statuses(&self) -> MemberStatuses {
         self.statuses.borrow().clone()
     }
 
-    /// Sends a manager a step of a rolling restart, if this manager holds the lease.
+    /// Sends a step of a rolling restart to the manager named `member`. Does nothing unless this manager holds the
+    /// lease.
     #[cfg(feature = "cluster")]
     pub async fn send_restart_step(&self, member: &str, step: RestartStep) {
         self.send(NodeCommand::SendRestartStep { member: member.to_owned(), step }).await;
     }
 
     async fn send(&self, command: NodeCommand) {
-        // The driver's thread runs as long as the program.
+        // Sending fails only if the driver's thread has ended, and this thread runs until the process exits.
         let _shutting_down = self.commands.send(command).await;
     }
 
@@ -135,38 +138,39 @@
         result.await.unwrap_or(Err(CommandError::ShuttingDown))
     }
 
-    /// Requests that a checkpoint be saved, unless another one was saved since the one that it is based on.
+    /// Requests that a checkpoint be saved. The voters reject it if another checkpoint was saved after the one at log
+    /// index `based_on`.
     pub async fn save_checkpoint(&self, lease: &str, based_on: u64, checkpoint: String) {
         self.send(NodeCommand::SaveCheckpoint { lease: lease.to_owned(), based_on, checkpoint }).await;
     }
 
-    /// Reports that the work of a lease that is being handed over is finished.
+    /// Reports that the work under a lease that is being handed over is finished, so the lease can be released.
     pub async fn work_finished(&self, lease: &str) {
         self.send(NodeCommand::WorkFinished { lease: lease.to_owned() }).await;
     }
 
-    /// Hands a lease that this manager holds over to the next one.
+    /// Starts the handover of a lease from this manager to the next one.
     ///
     /// # Errors
-    /// If this manager does not hold it.
+    /// If this manager does not hold the lease.
     pub async fn hand_over(&self, lease: &str) -> Result<(), CommandError> {
         self.call(|reply| NodeCommand::HandOver { lease: lease.to_owned(), reply }).await
     }
 
-    /// Admits a voter whose file was lost, under its new id.
+    /// Admits a voter whose file was lost. It joins the group under its new id.
     ///
     /// # Errors
-    /// If this manager is not the leader, or the voter does not wait for admission.
+    /// If this manager is not the leader, or the voter is not waiting for admission.
     pub async fn admit(&self, voter: &str) -> Result<(), CommandError> {
         self.call(|reply| NodeCommand::Admit { voter: voter.to_owned(), reply }).await
     }
 
-    /// Hands all leases over and acquires none (`true`), or acquires leases again (`false`).
+    /// Starts (`true`) or ends (`false`) draining. A draining manager hands over all its leases and acquires none.
     pub async fn set_draining(&self, is_draining: bool) {
         self.send(NodeCommand::SetDraining(is_draining)).await;
     }
 
-    /// Leaves the fleet; returns once the others are notified.
+    /// Leaves the fleet. Returns once this manager holds no lease and the messages to the other managers are queued.
     pub async fn leave(&self) {
         let (reply, left) = oneshot::channel();
         self.send(NodeCommand::Leave { reply }).await;
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,7 +1,8 @@
-//! The fleet, where managers communicate with each other (`[cluster]`): the driver of a [`sanddyke_cluster`] node. It has
-//! its own thread, runtime, descriptors and disk, so that no request ever waits for a peer or for the voter's disk. It is
-//! built with the feature `cluster` only: its dependencies are a fifth of the program's size, and the platform does not
-//! use it.
+//! Runs a [`sanddyke_cluster`] node, through which the managers of a fleet communicate with each other (`[cluster]`).
+//!
+//! The node has its own thread, runtime, descriptors and disk, so that no request waits for a peer or for the voter's
+//! disk. It is compiled only with the feature `cluster`, because its dependencies are a fifth of the program's size and
+//! the platform does not use it.
 
 pub mod backup;
 mod handle;
@@ -29,37 +30,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Name of the lease of the rolling-restart controller.
+/// Name of the lease whose holder controls rolling restarts.
 pub const ROLLING_RESTART_LEASE: &str = "warden";
-/// How often the program's lifecycle is checked.
+/// Interval at which the lifecycle of this process is checked.
 const LIFECYCLE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A change of a lease, for the task that does its work.
+/// A change of a lease, reported to the task that does the work under it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// This manager holds the lease.
+    /// This manager has acquired the lease.
     Acquired,
-    /// The checkpoint that was to be saved is saved.
+    /// The voters have saved a checkpoint that this manager requested.
     CheckpointSaved,
-    /// Finish what was begun, begin nothing more, and report with [`Cluster::work_finished`].
+    /// The lease is being handed over. The task finishes the operations that it has begun, begins no more, and then
+    /// calls [`Cluster::work_finished`].
     FinishWork,
-    /// This manager no longer holds the lease.
+    /// This manager no longer holds the lease, because it was released, expired, or was lost.
     Ended,
 }
 
-/// A lease that this manager holds. Times are of the program's clock, in microseconds.
+/// A lease that this manager holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeldLease {
     fencing_token: u64,
+    /// By the monotonic clock of this process.
     expires_at_us: u64,
-    /// It is being handed over: no further act may begin.
+    /// The lease is being handed over, and no further operation may begin under it.
     is_finishing: bool,
 }
 
-/// The leases that this manager holds, by name.
+/// The leases that this manager holds, by name of the lease.
 type HeldLeases = BTreeMap<String, HeldLease>;
 
-/// Hands leases over while the program is drained or shuts down, and acquires them again after a drain.
+/// Hands over all leases while this process is drained or shuts down, and allows new acquisitions after a drain.
+/// Returns once shutdown has begun.
 pub async fn follow_lifecycle(cluster: Cluster, lifecycle: LifecycleHandle) {
     let mut was_draining = false;
     loop {
--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -1,5 +1,5 @@
-//! The driver of the node, on a thread of its own: it passes time, messages and commands to the node, and carries out
-//! the node's outputs.
+//! Drives the node on its own thread. It passes time, messages and commands to the node, and applies the outputs of the
+//! node.
 
 use super::handle::{Cluster, NodeCommand};
 use super::peer_transport::PeerTransport;
@@ -19,29 +19,29 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Commands and messages that may wait for the node.
+/// Capacity of the queue of commands and of the queue of received messages.
 const QUEUE_CAPACITY: usize = 1024;
-/// Events that may wait for the task that does a lease's work.
+/// Capacity of the queue of events of one lease. Further events are dropped.
 const EVENT_QUEUE_CAPACITY: usize = 16;
-/// How often the time is passed to the node: half a voter's tick.
+/// Interval at which the time is passed to the node: half a tick of the voter.
 const TICK_INTERVAL: Duration = Duration::from_micros(TICK_US / 2);
-/// How often the view of the fleet is updated; it is also updated at each change of a lease.
+/// Interval at which the view of the fleet is published. It is also published at each change of a lease.
 const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The fleet that this manager has joined.
 #[derive(Debug)]
 pub struct JoinedCluster {
-    /// Handle to the fleet.
+    /// Handle to the node; cloned for each task that uses it.
     pub cluster: Cluster,
-    /// Events for the tasks that do the work of the leases, by name of the lease.
+    /// Events for the tasks that do the work under the leases, by name of the lease.
     pub lease_events: BTreeMap<String, mpsc::Receiver<LeaseEvent>>,
 }
 
-/// Joins the fleet.
+/// Joins the fleet, and starts the thread of the node.
 ///
 /// # Errors
-/// If the address can't be listened on, or the thread can't be started. A voter's file that can't be used is no error:
-/// the manager serves without a vote, and logs why.
+/// If the address can't be listened on, or the thread can't be started. A voter file that can't be used is not an
+/// error: this manager logs the cause and serves without a vote.
 pub fn start(
     fleet: Fleet,
     name: &str,
@@ -94,7 +94,7 @@
     Ok(JoinedCluster { cluster, lease_events })
 }
 
-/// The voter's file, if this manager is a voter and the file can be used.
+/// Opens the voter file. Returns `None` if this manager is not configured as a voter, or the file can't be used.
 fn open_voter_disk(fleet: &Fleet, name: &str) -> Option<FileVoterDisk> {
     if !fleet.voters.iter().any(|voter| voter == name) {
         return None;
@@ -109,7 +109,8 @@
 }
 
 fn node_config(fleet: &Fleet, name: &str, clock: &Clock, seed: u64) -> NodeConfig {
-    // Two starts under one name in the same millisecond would be one incarnation: no process manager does that.
+    // The incarnation is the start time in ms. Two starts under one name in the same millisecond would share it, but no
+    // process supervisor restarts that fast.
     let incarnation = Incarnation { name: name.to_owned(), number: clock.unix_ms() };
     NodeConfig {
         cluster: fleet.name.clone(),
@@ -129,7 +130,7 @@
     node
 }
 
-/// State that the handles read.
+/// Senders of the state that the [`Cluster`] handles read.
 struct PublishedState {
     view: watch::Sender<Arc<ClusterView>>,
     held: watch::Sender<HeldLeases>,
@@ -145,7 +146,7 @@
     published: PublishedState,
     process: ProcessControl,
     sent: MessageCounters,
-    /// Callers that wait until this manager holds no lease and has left.
+    /// Callers of [`Cluster::leave`] that wait until this manager holds no lease and has left the fleet.
     pending_leaves: Vec<oneshot::Sender<()>>,
 }
 
@@ -194,7 +195,7 @@
             }
             NodeCommand::SetDraining(is_draining) => self.input(Input::SetDraining(is_draining)),
             NodeCommand::Leave { reply } => {
-                // The leases first: the tasks that do their work report when it is finished.
+                // Leases are released before this manager leaves. `publish_view` completes the call once none is held.
                 if self.node.holder().held(self.now_us()).next().is_some() {
                     self.pending_leaves.push(reply);
                 } else {
@@ -212,11 +213,11 @@
 
     fn leave(&mut self, reply: oneshot::Sender<()>) {
         self.input(Input::Leave);
-        // The messages are sent by other tasks of this thread, right after this one yields.
+        // Other tasks of this thread send the queued messages when this task yields.
         let _caller_left = reply.send(());
     }
 
-    /// Passes an input to the node, and carries out its outputs.
+    /// Passes an input to the node, and applies the outputs of the node.
     fn input(&mut self, input: Input<'_>) {
         let now_us = self.now_us();
         let mut outputs = Vec::new();
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Publishes a change of a lease. `now_us` is the time of the input that it follows from: the change itself may have
-    /// waited for the disk.
+    /// Publishes a change of a lease. `now_us` is the time of the input that caused the change. The current time may be
+    /// later, because handling the input may wait for the disk.
     fn handle_effect(&mut self, now_us: u64, effect: LeaseEffect) {
         self.log_effect(now_us, &effect);
         let (lease, event) = match effect {
@@ -272,7 +273,7 @@
         };
         self.publish_held_leases(now_us);
         if let (Some(event), Some(events)) = (event, self.event_senders.get(&lease))
-            // A task that misses the event finds out by `Cluster::fencing_token_for_operation`.
+            // A task that misses the event still sees the change in `Cluster::fencing_token_for_operation`.
             && events.try_send(event).is_err()
         {
             log::warn!(lease = lease.as_str(); "lease event dropped: its task does not keep up");
@@ -280,7 +281,8 @@
         self.publish_view();
     }
 
-    /// Each line has the Unix time in microseconds: the history of a fleet is reconstructed from its logs.
+    /// Logs a change of a lease with its Unix time in microseconds, from which the history of a fleet can be
+    /// reconstructed.
     fn log_effect(&self, now_us: u64, effect: &LeaseEffect) {
         let at_us = self.clock.unix_us_of(Micros(now_us as i64));
         match effect {
@@ -363,7 +365,7 @@
         members
     }
 
-    /// The leases that are configured here, and those of the table, by name.
+    /// The leases configured at this manager and the leases in the table, in order of their names.
     fn lease_views(&self) -> Vec<LeaseView> {
         let table = self.node.table();
         let names: BTreeSet<&String> = self.event_senders.keys().chain(table.leases.keys()).collect();
--- a/src/cluster/peer_transport.rs
+++ b/src/cluster/peer_transport.rs
@@ -1,5 +1,5 @@
-//! Connections between managers: one for each direction, each used one way, with length-delimited messages. A message
-//! that can't be sent is dropped; the sender repeats what it needs.
+//! Transports length-delimited messages between managers over TCP. A pair of managers uses two connections, one for
+//! each direction. A message that can't be sent is dropped, and the node resends what it needs.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -12,20 +12,21 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Messages that are queued for one manager; further ones are dropped.
+/// Maximum number of messages queued for one manager. Further messages are dropped.
 const QUEUE_CAPACITY: usize = 256;
-/// Maximum number of connections, in each direction.
+/// Maximum number of outgoing connections, and of incoming connections.
 const MAX_CONNECTIONS: usize = 1024;
-/// A connection that is not established within this time is given up.
+/// Connection attempts fail after this time, and the queued messages are dropped.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection on which a message can't be written within this time is closed.
+/// A connection is closed if writing one message takes longer than this.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection without messages for this time is closed: members send to each other about once a round of all.
+/// A connection without messages for this time is closed. Members send to each other about once in each probe round
+/// over all members.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause after an error of `accept`, which is often a lack of descriptors.
+/// Delay after an error of `accept`. Such an error is often a lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The connections to other managers.
+/// Queues of the outgoing connections, by address of the manager.
 pub struct PeerTransport {
     local: SocketAddr,
     queues: HashMap<SocketAddr, mpsc::Sender<Bytes>>,
@@ -36,13 +37,14 @@
 }
 
 impl PeerTransport {
-    /// Accepts connections from now on; received messages go to `inbox`.
+    /// Starts to accept connections. Received messages are sent to `inbox`.
     pub fn start(listener: TcpListener, local: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) -> PeerTransport {
         tokio::spawn(accept(listener, inbox));
         PeerTransport { local, queues: HashMap::new() }
     }
 
-    /// Queues a message; `false` if it is dropped.
+    /// Queues a message. Returns `false` if the message is dropped, because the queue is full or too many connections
+    /// exist.
     pub fn send(&mut self, to: SocketAddr, message: Vec<u8>) -> bool {
         self.queues.retain(|_, queue| !queue.is_closed());
         if !self.queues.contains_key(&to) && self.queues.len() >= MAX_CONNECTIONS {
@@ -59,7 +61,7 @@
 
 async fn connect(local: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // From the address that this manager listens on, by which others recognise it.
+    // Connects from the address that this manager listens on, by which others recognise it.
     if local.is_ipv4() == to.is_ipv4() {
         socket.bind(SocketAddr::new(local.ip(), 0))?;
     }
@@ -68,7 +70,7 @@
     Ok(stream)
 }
 
-/// Sends the queued messages to one manager until the connection ends. The next message opens another one.
+/// Sends the queued messages to one manager until the connection ends. The next message opens another connection.
 async fn send_all(local: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
     let stream = match connect(local, to).await {
         Ok(stream) => stream,
--- a/src/cluster/process.rs
+++ b/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! What a rolling restart does to this process.
+//! Applies the steps of a rolling restart to this process, and reports its status.
 
 use crate::clock::Clock;
 use crate::lifecycle::LifecycleHandle;
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// The program's lifecycle, and the signal to exit for a restart.
+/// Access to the lifecycle of this process, and the signal to exit for a restart.
 #[derive(Debug, Clone)]
 pub struct ProcessControl {
-    /// The program's lifecycle.
+    /// Lifecycle that the steps are applied to.
     pub lifecycle: LifecycleHandle,
-    /// Notified when the program is to exit; its supervisor starts it again.
+    /// Notified when this process is to exit. The process supervisor starts it again.
     pub restart: Arc<Notify>,
 }
 
 impl ProcessControl {
-    /// The status of this manager.
+    /// The current status of this manager.
     pub fn status(&self, clock: &Clock) -> MemberStatus {
         MemberStatus {
             ready: self.lifecycle.is_ready(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes a step of a rolling restart, unless it is for another incarnation than this one.
+    /// Applies a step of a rolling restart. Ignores a step that names another incarnation.
     pub fn apply_step(&self, step: RestartStep, local_incarnation: u64) {
         let result = match step {
             RestartStep::ReportStatus => return,
--- a/src/cluster/restart_controller.rs
+++ b/src/cluster/restart_controller.rs
@@ -1,5 +1,5 @@
-//! The controller of rolling restarts ([`sanddyke_cluster::rolling_restart`]): the work of its lease. The holder advances
-//! the rolling restart in the lease's checkpoint; the next holder continues from there.
+//! Controls rolling restarts ([`sanddyke_cluster::rolling_restart`]) while this manager holds their lease. The state of
+//! the rolling restart is the checkpoint of the lease, so the next holder continues from it.
 
 use super::{Checkpoint, Cluster, LeaseEvent};
 use crate::clock::Clock;
@@ -12,62 +12,63 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// How often the rolling restart is advanced, and managers are asked for their status.
+/// Interval at which the rolling restart is advanced and the managers are polled for their status.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
-/// A checkpoint that is not saved by then is derived anew.
+/// If a checkpoint is not saved within this time, the controller derives it again from the latest one.
 const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the checkpoint is polled while it is being saved.
+/// Interval at which the latest checkpoint is read while one is being saved.
 const CHECKPOINT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long an operator's command waits until its checkpoint is saved.
+/// An operator's command fails if its checkpoint is not saved within this time.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An operator's command.
+/// A command that an operator sends through the administration API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// Start a rolling restart.
     Start {
-        /// What is done to each manager.
+        /// Whether each manager is only drained, or also restarted.
         mode: RestartMode,
-        /// How many managers at once.
+        /// Maximum number of managers that are drained or restarted at once.
         max_active: usize,
     },
-    /// Pause, resume or cancel it.
+    /// Pause, resume or cancel the current rolling restart.
     SetState(RestartState),
 }
 
-/// Why an operator's command was rejected. The texts are those of the administration API.
+/// Why an operator's command was rejected. The administration API returns these texts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OperatorCommandError {
-    /// This manager does not hold the lease.
+    /// This manager does not hold the lease of the controller.
     #[error("ask the holder of {LEASE_NAME}: {}", holder.as_deref().unwrap_or("nobody holds it now"))]
     NotController {
-        /// Name of the manager that does.
+        /// Name of the manager that holds the lease; `None` if none is known.
         holder: Option<String>,
     },
-    /// There is one that has not ended.
+    /// A rolling restart that has not ended exists, so none can be started.
     #[error("a roll is open: take it back first")]
     AlreadyOpen,
-    /// There is none.
+    /// No rolling restart exists whose state could be changed.
     #[error("there is no roll")]
     NoRollingRestart,
-    /// The requested state does not follow on the current one.
+    /// The requested state can't follow the current one.
     #[error(transparent)]
     InvalidTransition(#[from] InvalidTransition),
-    /// Its state exceeds the limit of a checkpoint.
+    /// The encoded state exceeds [`MAX_CHECKPOINT_BYTES`].
     #[error("too many managers for one roll: {bytes} bytes of {MAX_CHECKPOINT_BYTES}")]
     TooManyMembers {
-        /// Size of its state, in bytes.
+        /// Size of the encoded state, in bytes.
         bytes: usize,
     },
-    /// The voters did not save the checkpoint in time.
+    /// The voters did not save the checkpoint within `COMMAND_TIMEOUT`. They may still save it later.
     #[error("the voters did not take it in time: look whether it was")]
     NotSaved,
-    /// Another checkpoint was saved instead.
+    /// The controller saved another checkpoint at the same time, and the command had no effect.
     #[error("the roll took a step at the same moment: try again")]
     Overtaken,
 }
 
-/// Controls rolling restarts as long as the program runs and this manager holds the lease.
+/// Advances the rolling restart whenever this manager holds the lease. Returns when the sender of lease events is
+/// dropped.
 pub async fn run(cluster: Cluster, mut events: mpsc::Receiver<LeaseEvent>, clock: Clock) {
     let mut steps = tokio::time::interval(STEP_INTERVAL);
     steps.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -85,7 +86,7 @@
     }
 }
 
-/// Advances the rolling restart that is in progress, if there is one and this manager holds the lease.
+/// Advances the rolling restart by one step, if one is unfinished and this manager holds the lease.
 async fn advance(
     cluster: &Cluster,
     events: &mut mpsc::Receiver<LeaseEvent>,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Asks all managers without a step for their status.
+/// Requests the status of all managers that are not active. Active managers report it in response to their step.
 async fn poll_statuses(cluster: &Cluster, restart: &RollingRestart) {
     let view = cluster.view();
     let others = view.members.iter().map(|member| member.name.as_str());
@@ -126,8 +127,9 @@
     }
 }
 
-/// Saves a rolling restart, and waits until another checkpoint is seen, this one or an operator's, or until a timeout.
-/// In each case the next step is derived from the checkpoint that is seen then.
+/// Saves the state of a rolling restart. Waits until the latest checkpoint changes, to this state or to that of an
+/// operator's command, or until [`CHECKPOINT_TIMEOUT`]. In each case the caller derives the next step from the latest
+/// checkpoint.
 async fn save(
     cluster: &Cluster,
     events: &mut mpsc::Receiver<LeaseEvent>,
@@ -149,10 +151,11 @@
     .await;
 }
 
-/// Carries out an operator's command.
+/// Executes an operator's command.
 ///
 /// # Errors
-/// If this manager does not hold the lease, the command does not fit the current state, or it was not saved.
+/// If this manager does not hold the lease, the command is invalid in the current state, or the resulting checkpoint
+/// was not saved.
 pub async fn execute(cluster: &Cluster, command: OperatorCommand) -> Result<(), OperatorCommandError> {
     if cluster.fencing_token_for_operation(LEASE_NAME).is_none() {
         let holder = cluster.view().lease(LEASE_NAME).and_then(|lease| lease.holder.clone());
@@ -182,7 +185,7 @@
     if has_taken_effect(cluster, command) { Ok(()) } else { Err(OperatorCommandError::Overtaken) }
 }
 
-/// All managers, this one included.
+/// All managers that are up, including this one.
 fn all_members(cluster: &Cluster) -> Vec<PlannedMember> {
     let view = cluster.view();
     let mut members: Vec<PlannedMember> = view
@@ -203,7 +206,8 @@
     tokio::time::timeout(COMMAND_TIMEOUT, changed).await.map_err(|_| OperatorCommandError::NotSaved)
 }
 
-/// The controller may have saved a checkpoint at the same moment: after the command's, or instead of it.
+/// Returns whether the latest checkpoint reflects the command. The controller may have saved another checkpoint at the
+/// same time, after that of the command or instead of it.
 fn has_taken_effect(cluster: &Cluster, command: OperatorCommand) -> bool {
     let checkpoint = cluster.checkpoint(LEASE_NAME);
     let Some(restart) = RollingRestart::from_checkpoint(&checkpoint.text) else { return false };
--- a/src/cluster/restart_controller/tests.rs
+++ b/src/cluster/restart_controller/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Operators' tools show these texts, and the administration API has them since its first version.
+/// The administration API returns these texts since its first version, and operators' tools show them. Guards against
+/// an unintended change of a text.
 #[test]
 fn rejected_commands_have_the_texts_of_the_api() {
     let invalid = InvalidTransition { current: RestartState::Done, requested: RestartState::Cancelling };
--- a/src/cluster/view.rs
+++ b/src/cluster/view.rs
@@ -1,51 +1,51 @@
-//! The fleet as this manager sees it, for the administration API and metrics. The JSON field names are those of the API.
+//! The fleet as this manager sees it, for the administration API and metrics. The JSON field names are part of the API.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A lease.
+/// State of one lease.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LeaseView {
-    /// Its name.
+    /// Name of the lease.
     pub name: String,
-    /// Name of the manager that holds it, as far as it is known here.
+    /// Name of the holder in the latest table that this manager knows; `None` if the lease is free.
     pub holder: Option<String>,
-    /// Fencing token of the holder.
+    /// Fencing token of the holder; `None` if the lease is free.
     #[serde(rename = "fence")]
     pub fencing_token: Option<u64>,
-    /// Remaining time in ms, if this manager holds it.
+    /// Time until the lease expires, in ms; `None` unless this manager holds the lease.
     pub left_ms: Option<u64>,
-    /// Progress of its work.
+    /// Checkpoint of the work under the lease; empty if there is none.
     #[serde(rename = "note")]
     pub checkpoint: String,
-    /// Log index of the checkpoint.
+    /// Index of the log entry that saved the checkpoint; 0 if there is none.
     #[serde(rename = "noted")]
     pub checkpoint_index: u64,
 }
 
-/// A member.
+/// Another member of the fleet that is up.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct MemberView {
-    /// Its name.
+    /// Name of the manager.
     pub name: String,
-    /// Its incarnation, another after each start.
+    /// Incarnation of the manager. Each start of the process has a new one.
     #[serde(rename = "life")]
     pub incarnation: String,
     /// Address at which other managers reach it.
     pub address: String,
-    /// Its zone.
+    /// Zone of the manager; empty if none is configured.
     pub zone: String,
 }
 
-/// Counters of sent messages. In JSON an array of the three.
+/// Counters of sent messages since the start. In JSON, an array of the three numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 3]")]
 pub struct MessageCounters {
-    /// Number of messages.
+    /// Number of messages, including dropped ones.
     pub messages: u64,
-    /// Their size, in bytes.
+    /// Total size of the messages, in bytes.
     pub bytes: u64,
-    /// Messages that were dropped, as their recipient's queue was full.
+    /// Number of messages that were dropped, because the recipient's queue was full or too many connections existed.
     pub dropped: u64,
 }
 
@@ -55,42 +55,42 @@
     }
 }
 
-/// The fleet.
+/// State of the fleet, as this manager knows it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ClusterView {
     /// Incarnation of this manager.
     #[serde(rename = "me")]
     pub local_incarnation: String,
-    /// Zone of this manager.
+    /// Zone of this manager; empty if none is configured.
     pub zone: String,
-    /// Status of its voter.
+    /// Status of the voter of this manager, as text for operators.
     #[serde(rename = "vote")]
     pub voter_status: String,
-    /// Id of its voter.
+    /// Id of the voter of this manager, in hexadecimal; `None` if it is not a voter.
     #[serde(rename = "ballot")]
     pub voter_id: Option<String>,
-    /// Log index of the table of leases.
+    /// Index of the last log entry in the table of leases.
     #[serde(rename = "index")]
     pub table_index: u64,
-    /// Names of the voters, by id.
+    /// Names of the voters, by voter id in hexadecimal.
     pub voters: BTreeMap<String, String>,
-    /// Names of voters that wait for admission.
+    /// Names of the voters that wait until an operator admits them.
     #[serde(rename = "waiting")]
     pub waiting_voters: Vec<String>,
-    /// The other members.
+    /// The other members that are up, in order of their names.
     pub members: Vec<MemberView>,
-    /// The leases.
+    /// The leases, in order of their names.
     #[serde(rename = "duties")]
     pub leases: Vec<LeaseView>,
-    /// Numbers of rejected messages, by reason.
+    /// Number of rejected messages by the code of the reason, since the start.
     #[serde(rename = "refused")]
     pub rejections: BTreeMap<String, u64>,
-    /// Counters of sent messages.
+    /// Counters of the messages that this manager sent.
     pub sent: MessageCounters,
 }
 
 impl ClusterView {
-    /// The lease of this name.
+    /// The lease with this name; `None` if it is neither configured at this manager nor in the table.
     pub fn lease(&self, name: &str) -> Option<&LeaseView> {
         self.leases.iter().find(|lease| lease.name == name)
     }
--- a/src/cluster/voter_disk.rs
+++ b/src/cluster/voter_disk.rs
@@ -1,18 +1,18 @@
-//! The voter's file as the durable storage of the node's voter.
+//! Durable storage of the node's voter in a file.
 
 use sanddyke_cluster::{Disk, PersistBatch, PersistedState, VoterDisk, VoterIdentity};
 use sanddyke_store::StoreError;
 use sanddyke_store::voter_file::{VoterFile, VoterState, VoterUpdate};
 use std::path::Path;
 
-/// The voter's file.
+/// Storage of a voter in the voter file of the store.
 pub struct FileVoterDisk(VoterFile);
 
 impl FileVoterDisk {
-    /// Opens the file, or creates one with a random voter id.
+    /// Opens the voter file. Creates it with a random voter id if it does not exist.
     ///
     /// # Errors
-    /// If the file can't be created, is in use, or is damaged.
+    /// If the file can't be created, is in use, or is corrupted.
     pub fn open(path: &Path) -> Result<FileVoterDisk, StoreError> {
         let mut id = [0; 8];
         getrandom::fill(&mut id).map_err(|error| StoreError::Write(error.to_string()))?;
