--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,10 +1,11 @@
-//! One manager of a fleet: its membership, its leases, and its voter if it is one, behind one function that takes an
-//! input and gives outputs.
+//! The state machine of one manager in a fleet. It combines the membership, the lease holder and, if the manager is a
+//! voter, the voter. [`Node::handle`] accepts an input and appends the resulting outputs. The node does no I/O apart
+//! from the voter's disk.
 //!
 //! ```text
-//!   message   the wire format           group     founding, admission, the voter's state
-//!   inbound   messages of others        routing   requests to the leader and its responses
-//!   schedule  what is done in time      ranking   who requests a free lease first
+//!   message   wire format                 group     founding, admission, state of the voter
+//!   inbound   messages of other managers  routing   requests to the leader and its responses
+//!   schedule  periodic work               ranking   order in which managers request a free lease
 //! ```
 
 mod group;
@@ -30,49 +31,49 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Makes the holder's random numbers differ from the membership's ("leases" in ASCII).
+/// XORed with the seed, so that the lease holder and the membership use different random numbers ("leases" in ASCII).
 const HOLDER_SEED_MASK: u64 = 0x6c65_6173_6573;
-/// The rotation over the voters starts at one of this many positions, by the seed.
+/// Number of positions at which the rotation over the voters may start. The seed selects one of them.
 const VOTER_ROTATION_STARTS: usize = 8;
 
 /// Configuration of a node.
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
-    /// Name of the fleet. Messages of other fleets are rejected.
+    /// Name of the fleet. Messages that carry another name are rejected.
     pub cluster: String,
-    /// This manager.
+    /// This manager, as the other members see it.
     pub local: Member,
-    /// Addresses of managers that are asked for admission.
+    /// Addresses of managers through which this one joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Names of the voters of a new group. A founded group has its own list.
+    /// Names of the managers whose voters found a new group. A founded group stores its own list.
     pub voters: Vec<String>,
-    /// Duration of each lease, in microseconds, by name.
+    /// Duration of each lease that this manager wants to hold, in microseconds, by name of the lease.
     pub leases: BTreeMap<String, u64>,
-    /// Seed of random numbers.
+    /// Seed of the node's random numbers.
     pub seed: u64,
 }
 
-/// One manager.
+/// State of one manager: membership, lease holder and voter.
 pub struct Node {
     config: NodeConfig,
     membership: Membership,
     holder: LeaseHolder,
     voter_state: VoterState,
     voter_identity: Option<VoterIdentity>,
-    /// Requests that this leader has proposed: where the response is sent.
+    /// Requests that this leader has proposed, with the address to which the response is sent.
     pending_responses: HashMap<RequestId, SocketAddr>,
-    /// Number of the latest incarnation of each member.
+    /// Number of the latest incarnation of each member, by name of the manager.
     latest_incarnations: HashMap<String, u64>,
     rejections: BTreeMap<MessageRejection, u64>,
     schedule: Schedule,
     next_seed_index: usize,
     next_voter_index: usize,
-    /// Name of the leader's manager.
+    /// Name of the manager whose voter is the leader; `None` if no leader is known.
     leader: Option<String>,
-    /// Ids of voters that the group does not know, by name.
+    /// Ids of voters that the group does not know, by name of the manager. They wait for admission.
     waiting_voters: BTreeMap<String, u64>,
     admission: Option<Admission>,
-    /// Events and effects of the current input that are not handled yet.
+    /// Membership events and lease effects of the current input that are not handled yet.
     membership_events: Vec<MembershipEvent>,
     lease_effects: Vec<LeaseEffect>,
 }
@@ -87,7 +88,8 @@
 }
 
 impl Node {
-    /// A manager that starts now. With a disk it is a voter, if the group has it as one.
+    /// Creates the node of a manager that starts at this time. With a disk, it votes once the group contains its voter
+    /// id.
     pub fn start(config: NodeConfig, now: Micros, disk: Option<&dyn VoterDisk>) -> Node {
         let mut node = Node {
             membership: Membership::new(config.local.clone(), config.seed),
@@ -111,7 +113,8 @@
         node
     }
 
-    /// A manager whose leases are counted wrongly on purpose, for simulations.
+    /// Replaces the lease holder with [`LeaseHolder::without_safety_margin`], which is deliberately incorrect, for
+    /// simulations.
     #[doc(hidden)]
     pub fn without_safety_margin(mut self) -> Node {
         self.holder = LeaseHolder::without_safety_margin(self.local_incarnation().clone(), self.config.seed);
@@ -119,17 +122,17 @@
         self
     }
 
-    /// Its leases.
+    /// The lease holder of this manager.
     pub fn holder(&self) -> &LeaseHolder {
         &self.holder
     }
 
-    /// Its membership.
+    /// The members of the fleet, as this manager sees them.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The latest table that this manager knows.
+    /// The latest table of leases that this manager knows, from its own voter or received from another one.
     pub fn table(&self) -> &LeaseTable {
         match self.voter_state.active() {
             Some(voter) if voter.table().index > self.holder.table().index => voter.table(),
@@ -137,27 +140,27 @@
         }
     }
 
-    /// Numbers of rejected messages, by reason.
+    /// Number of rejected messages by reason, since the start.
     pub fn rejections(&self) -> &BTreeMap<MessageRejection, u64> {
         &self.rejections
     }
 
-    /// Whether it is the leader of the voters.
+    /// Returns whether the voter of this manager is the leader.
     pub fn is_leader(&self) -> bool {
         self.voter_state.active().is_some_and(|voter| voter.is_leader())
     }
 
-    /// Status of its voter, as text for operators.
+    /// Status of the voter of this manager, as text for operators.
     pub fn voter_status(&self) -> String {
         self.voter_state.to_string()
     }
 
-    /// Identity of its voter.
+    /// Identity of the voter of this manager; `None` if the manager has no voter disk.
     pub fn voter_identity(&self) -> Option<&VoterIdentity> {
         self.voter_identity.as_ref()
     }
 
-    /// Names of voters whose id the group does not know: they wait for admission.
+    /// Names of managers whose voter id the group does not know. They wait until an operator admits them.
     pub fn waiting_voters(&self) -> impl Iterator<Item = &String> {
         self.waiting_voters.keys()
     }
@@ -166,7 +169,7 @@
         &self.config.local.incarnation
     }
 
-    /// Handles an input, and gives what is to be done.
+    /// Handles an input, and appends the outputs to `out`. `disk` is that of the voter, the same as at the start.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -202,7 +205,7 @@
         self.process_events(now, disk, out);
     }
 
-    /// Handles events and effects until no more follow.
+    /// Handles membership events and lease effects, and runs the voter, until no further events or effects result.
     fn process_events(&mut self, now: Micros, mut disk: Option<&mut dyn VoterDisk>, out: &mut Vec<Output>) {
         loop {
             for event in std::mem::take(&mut self.membership_events) {
@@ -290,7 +293,7 @@
         });
     }
 
-    /// Names of this manager and the other members, in the order in which they request a free lease.
+    /// Names of this manager and of the other members, in the order in which they request the lease when it is free.
     fn ranked(&self, lease: &str) -> Vec<&str> {
         let others = self.membership.others().map(|member| member.incarnation.name.as_str());
         ranking::ranked(lease, others.chain([self.local_incarnation().name.as_str()]))
--- a/crates/cluster/src/node/group.rs
+++ b/crates/cluster/src/node/group.rs
@@ -1,8 +1,8 @@
 //! The group of voters: its founding, the admission of a voter whose file was lost, and the state of this node's voter.
 //!
-//! All voters of a new group send each other their ids; a voter that knows all ids starts with that group. A voter whose
-//! id a founded group does not know has lost its file since: it may have forgotten what it promised, so it does not vote
-//! until an operator admits it under its new id.
+//! The voters of a new group send each other their ids. A voter starts to vote once it knows the ids of all voters. If
+//! a founded group does not know the id of a voter, the file of this voter was lost. Its earlier votes and acknowledged
+//! log entries may be lost with the file, so it does not vote until an operator admits it under its new id.
 
 use super::message::{MessageRejection, PeerMessage};
 use super::{LogEvent, Node, Output};
@@ -16,51 +16,54 @@
 /// Time between two steps of an admission, in microseconds.
 const ADMISSION_INTERVAL_US: Micros = 500_000;
 
-/// Names of the voters' managers, by voter id.
+/// Names of the managers whose voters form the group, by voter id.
 pub type GroupVoters = BTreeMap<u64, String>;
 
-/// What a voter's disk holds of the voter itself.
+/// Identity of a voter, as stored on its disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterIdentity {
-    /// Id of the voter, drawn when its file was created: a voter whose file was lost has another id.
+    /// Id of the voter, chosen at random when its file is created. A voter whose file was lost has another id
+    /// afterwards.
     pub id: u64,
-    /// Whether it has joined a group.
+    /// Whether the voter has joined a group.
     pub founded: bool,
 }
 
 /// Durable storage of a voter and its identity.
 pub trait VoterDisk: Disk {
-    /// The voter's identity.
+    /// The identity of the voter whose state is stored here.
     fn identity(&self) -> VoterIdentity;
-    /// Stores the initial state of the voter's group, all of it or none.
+    /// Stores the initial state of the voter's group atomically.
     ///
     /// # Errors
-    /// Why it could not be stored, as text for operators.
+    /// If the state can't be stored. The text is for operators.
     fn initialize(&mut self, state: &PersistedState) -> Result<(), String>;
-    /// Loads what was persisted.
+    /// Loads the persisted state.
     ///
     /// # Errors
-    /// Why it could not be loaded, as text for operators.
+    /// If the state can't be loaded. The text is for operators.
     fn load(&self) -> Result<PersistedState, String>;
 }
 
 /// State of a node's voter.
 pub(super) enum VoterState {
-    /// This manager is not set up as a voter.
+    /// This manager has no voter disk, because it is not configured as a voter or its voter file can't be used.
     NotVoter,
-    /// The group is not founded, as far as this node knows: ids that other voters have sent, by name.
+    /// This node does not know of a founded group. Contains the ids that other voters have sent, by name of the
+    /// manager.
     Forming(HashMap<String, u64>),
-    /// It votes.
+    /// The voter runs.
     Active(Box<Voter>),
-    /// Its disk failed or its file was lost: it does not vote until an operator admits it.
+    /// The voter does not vote, because its disk failed or its file was lost. After the loss of its file, it votes
+    /// again once an operator has admitted it.
     Disabled {
-        /// Why, as text for operators.
+        /// Cause, as text for operators.
         reason: String,
     },
 }
 
 impl VoterState {
-    /// The state at the node's start.
+    /// Loads the state at the start of the node.
     pub(super) fn load(disk: Option<&dyn VoterDisk>) -> VoterState {
         let Some(disk) = disk else { return VoterState::NotVoter };
         let identity = disk.identity();
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The voter, if it votes.
+    /// The running voter; `None` in all other states.
     pub(super) fn active(&self) -> Option<&Voter> {
         match self {
             VoterState::Active(voter) => Some(voter),
@@ -88,7 +91,7 @@
 }
 
 impl std::fmt::Display for VoterState {
-    /// The text that the administration API shows.
+    /// The text that the administration API returns.
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             VoterState::NotVoter => out.write_str("no voter"),
@@ -108,16 +111,16 @@
 /// Why a voter was not admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// This manager is not the leader.
+    /// This manager is not the leader, and only the leader can admit voters.
     #[error("only the leader can: {}", leader.as_deref().unwrap_or("not known"))]
     NotLeader {
-        /// Name of the leader's manager.
+        /// Name of the manager whose voter is the leader; `None` if no leader is known.
         leader: Option<String>,
     },
-    /// The voter has not asked for admission.
+    /// No voter of this name waits for admission at the leader.
     #[error("{name} does not wait to be let in")]
     NotWaiting {
-        /// Its name.
+        /// Name that the operator gave.
         name: String,
     },
 }
@@ -129,10 +132,11 @@
 }
 
 impl Node {
-    /// Admits a voter under its current id; its old id is removed. Only the leader can.
+    /// Starts the admission of a voter under its current id. The group removes its old id. Only the leader can admit
+    /// voters.
     ///
     /// # Errors
-    /// If this manager is not the leader, or the voter does not wait for admission.
+    /// If this manager is not the leader, or the voter is not waiting for admission.
     pub fn admit(&mut self, name: &str) -> Result<(), AdmissionError> {
         if !self.is_leader() {
             return Err(AdmissionError::NotLeader { leader: self.leader.clone() });
@@ -145,8 +149,8 @@
         Ok(())
     }
 
-    /// Proposes the next step of an admission: first the old id is removed, then the new one is added. Each is an entry
-    /// of the log.
+    /// Proposes the next step of an admission. The first step removes the old id, the second one adds the new id. Each
+    /// step is a log entry.
     pub(super) fn advance_admission(&mut self, now: Micros) {
         let VoterState::Active(voter) = &mut self.voter_state else { return };
         let Some(Admission { name, id }) = &self.admission else { return };
@@ -157,7 +161,8 @@
         let voters = &voter.table().voters;
         let old_id =
             voters.iter().find(|(known_id, known)| *known == name && *known_id != id).map(|(id, _)| *id);
-        // The library takes one change at a time: a step that was rejected or not applied is proposed again.
+        // The raft library accepts one membership change at a time. A step that was rejected or not applied is proposed
+        // again.
         if let Some(old_id) = old_id {
             let _retried = voter.remove_voter(old_id);
         } else if !voters.contains_key(id) {
@@ -168,7 +173,8 @@
         }
     }
 
-    /// Transfers the leadership to another voter that is up, so that the group need not wait for its election timeout.
+    /// Transfers the leadership to another voter that is up, so that the group does not have to wait for the election
+    /// timeout.
     pub(super) fn transfer_leadership(&mut self) {
         let VoterState::Active(voter) = &mut self.voter_state else { return };
         if !voter.is_leader() {
@@ -196,7 +202,7 @@
         let local_id = self.voter_identity.as_ref().map(|identity| identity.id);
         match (&mut self.voter_state, voters) {
             (VoterState::Active(voter), None) => {
-                // The sender may have missed the founding, or lost its file.
+                // The sender may have missed the founding of the group, or its file was lost.
                 let voters = voter.table().voters.clone();
                 if !voters.contains_key(&id) {
                     self.waiting_voters.insert(from.name.clone(), id);
@@ -222,7 +228,7 @@
         Ok(())
     }
 
-    /// Starts to vote once the group is complete, or once this voter was admitted.
+    /// Starts the voter once the ids of all voters are known, or once this voter has been admitted.
     pub(super) fn start_voting(&mut self, disk: &mut dyn VoterDisk, out: &mut Vec<Output>) {
         let Some(identity) = &self.voter_identity else { return };
         let id = identity.id;
@@ -240,7 +246,7 @@
         self.voter_state = VoterState::from_result(voter);
     }
 
-    /// The group that this voter starts with; `None` if it does not start now.
+    /// The group that this voter starts with; `None` if it can't start yet.
     fn initial_voters(&self, identity: &VoterIdentity) -> Option<GroupVoters> {
         match &self.voter_state {
             VoterState::Forming(ids) => {
@@ -249,7 +255,7 @@
                 let is_complete = self.config.voters.iter().all(|name| all.contains_key(name));
                 is_complete.then(|| all.into_iter().map(|(name, id)| (id, name)).collect())
             }
-            // Admitted under its new id: it starts without a log, and the leader sends it one.
+            // The voter was admitted under its new id. It starts without a log, and the leader sends it the log.
             VoterState::Disabled { .. } if !identity.founded => {
                 let known = &self.holder.table().voters;
                 let others = || known.clone().into_iter().filter(|(id, _)| *id != identity.id).collect();
--- a/crates/cluster/src/node/inbound.rs
+++ b/crates/cluster/src/node/inbound.rs
@@ -1,4 +1,4 @@
-//! Messages of other managers: checks of their sender, and what follows from each.
+//! Handles the messages of other managers, after a check of their sender.
 
 use super::message::{self, Envelope, MessageRejection, PeerMessage};
 use super::{Node, Output, VoterState};
@@ -7,7 +7,7 @@
 use crate::rolling_restart::{self, ReportedStatus, RestartStep};
 
 impl Node {
-    /// Handles a received message.
+    /// Decodes and handles a received message. A rejected message has no effect apart from its count.
     pub(super) fn handle_message(
         &mut self,
         now: Micros,
@@ -39,7 +39,7 @@
             PeerMessage::RestartStep { fencing_token, step } => {
                 self.handle_restart_step(&from, fencing_token, step, out)?;
             }
-            // Of members only: the names of others are not bounded.
+            // Accepted from members only. Statuses are stored by name, and the number of other names is not bounded.
             PeerMessage::MemberStatus(_) if !is_member => return Err(MessageRejection::StaleIncarnation),
             PeerMessage::MemberStatus(status) => {
                 out.push(Output::MemberStatus(ReportedStatus { incarnation: from, status }));
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Rejects messages of incarnations that have ended. Gives whether the sender is a member.
+    /// Rejects messages of incarnations that have ended. Returns whether the sender is a member.
     fn check_sender(&mut self, from: &Incarnation) -> Result<bool, MessageRejection> {
         let member = self.membership.by_name(&from.name);
         let member_number = member.map_or(0, |member| member.incarnation.number);
@@ -63,7 +63,7 @@
         if from.number < latest || is_other_local {
             return Err(MessageRejection::StaleIncarnation);
         }
-        // Only the names of members are remembered: those of others are not bounded.
+        // Only the names of members are stored, because the number of other names is not bounded.
         let is_member = member_number > 0;
         if is_member {
             self.latest_incarnations.insert(from.name.clone(), from.number);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The table outlives this manager: one that has just started does not know the controller's fencing token yet, and
-    /// rejects each step until it has seen the table.
+    /// Accepts a step only under the fencing token in the table of leases. A manager that has just started does not
+    /// have the table yet, so it rejects each step until it has received the table.
     fn handle_restart_step(
         &self,
         from: &Incarnation,
--- a/crates/cluster/src/node/input_output.rs
+++ b/crates/cluster/src/node/input_output.rs
@@ -8,44 +8,44 @@
 /// An input of a node.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// Time has passed: at least once in [`crate::voter::TICK_US`].
+    /// Time has passed. The caller passes this input at least once in [`crate::voter::TICK_US`].
     Tick,
-    /// A message was received.
+    /// An encoded message was received from another manager.
     Message(&'a [u8]),
-    /// The work of a lease that is being handed over is finished.
+    /// The work under a lease that is being handed over is finished.
     WorkFinished {
         /// Name of the lease.
         lease: &'a str,
     },
-    /// Save the progress of a lease's work.
+    /// Save the progress of the work under a lease.
     SaveCheckpoint {
         /// Name of the lease.
         lease: &'a str,
-        /// Index of the checkpoint that the new one was derived from.
+        /// Log index of the checkpoint that the new one is derived from.
         based_on: u64,
-        /// The new checkpoint.
+        /// Text of the new checkpoint.
         checkpoint: String,
     },
-    /// Send a manager a step of a rolling restart. Ignored unless this manager holds the lease.
+    /// Send a step of a rolling restart to a manager. Ignored unless this manager holds the controller's lease.
     SendRestartStep {
-        /// Name of the manager.
+        /// Name of the manager that is to apply the step.
         member: &'a str,
-        /// The step.
+        /// What the manager is to do.
         step: RestartStep,
     },
-    /// Report the status of this manager.
+    /// Report the status of this manager to the controller of a rolling restart.
     SendStatus {
-        /// Address of the controller of the rolling restart.
+        /// Address of the controller. It may be that of this manager.
         to: SocketAddr,
-        /// The status.
+        /// Status of this manager at the time of the report.
         status: MemberStatus,
     },
-    /// Hand one lease over.
+    /// Hand over one lease.
     HandOver {
         /// Name of the lease.
         lease: &'a str,
     },
-    /// Hand all leases over and acquire none (`true`), or acquire leases again (`false`).
+    /// Start (`true`) or end (`false`) draining. A draining manager hands over all its leases and acquires none.
     SetDraining(bool),
     /// This manager leaves the fleet.
     Leave,
@@ -56,55 +56,55 @@
 pub enum Output {
     /// Send a message. It may be lost.
     Send {
-        /// Its recipient.
+        /// Address of the recipient.
         to: SocketAddr,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// A change of a lease. [`LeaseEffect::Submit`] is handled by the node itself.
+    /// A change of a lease. The node handles [`LeaseEffect::Submit`] itself and does not output it.
     Lease(LeaseEffect),
-    /// A member joined.
+    /// A member joined, or became reachable again.
     MemberUp(Member),
     /// A member left or does not respond.
     MemberDown(Member),
-    /// Take a step of a rolling restart, and report the status.
+    /// Apply a step of a rolling restart to this process, and report the status with [`Input::SendStatus`].
     RestartStep {
-        /// Where to report it.
+        /// Address to which the status is reported.
         reply_to: SocketAddr,
-        /// The step.
+        /// What this process is to do.
         step: RestartStep,
     },
-    /// A manager reported its status.
+    /// A manager reported its status to this one.
     MemberStatus(ReportedStatus),
-    /// An event for the log.
+    /// An event that the caller logs.
     LogEvent(LogEvent),
 }
 
-/// An event for the log.
+/// An event that is logged and has no other effect on the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The other members had considered this manager down; it rejoined.
+    /// The other members had considered this manager down, and it rejoined as the same incarnation.
     Rejoined,
-    /// A message exceeds the limit and is not sent.
+    /// A message was not sent, because it exceeds [`super::MAX_MESSAGE_BYTES`].
     MessageTooLong,
-    /// This manager votes.
+    /// The voter of this manager has started to vote.
     VotingStarted {
-        /// Number of voters of the group, as far as it is known.
+        /// Number of voters of the group, including this one, as far as this manager knows.
         voters: usize,
     },
-    /// This manager is set up as a voter and does not vote.
+    /// The voter of this manager can't start to vote.
     VoteUnavailable {
-        /// Why not.
+        /// Cause, as text for operators.
         reason: String,
     },
-    /// This manager no longer votes.
+    /// The voter of this manager has stopped voting.
     VotingStopped {
-        /// Why not.
+        /// Cause, as text for operators.
         reason: String,
     },
-    /// The voters have another leader, or none.
+    /// The leader of the voters changed, or is no longer known.
     LeaderChanged {
-        /// Name of the leader's manager.
+        /// Name of the manager whose voter is the leader; `None` if no leader is known.
         leader: Option<String>,
     },
 }
--- a/crates/cluster/src/node/message.rs
+++ b/crates/cluster/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages between managers, and their encoding: a checksum, then the envelope in postcard's format.
+//! Messages between managers and their wire format: a CRC-32 checksum, followed by the envelope as encoded by postcard.
 
 use super::group::GroupVoters;
 use super::routing::RoutedRequest;
@@ -6,93 +6,95 @@
 use crate::rolling_restart::{MemberStatus, RestartStep};
 use serde::{Deserialize, Serialize};
 
-/// Version of the message format. Messages of a later version are rejected. Within a version the format stays
-/// readable: new kinds are added at the end of [`PeerMessage`].
+/// Version of the message format. Messages of a later version are rejected. Within one version, the format may change
+/// only by new variants at the end of [`PeerMessage`], so that existing messages stay readable.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Maximum size of one message, in bytes: the longest table of [`crate::lease::MAX_LEASES`] leases has some 60 KB.
+/// Maximum size of one message, in bytes. The longest table of [`crate::lease::MAX_LEASES`] leases takes about 60 KB.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Size of the checksum (CRC-32) before each message, in bytes. It detects truncation and corruption in transit, not
-/// forgery: against that the address must be unreachable for others.
+/// Size of the checksum (CRC-32) before each message, in bytes. The checksum detects truncation and corruption in
+/// transit. It does not detect forgery, so the address must not be reachable for anyone but the managers.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A message between managers. The order of variants and fields is that of the wire format.
+/// A message between managers. The wire format depends on the order of variants and fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A packet of the membership protocol.
     Gossip(Vec<u8>),
     /// A message between voters.
     Raft(Vec<u8>),
-    /// Discovery of the voters of a new group. A voter of a group that is not founded yet sends its id; one of a
-    /// founded group responds with the voters that it knows.
+    /// Discovery of the voters of a new group. A voter that knows no founded group sends its id. A voter of a founded
+    /// group responds with the voters that it knows.
     Discovery {
         /// Voter id of the sender.
         id: u64,
-        /// The voters of the group, if it is founded.
+        /// The voters of the group; `None` if the sender knows no founded group.
         voters: Option<GroupVoters>,
     },
-    /// A request to the voters.
+    /// A request to the leader of the voters, which other voters may forward.
     LeaseRequest(RoutedRequest),
-    /// The voters' response.
+    /// The leader's response to a request.
     LeaseResponse {
-        /// Identifies the request.
+        /// Nonce of the request.
         nonce: u64,
-        /// Its outcome.
+        /// Outcome of the request.
         outcome: LeaseOutcome,
     },
-    /// Asks for the table of leases, if there is a newer one.
+    /// Requests the table of leases. The recipient responds only if its table is newer.
     TablePoll {
         /// Log index of the sender's table.
         index: u64,
     },
-    /// The table of leases.
+    /// The sender's table of leases.
     LeaseTable(LeaseTable),
-    /// A step of a rolling restart.
+    /// A step of a rolling restart that the recipient is to apply.
     RestartStep {
         /// Fencing token of the sender's lease.
         fencing_token: u64,
-        /// The step.
+        /// What the recipient is to do.
         step: RestartStep,
     },
-    /// Response to a step: the status of the sender.
+    /// The status of the sender, in response to a step.
     MemberStatus(MemberStatus),
 }
 
-/// A message with its sender. The order of fields is that of the wire format.
+/// A message with its sender. The wire format depends on the order of fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// [`PROTOCOL_VERSION`] of the sender. It is the first field in every version.
+    /// [`PROTOCOL_VERSION`] of the sender. This is the first field in every version, so that a recipient can read it
+    /// before the rest.
     pub version: u16,
     /// Name of the sender's fleet.
     pub cluster: String,
-    /// The sender.
+    /// Name and incarnation of the sending manager.
     pub from: Incarnation,
-    /// The message.
+    /// Content of the message.
     pub message: PeerMessage,
 }
 
 /// Why a message was rejected. Each reason is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageRejection {
-    /// It exceeds [`MAX_MESSAGE_BYTES`].
+    /// The message exceeds [`MAX_MESSAGE_BYTES`].
     TooLong,
-    /// It is truncated, corrupt, or of an unknown kind.
+    /// The message is truncated, corrupted, or of an unknown variant.
     Malformed,
-    /// It is of a later version.
+    /// The message has a later version than [`PROTOCOL_VERSION`].
     UnsupportedVersion,
-    /// It is from another fleet.
+    /// The sender belongs to another fleet.
     OtherCluster,
-    /// It is from an incarnation that has ended.
+    /// The sender is an incarnation that has ended, or reports a status without being a member.
     StaleIncarnation,
-    /// A voter's message that this manager can't use: it does not vote, the sender does not, or raft rejects it.
+    /// This manager can't use a message between voters, because it does not vote, the sender does not vote, or the raft
+    /// library rejects the message.
     NotAVoter,
-    /// The membership protocol rejects it.
+    /// The membership protocol rejects the packet.
     InvalidGossip,
-    /// A restart step under a fencing token that is not the current holder's.
+    /// The fencing token of a restart step is not that of the current lease holder.
     StaleFencingToken,
 }
 
 impl MessageRejection {
-    /// Its code in metrics and in the administration API.
+    /// The code of the reason in metrics and in the administration API.
     pub fn code(self) -> &'static str {
         match self {
             MessageRejection::TooLong => "too_long",
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -1,4 +1,4 @@
-//! Routing of requests to the leader of the voters, and of its responses back.
+//! Routes lease requests to the leader of the voters, and its responses back to the requesting manager.
 
 use super::message::PeerMessage;
 use super::{LogEvent, Node, Output, VoterState};
@@ -8,23 +8,23 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Maximum number of requests that a leader has proposed and not responded to.
+/// Maximum number of requests that a leader has proposed and not yet responded to. Further requests are dropped.
 const MAX_PENDING_RESPONSES: usize = 4096;
-/// How often voters forward a request that reached one that is not the leader.
+/// Maximum number of times that voters which are not the leader forward one request.
 const MAX_HOPS: u8 = 2;
 
-/// A request on its way to the leader. The order of fields is that of the wire format.
+/// A request that is routed to the leader. The wire format depends on the order of fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutedRequest {
-    /// Identifies the request.
+    /// Identifies the request among those of the requesting manager.
     pub nonce: u64,
-    /// The request.
+    /// What the manager requests.
     pub request: LeaseRequest,
-    /// How often voters have forwarded it.
+    /// Number of times that voters have forwarded the request.
     pub hops: u8,
     /// The requesting manager.
     pub from: Incarnation,
-    /// Where the response is sent.
+    /// Address to which the response is sent.
     pub reply_to: SocketAddr,
 }
 
@@ -36,7 +36,8 @@
 }
 
 impl Node {
-    /// Routes a request: proposes it if this node is the leader, else forwards it.
+    /// Proposes a request if this node is the leader. Otherwise forwards it towards the leader, or drops it if that is
+    /// not possible. The lease holder resends dropped acquisitions and renewals.
     pub(super) fn route_request(&mut self, routed: RoutedRequest, out: &mut Vec<Output>) {
         match &self.voter_state {
             VoterState::Active(voter) if voter.is_leader() => self.propose(routed),
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Lets the voter do what is ready, and handles its output.
+    /// Processes what the voter has ready, and handles its output.
     pub(super) fn run_voter(&mut self, now: Micros, disk: &mut dyn Disk, out: &mut Vec<Output>) {
         let VoterState::Active(voter) = &mut self.voter_state else { return };
         let output = match voter.process_ready(disk) {
             Ok(output) => output,
             Err(error) => {
-                // What it promised is persisted; it promises nothing more.
+                // All votes and entries that the voter has acknowledged are persisted, and it acknowledges no more.
                 let reason = error.to_string();
                 out.push(Output::LogEvent(LogEvent::VotingStopped { reason: reason.clone() }));
                 self.voter_state = VoterState::Disabled { reason };
@@ -124,7 +125,8 @@
         }
     }
 
-    /// The address of a voter that is up, in rotation.
+    /// The address of the next voter in the rotation over the voters that are up, without this node. `None` if there is
+    /// none.
     pub(super) fn next_voter(&mut self) -> Option<SocketAddr> {
         let local = self.config.local.address;
         let addresses: Vec<SocketAddr> = self
@@ -137,7 +139,7 @@
         addresses.get(self.next_voter_index % addresses.len().max(1)).copied()
     }
 
-    /// Names of the voters, as far as they are known.
+    /// Names of the voters in the latest table of leases, or the configured ones if the table has none.
     fn voter_names(&self) -> Vec<&String> {
         let known = &self.table().voters;
         if known.is_empty() { self.config.voters.iter().collect() } else { known.values().collect() }
--- a/crates/cluster/src/node/schedule.rs
+++ b/crates/cluster/src/node/schedule.rs
@@ -1,4 +1,4 @@
-//! What a node does as time passes.
+//! Periodic work of a node.
 
 use super::message::PeerMessage;
 use super::{Node, Output, VoterState};
@@ -6,22 +6,22 @@
 use crate::voter::TICK_US;
 use std::net::SocketAddr;
 
-/// A node without a voter asks one for a newer table this often, in microseconds.
+/// Interval at which a node without a running voter polls a voter for a newer table, in microseconds.
 const TABLE_POLL_INTERVAL_US: Micros = 250_000;
-/// A node that knows no other member asks all seeds for admission this often, in microseconds.
+/// Interval at which a node that knows no other member contacts all seeds, in microseconds.
 const JOIN_INTERVAL_US: Micros = 1_000_000;
-/// A node that knows other members asks one seed after another this often, in microseconds.
+/// Interval at which a node that knows other members contacts the next seed, in microseconds.
 const REJOIN_INTERVAL_US: Micros = 5_000_000;
-/// A voter of a group that is not founded sends its id to the others this often, in microseconds.
+/// Interval at which a voter that has not joined a group sends its id to the other voters, in microseconds.
 const DISCOVERY_INTERVAL_US: Micros = 250_000;
 
-/// When something is to be done next, by this manager's clock.
+/// Times at which periodic work is due next, by this manager's clock.
 pub(super) struct Schedule {
     pub(super) admission_at_us: Micros,
     discovery_at_us: Micros,
     join_at_us: Micros,
     table_poll_at_us: Micros,
-    /// When the voter's last tick was due.
+    /// Time at which the last tick of the voter was due.
     voter_ticked_at_us: Micros,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Node {
-    /// Time has passed.
+    /// Does the periodic work that is due at this time.
     pub(super) fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.membership.tick(now, &mut self.membership_events);
         if now >= self.schedule.join_at_us {
@@ -61,7 +61,8 @@
         let local = self.config.local.address;
         let mut seeds: Vec<SocketAddr> =
             self.config.seeds.iter().copied().filter(|seed| *seed != local).collect();
-        // Also with other members: it may be that only old incarnations are known, which do not respond.
+        // Seeds are contacted even if other members are known, because these may all be old incarnations, which do not
+        // respond.
         self.next_seed_index = self.next_seed_index.wrapping_add(1);
         if !is_alone {
             let next = seeds.get(self.next_seed_index % seeds.len().max(1)).copied();
@@ -72,7 +73,8 @@
         }
     }
 
-    /// A voter that was suspended for long does not make up for missed ticks: its election timeout starts anew.
+    /// Ticks the voter at most once per call. A voter that was suspended for long does not catch up on missed ticks, so
+    /// its election timeout does not elapse at once.
     fn tick_voter(&mut self, now: Micros) {
         let VoterState::Active(voter) = &mut self.voter_state else { return };
         let ticked_at_us = self.schedule.voter_ticked_at_us;
