--- a/crates/cluster/src/simulation.rs
+++ b/crates/cluster/src/simulation.rs
@@ -1,19 +1,24 @@
-//! A fleet on virtual time, determined by a seed: real state machines with a simulated environment. Messages are lost,
-//! delayed, duplicated, reordered, truncated, corrupted, and delivered again from incarnations that have ended; links
-//! are cut in one direction or both; managers are suspended, crash, and restart with their files; disks are full; clocks
-//! drift up to [`CLOCK_DRIFT_BOUND`](crate::lease_holder::CLOCK_DRIFT_BOUND) and start at any value.
+//! Deterministic simulation of a fleet on virtual time. The state machines are the real ones, their environment is
+//! simulated, and a seed determines all random choices. Faults:
 //!
-//! Checked all the time:
+//! - Messages are lost, delayed, duplicated, reordered, truncated, corrupted, and delivered again from incarnations that
+//!   have ended.
+//! - Links are cut in one direction or both.
+//! - Managers are suspended, crash, and restart with their files.
+//! - Disks are full.
+//! - Clocks drift up to [`CLOCK_DRIFT_BOUND`](crate::lease_holder::CLOCK_DRIFT_BOUND) and start at any value.
 //!
-//! - at no moment of true time do two managers hold one lease, each by its own clock;
-//! - an act that a resource accepts never has a lower fencing token than one that it accepted before;
-//! - voters that have applied the same entries have the same table;
-//! - once all faults are over, each lease has a holder and all managers see each other within [`RECOVERY_TIMEOUT_US`].
+//! Invariants that are checked throughout the simulation:
+//!
+//! - At no moment of true time do two managers hold one lease, each by its own clock.
+//! - A resource never accepts an operation whose fencing token is lower than that of an operation accepted before.
+//! - Leaders have the same table at the same log index.
+//! - Within [`RECOVERY_TIMEOUT_US`] after the last fault each lease has a holder, and all managers see each other.
 //!
 //! ```text
-//!   manager  a manager with its clock and disk     network  loss, delay, corruption of messages
-//!   fleet    events in order of virtual time       faults   what fails, and when
-//!   checks   the invariants                        effects  what the managers do
+//!   manager  a manager with its clock and disk     network  loss, delay and corruption of messages
+//!   fleet    events in order of virtual time       faults   random faults
+//!   checks   lease holders and the invariants      effects  inputs of the nodes, effects of their outputs
 //! ```
 
 mod checks;
@@ -27,48 +32,48 @@
 use fleet::SimulatedFleet;
 use thiserror::Error;
 
-/// How long after the last fault each lease has a holder again, and all managers see each other: the longest lease that
-/// may have to expire (3 s), the time to find other members (a seed is asked each 5 s), and an election of the voters
-/// (1 s). Of 10,000 seeds the slowest took 5.0 s.
+/// Maximum time from the last fault until each lease has a holder and all managers see each other, in microseconds. It
+/// covers the expiry of a lease (3 s), the discovery of other members (one seed is contacted every 5 s), and an
+/// election of the voters (1 s). The slowest of 10,000 seeds took 5.0 s.
 pub const RECOVERY_TIMEOUT_US: Micros = 10_000_000;
-/// Duration of the leases, in microseconds.
+/// Duration of each lease, in microseconds.
 const LEASE_US: u64 = 3_000_000;
-/// Names of the leases.
+/// Names of the leases. The simulation refers to a lease by its index in this list.
 const LEASES: [&str; 2] = ["backup", "keeper"];
-/// How long faults occur, in microseconds.
+/// Time during which faults occur, in microseconds, from the start of the simulation.
 const FAULT_PERIOD_US: Micros = 60_000_000;
 
-/// A safeguard that is disabled on purpose, to see that its absence is detected.
+/// A safeguard that is disabled deliberately, to verify that the resulting violation is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledSafeguard {
-    /// None: all safeguards are in place.
+    /// No safeguard is disabled.
     None,
-    /// The margin between the time that a holder counts and the time that others wait, and counting from before the
-    /// request.
+    /// The margin of the lease holders: a holder counts its lease from the response instead of from the request, and
+    /// others wait for exactly the lease duration.
     Margin,
-    /// The resource's check of the fencing token.
+    /// The check of the fencing token by the resource.
     Fencing,
-    /// Durability: the last write is lost in a crash.
+    /// Durability of the disk: a crash reverts the last write.
     Disk,
 }
 
-/// What is simulated.
+/// Parameters of one simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct SimulationPlan {
-    /// Seed of all random numbers.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Number of managers.
+    /// Number of managers in the fleet.
     pub managers: usize,
-    /// Number of voters: the first managers.
+    /// Number of voters. The managers with the lowest indexes are voters.
     pub voters: usize,
-    /// How long faults occur, in microseconds.
+    /// Time during which faults occur, in microseconds, from the start of the simulation.
     pub fault_period_us: Micros,
-    /// The safeguard that is disabled.
+    /// The safeguard that is deliberately missing.
     pub disabled: DisabledSafeguard,
 }
 
 impl SimulationPlan {
-    /// The fleet of a seed: 3 to 7 managers, of which 3 or 5 vote, and a minute of faults.
+    /// Derives the plan from a seed: 3 to 7 managers, of which 3 or 5 are voters, and one minute of faults.
     pub fn from_seed(seed: u64, disabled: DisabledSafeguard) -> SimulationPlan {
         let managers = 3 + (seed % 5) as usize;
         let voters = if managers >= 5 && seed.is_multiple_of(2) { 5 } else { 3 };
@@ -76,58 +81,58 @@
     }
 }
 
-/// Figures of a simulation.
+/// Results of a simulation that violated no invariant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SimulationSummary {
-    /// Acts that the resource accepted.
+    /// Number of operations that the resources accepted.
     pub operations: u64,
-    /// Acts of a former holder that the resource rejected by their fencing token.
+    /// Number of operations of former holders that the resources rejected because of their fencing token.
     pub fenced_operations: u64,
-    /// Number of grants.
+    /// Number of times that a manager acquired a lease.
     pub grants: u64,
     /// Total time without a holder, over all leases, in microseconds of true time.
     pub without_holder_us: Micros,
-    /// Longest time without a holder, in microseconds of true time.
+    /// Longest time during which one lease had no holder, in microseconds of true time.
     pub longest_without_holder_us: Micros,
-    /// Number of sent messages.
+    /// Number of messages that the managers sent, including lost ones.
     pub messages: u64,
-    /// Their size, in bytes.
+    /// Total size of these messages, in bytes.
     pub message_bytes: u64,
-    /// Time from the last fault until each lease had a holder, in microseconds.
+    /// Time from the end of the faults until each lease had a holder and all managers saw each other, in microseconds.
     pub recovery_time_us: Micros,
 }
 
-/// An invariant that did not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// Two managers hold a lease.
+    /// Two managers hold one lease at the same time.
     #[error("{lease}: m{manager} holds it, and m{other} does under {other_token} for {remaining_us} us more")]
     TwoHolders {
         /// Name of the lease.
         lease: &'static str,
-        /// The manager that acquired or extended it.
+        /// Index of the manager that acquired or extended the lease.
         manager: usize,
-        /// The other holder.
+        /// Index of the other holder.
         other: usize,
         /// Fencing token of the other holder.
         other_token: u64,
-        /// Remaining time of the other holder's lease, in microseconds.
+        /// Time until the lease of the other holder expires, in microseconds of true time.
         remaining_us: Micros,
     },
-    /// The resource accepted an act with a lower fencing token than one before.
+    /// The resource accepted an operation whose fencing token is lower than that of an earlier one.
     #[error("{lease}: act {fencing_token} was accepted after {highest}")]
     StaleOperation {
         /// Name of the lease.
         lease: &'static str,
-        /// Fencing token of the act.
+        /// Fencing token of the accepted operation.
         fencing_token: u64,
-        /// The highest fencing token before.
+        /// The highest fencing token that the resource had accepted before.
         highest: u64,
     },
-    /// Two leaders have different tables at one log index.
+    /// Two leaders have different tables at the same log index.
     #[error("two tables at log index {index}")]
     DivergentTables {
-        /// The log index.
+        /// Log index of the tables.
         index: u64,
     },
 }
@@ -135,29 +140,29 @@
 /// Why a simulation failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SimulationError {
-    /// An invariant did not hold.
+    /// An invariant was violated.
     #[error("at {:.3} s: {violation}", *at_us as f64 / 1e6)]
     Violation {
-        /// When, in microseconds of true time.
+        /// Time of the violation, in microseconds of true time since the start.
         at_us: Micros,
-        /// The invariant.
+        /// The violated invariant.
         violation: Violation,
     },
-    /// The fleet did not recover from the faults in time.
+    /// The fleet did not recover within [`RECOVERY_TIMEOUT_US`] after the last fault.
     #[error(
         "{} s after the last fault a lease has no holder, or a manager does not see all others",
         RECOVERY_TIMEOUT_US / 1_000_000
     )]
     NotRecovered,
-    /// No event was left.
+    /// The event queue became empty before the fleet recovered.
     #[error("no event is left")]
     NoEvents,
 }
 
-/// Runs a simulation to its end.
+/// Runs a simulation until the fleet has recovered from all faults.
 ///
 /// # Errors
-/// The invariant that did not hold, and when.
+/// If an invariant is violated, or the fleet does not recover in time.
 pub fn run(plan: SimulationPlan) -> Result<SimulationSummary, SimulationError> {
     let mut fleet = SimulatedFleet::new(plan);
     let end_us = plan.fault_period_us + RECOVERY_TIMEOUT_US;
--- a/crates/cluster/src/simulation/checks.rs
+++ b/crates/cluster/src/simulation/checks.rs
@@ -1,24 +1,24 @@
-//! The holders of the leases in true time, and the invariants on them.
+//! Tracks the holders of the leases in true time, and checks the invariants on them.
 
 use super::fleet::SimulatedFleet;
 use super::{LEASES, Violation};
 use crate::lease_holder::Micros;
 use std::collections::HashMap;
 
-/// A lease as its holder counts it.
+/// A lease of one holder, with its expiry by the holder's clock converted to true time.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     fencing_token: u64,
-    /// In true time.
+    /// When the lease expires, in true time.
     until: Micros,
 }
 
-/// A lease's holders.
+/// The holders of one lease. More than one unexpired holder is a violation.
 #[derive(Debug)]
 struct Holders {
-    /// By manager.
+    /// By index of the manager.
     held_by_manager: HashMap<usize, HeldLease>,
-    /// Since when it has no holder.
+    /// Time since which the lease has no holder; `None` while it has one.
     without_holder_since: Option<Micros>,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The holders of all leases, by position of the lease.
+/// The holders of all leases, by index of the lease.
 #[derive(Debug)]
 pub(super) struct HolderTracker(Vec<Holders>);
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The first manager that holds a lease.
+    /// The lowest index of a manager that holds a lease, by the manager's own account.
     pub(super) fn first_holder(&self) -> Option<usize> {
         self.0.iter().flat_map(|lease| lease.held_by_manager.keys()).min().copied()
     }
@@ -69,7 +69,7 @@
 }
 
 impl SimulatedFleet {
-    /// Two managers never hold a lease at the same moment.
+    /// Returns a violation if another manager than this one holds the lease.
     pub(super) fn check_single_holder(&self, lease: usize, manager: usize) -> Result<(), Violation> {
         let held_by_manager = &self.holders.0[lease].held_by_manager;
         let other = held_by_manager.iter().find(|(other, held)| **other != manager && held.until > self.now);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records when leases become free or held.
+    /// Updates the times without a holder, for leases that have become free or held.
     pub(super) fn update_holder_gaps(&mut self) {
         for lease in &mut self.holders.0 {
             match (lease.is_held(self.now), lease.without_holder_since) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether each lease has a holder, and all managers see each other.
+    /// Returns whether each lease has a holder and all managers see each other.
     pub(super) fn has_recovered(&self) -> bool {
         let sees_all = |other_count: usize| other_count + 1 == self.managers.len();
         self.holders.all_held(self.now)
--- a/crates/cluster/src/simulation/effects.rs
+++ b/crates/cluster/src/simulation/effects.rs
@@ -1,20 +1,20 @@
-//! What the managers do: inputs of their nodes, and the effects of the outputs.
+//! Passes inputs to the nodes of the managers, and applies the outputs of the nodes to the simulated fleet.
 
 use super::fleet::SimulatedFleet;
 use super::{DisabledSafeguard, LEASES, Violation};
 use crate::lease_holder::LeaseEffect;
 use crate::node::{Input, Output};
 
-/// Tables that are retained for comparison.
+/// Number of tables that are retained for comparison, those with the highest log indexes.
 const RETAINED_TABLES: usize = 64;
 
-/// Position of a lease.
+/// Index of a lease in [`LEASES`].
 fn lease_index(lease: &str) -> usize {
     LEASES.iter().position(|known| *known == lease).unwrap_or(0)
 }
 
 impl SimulatedFleet {
-    /// Passes an input to a manager, and carries out its outputs.
+    /// Passes an input to a manager, and applies the outputs.
     pub(super) fn input(&mut self, manager: usize, input: Input<'_>) -> Result<(), Violation> {
         let outputs = self.managers[manager].handle(self.now, input);
         self.compare_tables(manager)?;
@@ -32,7 +32,8 @@
         Ok(())
     }
 
-    /// Tables of leaders at the same log index are the same.
+    /// Returns a violation if the manager is a leader and its table differs from that of another leader at the same log
+    /// index.
     fn compare_tables(&mut self, manager: usize) -> Result<(), Violation> {
         let Some(node) = self.managers[manager].node.as_ref().filter(|node| node.is_leader()) else {
             return Ok(());
@@ -71,7 +72,8 @@
         Ok(())
     }
 
-    /// An act arrives at its resource, which rejects tokens below the highest that it has accepted.
+    /// Processes an operation at its resource. The resource rejects fencing tokens below the highest one that it has
+    /// accepted.
     pub(super) fn accept_operation(&mut self, lease: usize, fencing_token: u64) -> Result<(), Violation> {
         let highest = self.highest_tokens[lease];
         let is_stale = fencing_token < highest;
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -1,28 +1,28 @@
-//! What fails, and when.
+//! Random faults: cut links, partitions, suspensions, crashes, full disks and message loss.
 
 use super::fleet::{Event, SimulatedFleet};
 use super::network::MAX_LOSS_PROBABILITY;
 use crate::lease_holder::Micros;
 
-/// When the first fault occurs, in microseconds.
+/// Time of the first fault, in microseconds since the start.
 const FIRST_FAULT_US: std::ops::Range<u64> = 2_000_000..8_000_000;
 /// Time between two faults, in microseconds.
 const FAULT_INTERVAL_US: std::ops::Range<u64> = 200_000..4_000_000;
 /// Minimum duration of a cut of a link, in microseconds.
 const MIN_CUT_US: Micros = 100_000;
-/// Maximum duration of the cut of one manager, in microseconds.
+/// Maximum duration of the cut of one link or the isolation of one manager, in microseconds.
 const MAX_CUT_US: Micros = 10_000_000;
 /// Maximum duration of a partition of the fleet, in microseconds.
 const MAX_PARTITION_US: Micros = 6_000_000;
 /// Maximum duration of a suspension, in microseconds.
 const MAX_SUSPENSION_US: Micros = 10_000_000;
-/// Maximum time until a crashed manager restarts, in microseconds.
+/// Maximum time from a crash until the manager restarts, in microseconds.
 const MAX_DOWNTIME_US: Micros = 5_000_000;
-/// Maximum time until a manager with a full disk restarts, in microseconds.
+/// Maximum time from the moment that a disk is full until its manager restarts, in microseconds.
 const MAX_DISK_FULL_US: Micros = 8_000_000;
-/// Probability that a holder is suspended, rather than any manager.
+/// Probability that a suspension affects a manager that holds a lease, if there is one, instead of a random manager.
 const SUSPEND_HOLDER_PROBABILITY: f64 = 0.7;
-/// Bits of the directions in which a manager is cut off.
+/// Bits of the directions in which a manager is isolated.
 const OUTBOUND: u64 = 1;
 const INBOUND: u64 = 2;
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Remaining time of faults, at least 1: all faults end with it.
+    /// Remaining time during which faults occur, in microseconds, at least 1. No fault lasts longer.
     fn remaining_us(&self) -> Micros {
         self.plan.fault_period_us.saturating_sub(self.now).max(1)
     }
@@ -73,7 +73,7 @@
         self.schedule_after(min_us, max_us.min(remaining_us), Event::RepairLink { from, to });
     }
 
-    /// Cuts a manager off from all others, in one direction or both.
+    /// Cuts the links between one manager and all others, in one direction or both.
     fn isolate(&mut self, manager: usize) {
         let directions = self.rng.rand_range(OUTBOUND..(OUTBOUND | INBOUND) + 1);
         for peer in (0..self.managers.len()).filter(|peer| *peer != manager) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Suspends a manager, most often one that holds a lease.
+    /// Suspends a manager, with [`SUSPEND_HOLDER_PROBABILITY`] one that holds a lease.
     fn suspend(&mut self, manager: usize) {
         let holder = self.holders.first_holder();
         let manager =
@@ -110,7 +110,7 @@
         self.schedule_at(until, Event::Resume { manager });
     }
 
-    /// Fills a manager's disk. An operator frees space and restarts it.
+    /// Fills the disk of a manager. The restart stands for an operator who frees space and restarts the manager.
     fn fill_disk(&mut self, manager: usize) {
         if let Some(disk) = &mut self.managers[manager].disk {
             disk.set_full(true);
--- a/crates/cluster/src/simulation/fleet.rs
+++ b/crates/cluster/src/simulation/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: events in order of virtual time.
+//! The state of the simulated fleet, and its events in order of virtual time.
 
 use super::checks::HolderTracker;
 use super::manager::{LocalClock, Manager, MemoryDisk, PermittedOperation};
@@ -14,22 +14,23 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-/// Managers start within this time.
+/// Each manager starts at a random time below this value, in microseconds.
 const START_WITHIN_US: Micros = 500_000;
-/// Clocks start at a value below this one: some 13 days.
+/// Each clock starts at a random value below this one, in microseconds (about 13 days).
 const MAX_CLOCK_OFFSET_US: u64 = 1 << 40;
-/// The probability of losing a message at the start is below this one.
+/// Upper bound of the random probability that a message is lost, until the first fault that changes it.
 const MAX_INITIAL_LOSS_PROBABILITY: f64 = 0.05;
-/// Port of the first manager.
+/// Port of the manager with index 0. The port identifies a manager in the simulated network.
 const FIRST_PORT: u16 = 20_000;
-/// Number of zones.
+/// Number of zones, over which the managers are distributed in turn.
 const ZONES: usize = 3;
-/// Probability that a manager is suspended between its check of the clock and its act.
+/// Probability that a manager is suspended between its check of the clock and the operation.
 const SLOW_OPERATION_PROBABILITY: f64 = 0.01;
-/// Maximum duration of an act, in microseconds.
+/// Maximum time from the check of the clock until an operation reaches its resource, in microseconds, unless the
+/// manager is suspended in between.
 const MAX_OPERATION_US: Micros = 20_000;
 
-/// An event. Managers and leases are given by their position.
+/// An event of the simulation. Managers and leases are identified by their index.
 #[derive(Debug, Clone)]
 pub(super) enum Event {
     Tick { manager: usize },
@@ -41,7 +42,7 @@
     RepairLink { from: usize, to: usize },
 }
 
-/// Events by their time, and in the order of scheduling where times are equal.
+/// Events in order of their time. Events of the same time keep the order in which they were scheduled.
 #[derive(Default)]
 struct EventQueue {
     order: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -62,17 +63,17 @@
     }
 }
 
-/// The simulated fleet.
+/// State of the simulation.
 pub(super) struct SimulatedFleet {
     pub(super) plan: SimulationPlan,
     pub(super) rng: Rand64,
-    /// True time.
+    /// Current true time.
     pub(super) now: Micros,
     queue: EventQueue,
     pub(super) managers: Vec<Manager>,
     pub(super) network: Network,
     pub(super) holders: HolderTracker,
-    /// The highest fencing token that the resource of each lease has accepted.
+    /// The highest fencing token that the resource of each lease has accepted, by index of the lease.
     pub(super) highest_tokens: Vec<u64>,
     /// Recent tables of leaders, by log index.
     pub(super) tables: BTreeMap<u64, LeaseTable>,
@@ -83,7 +84,7 @@
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + manager as u16))
 }
 
-/// The manager at an address.
+/// Index of the manager at an address.
 pub(super) fn manager_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
@@ -112,7 +113,7 @@
     }
 
     fn add_manager(&mut self, number: usize) {
-        // Drawn for each manager, so that the number of voters does not change what is drawn after it.
+        // The id is sampled for each manager, so that the number of voters does not change the later random numbers.
         let voter_id = self.rng.rand_u64() | 1;
         let disk = (number < self.plan.voters).then(|| MemoryDisk::new(voter_id));
         let rate = 1.0 + CLOCK_DRIFT_BOUND * (2.0 * self.rng.rand_float() - 1.0);
@@ -122,7 +123,7 @@
         self.schedule_at(start_at, Event::Restart { manager: number });
     }
 
-    /// Advances the time to the next event.
+    /// Advances the time to the next event and returns it; `None` if no event is scheduled.
     pub(super) fn next_event(&mut self) -> Option<Event> {
         let (at, event) = self.queue.pop()?;
         self.now = at;
@@ -133,13 +134,13 @@
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Schedules an event after a random time in `min..max`.
+    /// Schedules an event after a random delay in `min..max`, in microseconds.
     pub(super) fn schedule_after(&mut self, min: Micros, max: Micros, event: Event) {
         let after = self.rng.rand_range(min..max.max(min + 1));
         self.schedule_at(self.now + after, event);
     }
 
-    /// Handles an event.
+    /// Handles an event. Events of a suspended manager are deferred until it resumes.
     pub(super) fn handle(&mut self, event: Event) -> Result<(), Violation> {
         match event {
             Event::Tick { manager } | Event::Message { to: manager, .. }
@@ -177,7 +178,8 @@
         Ok(())
     }
 
-    /// A holder checks whether it may act, and operations: the act arrives later, after whatever happens in between.
+    /// Begins the operations that the leases of a manager permit now. Each operation reaches its resource after a
+    /// delay, in which the lease may expire and another manager may acquire it.
     fn begin_operations(&mut self, manager: usize) {
         for PermittedOperation { lease, fencing_token } in
             self.managers[manager].permitted_operations(self.now)
@@ -238,7 +240,7 @@
         {
             disk.revert_last_write();
         }
-        // A manager that is down can't continue what it began.
+        // The leases of a manager that is down no longer count as held, because it begins no operation.
         self.holders.remove_manager(number);
         self.update_holder_gaps();
     }
--- a/crates/cluster/src/simulation/manager.rs
+++ b/crates/cluster/src/simulation/manager.rs
@@ -1,4 +1,4 @@
-//! A simulated manager: its node, disk and clock.
+//! A simulated manager with its node, disk and clock.
 
 use super::LEASES;
 use super::fleet::Event;
@@ -6,14 +6,14 @@
 use crate::node::{Input, Node, Output, VoterDisk, VoterIdentity};
 use crate::voter::{Disk, PersistBatch, PersistedState};
 
-/// A voter's disk in memory.
+/// Storage of a voter in memory. It outlives crashes of the manager.
 #[derive(Debug, Clone)]
 pub(super) struct MemoryDisk {
     identity: VoterIdentity,
     state: Option<PersistedState>,
-    /// The state before the last write, which a disk without durability returns to.
+    /// The state before the last write, to which a crash reverts the disk if durability is disabled.
     previous_state: Option<PersistedState>,
-    /// Writes fail until the manager restarts.
+    /// While set, writes fail. A restart of the manager clears it.
     is_full: bool,
 }
 
@@ -35,7 +35,7 @@
         self.is_full = is_full;
     }
 
-    /// Loses the last write.
+    /// Reverts the last write, as if it had not been durable.
     pub(super) fn revert_last_write(&mut self) {
         if self.previous_state.is_some() {
             self.state = self.previous_state.take();
@@ -46,10 +46,10 @@
 impl Disk for MemoryDisk {
     fn persist(&mut self, batch: &PersistBatch) -> Result<(), String> {
         if self.is_full {
-            return Err("no space is left".to_owned());
+            return Err("simulated disk write failed: no space left".to_owned());
         }
         self.previous_state.clone_from(&self.state);
-        let state = self.state.as_mut().ok_or("nothing is founded")?;
+        let state = self.state.as_mut().ok_or("simulated disk write failed: voter has not joined a group")?;
         state.apply(batch).map_err(|error| error.to_string())
     }
 }
@@ -66,11 +66,11 @@
     }
 
     fn load(&self) -> Result<PersistedState, String> {
-        self.state.clone().ok_or("nothing is founded".to_owned())
+        self.state.clone().ok_or("simulated disk read failed: voter has not joined a group".to_owned())
     }
 }
 
-/// The monotonic clock of a manager: local time = true time * rate + offset.
+/// The monotonic clock of a manager. Local time is true time * rate + offset.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LocalClock {
     pub(super) rate: f64,
@@ -82,28 +82,30 @@
         (true_time as f64 * self.rate) as Micros + self.offset_us
     }
 
-    /// The first moment of true time at which the clock shows this.
+    /// The first moment of true time at which the clock shows `local_time`.
     pub(super) fn true_time(self, local_time: Micros) -> Micros {
         (local_time.saturating_sub(self.offset_us) as f64 / self.rate) as Micros
     }
 }
 
-/// An act that a manager may begin.
+/// An operation that a manager may begin now, because it holds the lease.
 pub(super) struct PermittedOperation {
-    /// Position of the lease.
+    /// Index of the lease.
     pub(super) lease: usize,
     pub(super) fencing_token: u64,
 }
 
-/// A manager; without a node while it is down.
+/// A simulated manager. The disk, the clock and the incarnation number outlive its restarts.
 pub(super) struct Manager {
+    /// `None` while the manager is down.
     pub(super) node: Option<Node>,
+    /// `None` if the manager is not a voter.
     pub(super) disk: Option<MemoryDisk>,
     pub(super) clock: LocalClock,
-    /// Number of its last incarnation.
+    /// Number of the latest incarnation; 0 before the first start.
     pub(super) incarnation: u64,
     pub(super) suspended_until: Micros,
-    /// Events that arrived while it was suspended.
+    /// Events that arrived while the manager was suspended.
     pub(super) deferred_events: Vec<Event>,
 }
 
@@ -112,7 +114,7 @@
         Manager { node: None, disk, clock, incarnation: 0, suspended_until: 0, deferred_events: Vec::new() }
     }
 
-    /// Passes an input to the node, if the manager is up.
+    /// Passes an input to the node and returns the outputs. Does nothing while the manager is down.
     pub(super) fn handle(&mut self, now: Micros, input: Input<'_>) -> Vec<Output> {
         let mut outputs = Vec::new();
         if let Some(node) = &mut self.node {
@@ -122,7 +124,7 @@
         outputs
     }
 
-    /// The operations that may begin now.
+    /// The operations that this manager may begin now, at most one for each lease.
     pub(super) fn permitted_operations(&self, now: Micros) -> Vec<PermittedOperation> {
         let Some(node) = &self.node else { return Vec::new() };
         let local_time = self.clock.local_time(now);
--- a/crates/cluster/src/simulation/network.rs
+++ b/crates/cluster/src/simulation/network.rs
@@ -1,34 +1,36 @@
-//! The simulated network between managers.
+//! The simulated network between managers, which loses, delays, duplicates, replays and corrupts messages.
 
 use super::fleet::{Event, SimulatedFleet, manager_at};
 use crate::lease_holder::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The probability of losing a message, after a fault, is below this one.
+/// Upper bound of the random probability that a message is lost, after a fault that changes it.
 pub(super) const MAX_LOSS_PROBABILITY: f64 = 0.3;
 /// Probability that a message is delivered twice.
 const DUPLICATE_PROBABILITY: f64 = 0.02;
-/// Probability that a message is delivered very late.
+/// Probability that a message is delivered with a delay of up to [`MAX_LATE_DELAY_US`].
 const LATE_PROBABILITY: f64 = 0.02;
-/// Delay of messages, in microseconds.
+/// Minimum delay of a message, in microseconds.
 const MIN_DELAY_US: Micros = 100;
+/// Maximum delay of a message that is not late, in microseconds.
 const MAX_DELAY_US: Micros = 5_000;
-/// Maximum delay of late messages, in microseconds.
+/// Maximum delay of a late message, in microseconds.
 const MAX_LATE_DELAY_US: Micros = 2_000_000;
-/// Probability that a message is delivered again long after it was sent.
+/// Probability that a message is replayed: delivered once more, long after it was sent.
 const REPLAY_PROBABILITY: f64 = 0.005;
-/// Delay of such a message, in microseconds.
+/// Minimum delay of a replayed message, in microseconds.
 const MIN_REPLAY_DELAY_US: Micros = 1_000_000;
+/// Maximum delay of a replayed message, in microseconds.
 const MAX_REPLAY_DELAY_US: Micros = 30_000_000;
 /// Probability that a message is truncated or corrupted.
 const CORRUPTION_PROBABILITY: f64 = 0.005;
 
 /// State of the links.
 pub(super) struct Network {
-    /// Probability of losing a message.
+    /// Probability that a message is lost.
     pub(super) loss: f64,
-    /// Number of faults that cut each link (from, to).
+    /// Number of faults that currently cut each link, by sender and recipient. A link works again once all have ended.
     cuts: BTreeMap<(usize, usize), u32>,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl SimulatedFleet {
-    /// Sends a message over the network.
+    /// Sends a message over the network: schedules its delivery, unless the message is lost.
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.summary.messages += 1;
         self.summary.message_bytes += bytes.len() as u64;
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Sometimes delivers a message again long after it was sent, from an incarnation that may have ended.
+    /// With [`REPLAY_PROBABILITY`], schedules another delivery of a message long after it was sent. The sending
+    /// incarnation may have ended by then.
     fn replay(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if self.rng.rand_float() < REPLAY_PROBABILITY && to < self.managers.len() {
             let event = Event::Message { from, to, bytes: bytes.to_vec() };
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Sometimes truncates a message, or flips a bit of it.
+    /// With [`CORRUPTION_PROBABILITY`], truncates a message or flips one of its bits.
     fn corrupt(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
         if self.rng.rand_float() < CORRUPTION_PROBABILITY {
             let position = self.rng.rand_range(0..bytes.len() as u64) as usize;
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/tests/input.rs
@@ -1,4 +1,4 @@
-//! Messages that can't be used: rejected and counted by reason, without any other effect.
+//! Invalid messages are rejected and counted by reason, and have no other effect.
 
 use oorandom::Rand64;
 use sanddyke_cluster::node::{Envelope, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, PeerMessage};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn messages_that_cannot_be_used_are_rejected_and_counted_by_reason() {
+fn invalid_messages_are_rejected_and_counted_by_reason() {
     let poll = || PeerMessage::TablePoll { index: 0 };
     let good = encode(PROTOCOL_VERSION, "here", "m1", 3, poll());
     let mut corrupt = good.clone();
@@ -67,11 +67,12 @@
     assert_eq!(node.table(), &LeaseTable::default());
     assert!(
         receive(&mut node, &good).is_empty() && node.rejections().values().sum::<u64>() == 9,
-        "a good one is not rejected"
+        "a valid message was rejected"
     );
 }
 
-/// The metrics' labels and the administration API's keys.
+/// The codes are labels of metrics and keys of the administration API, so a changed code would break dashboards and
+/// tools.
 #[test]
 fn the_codes_of_rejections_are_those_of_the_api() {
     let codes = [
@@ -89,7 +90,8 @@
     }
 }
 
-/// A step of a rolling restart by a manager that does not hold the lease has no effect.
+/// Guards against a rolling restart that two controllers advance: a step from a manager that does not hold the lease is
+/// rejected.
 #[test]
 fn a_restart_step_without_the_lease_is_rejected() {
     let mut node = node();
@@ -99,9 +101,10 @@
     assert_eq!(node.rejections().get(&MessageRejection::StaleFencingToken), Some(&1));
 }
 
-/// Noise of any length, and good messages with any byte changed behind a correct checksum, do not end the program.
+/// Guards against a panic in the decoding or handling of messages. Half of the payloads are random bytes, the others
+/// are valid messages with one changed byte. All have a correct checksum, so that they reach the decoder.
 #[test]
-fn noise_does_not_end_the_program() {
+fn random_and_corrupted_messages_do_not_cause_a_panic() {
     let seed = 20_261_202;
     let (mut rng, mut node) = (Rand64::new(seed), node());
     for _ in 0..200_000 {
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! One message of each kind between managers, with the bytes that an earlier build (commit a8d3c0b) wrote.
+//! Compares the encoding of one message of each kind between managers with the bytes that an earlier build (commit
+//! a8d3c0b) wrote. Managers of different builds exchange messages during a rolling restart.
 
 use sanddyke_cluster::node::{Envelope, PROTOCOL_VERSION, PeerMessage, RoutedRequest};
 use sanddyke_cluster::rolling_restart::{MemberStatus, RestartStep, RollingRestart};
@@ -45,7 +46,7 @@
     ]
 }
 
-/// The names are those of the fixture.
+/// One message of each kind, with its name in the fixture.
 fn messages() -> Vec<(String, PeerMessage)> {
     let reply_to = "127.0.0.1:9101".parse().unwrap();
     let status = MemberStatus { ready: true, drained: false, open_requests: 3, reported_at_us: 99 };
@@ -111,7 +112,8 @@
     assert_eq!(out, include_str!("fixtures/messages.txt"));
 }
 
-/// The state of a rolling restart is the text of its lease's checkpoint.
+/// The state of a rolling restart is stored as the checkpoint of its lease. Guards against a holder that can't continue
+/// the rolling restart of an earlier build.
 #[test]
 fn a_checkpoint_of_an_earlier_build_is_read_and_written_with_the_same_bytes() {
     let checkpoint = include_str!("fixtures/roll.json").trim_end();
