--- a/crates/cluster/src/node/group.rs
+++ b/crates/cluster/src/node/group.rs
@@ -52,7 +52,7 @@
     /// This node does not know of a founded group. Contains the ids that other voters have sent, by name of the
     /// manager.
     Forming(HashMap<String, u64>),
-    /// The voter runs.
+    /// The voter runs. It votes if the group contains its id.
     Active(Box<Voter>),
     /// The voter does not vote, because its disk failed or its file was lost. After the loss of its file, it votes
     /// again once an operator has admitted it.
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -51,13 +51,13 @@
                 self.schedule_after(0, max_us, Event::Restart { manager });
             }
             7 if has_state => self.fill_disk(manager),
-            _ => self.network.loss = self.rng.rand_float() * MAX_LOSS_PROBABILITY,
+            _ => self.network.loss_probability = self.rng.rand_float() * MAX_LOSS_PROBABILITY,
         }
         let next = self.now + self.rng.rand_range(FAULT_INTERVAL_US);
         if next < self.plan.fault_period_us {
             self.schedule_at(next, Event::Fault);
         } else {
-            self.network.loss = 0.0;
+            self.network.loss_probability = 0.0;
         }
     }
 
--- a/crates/cluster/src/simulation/fleet.rs
+++ b/crates/cluster/src/simulation/fleet.rs
@@ -105,22 +105,22 @@
             tables: BTreeMap::new(),
             summary: SimulationSummary::default(),
         };
-        for number in 0..plan.managers {
-            fleet.add_manager(number);
+        for index in 0..plan.managers {
+            fleet.add_manager(index);
         }
         fleet.schedule_first_fault();
         fleet
     }
 
-    fn add_manager(&mut self, number: usize) {
+    fn add_manager(&mut self, index: usize) {
         // The id is sampled for each manager, so that the number of voters does not change the later random numbers.
         let voter_id = self.rng.rand_u64() | 1;
-        let disk = (number < self.plan.voters).then(|| MemoryDisk::new(voter_id));
+        let disk = (index < self.plan.voters).then(|| MemoryDisk::new(voter_id));
         let rate = 1.0 + CLOCK_DRIFT_BOUND * (2.0 * self.rng.rand_float() - 1.0);
         let offset_us = self.rng.rand_range(0..MAX_CLOCK_OFFSET_US);
         self.managers.push(Manager::new(disk, LocalClock { rate, offset_us }));
         let start_at = self.rng.rand_range(0..START_WITHIN_US);
-        self.schedule_at(start_at, Event::Restart { manager: number });
+        self.schedule_at(start_at, Event::Restart { manager: index });
     }
 
     /// Advances the time to the next event and returns it; `None` if no event is scheduled.
@@ -199,17 +199,17 @@
         Ok(())
     }
 
-    fn restart(&mut self, number: usize) {
+    fn restart(&mut self, index: usize) {
         let seed = self.rng.rand_u64();
-        let manager = &mut self.managers[number];
+        let manager = &mut self.managers[index];
         manager.incarnation += 1;
         if let Some(disk) = &mut manager.disk {
             disk.set_full(false);
         }
         let local = Member {
-            incarnation: Incarnation { name: format!("m{number}"), number: manager.incarnation },
-            address: address(number),
-            zone: format!("z{}", number % ZONES),
+            incarnation: Incarnation { name: format!("m{index}"), number: manager.incarnation },
+            address: address(index),
+            zone: format!("z{}", index % ZONES),
             rejoin_count: 0,
         };
         let config = NodeConfig {
@@ -228,11 +228,11 @@
         });
         manager.suspended_until = 0;
         manager.deferred_events.clear();
-        self.schedule_after(0, TICK_US, Event::Tick { manager: number });
+        self.schedule_after(0, TICK_US, Event::Tick { manager: index });
     }
 
-    pub(super) fn crash(&mut self, number: usize) {
-        let manager = &mut self.managers[number];
+    pub(super) fn crash(&mut self, index: usize) {
+        let manager = &mut self.managers[index];
         manager.node = None;
         manager.deferred_events.clear();
         if self.plan.disabled == DisabledSafeguard::Disk
@@ -241,7 +241,7 @@
             disk.revert_last_write();
         }
         // The leases of a manager that is down no longer count as held, because it begins no operation.
-        self.holders.remove_manager(number);
+        self.holders.remove_manager(index);
         self.update_holder_gaps();
     }
 }
--- a/crates/cluster/src/simulation/network.rs
+++ b/crates/cluster/src/simulation/network.rs
@@ -29,14 +29,14 @@
 /// State of the links.
 pub(super) struct Network {
     /// Probability that a message is lost.
-    pub(super) loss: f64,
+    pub(super) loss_probability: f64,
     /// Number of faults that currently cut each link, by sender and recipient. A link works again once all have ended.
     cuts: BTreeMap<(usize, usize), u32>,
 }
 
 impl Network {
-    pub(super) fn new(loss: f64) -> Network {
-        Network { loss, cuts: BTreeMap::new() }
+    pub(super) fn new(loss_probability: f64) -> Network {
+        Network { loss_probability, cuts: BTreeMap::new() }
     }
 
     pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
@@ -68,7 +68,7 @@
         self.replay(from, to, &bytes);
         let bytes = self.corrupt(bytes);
         for _ in 0..copies {
-            let is_lost = self.rng.rand_float() < self.network.loss;
+            let is_lost = self.rng.rand_float() < self.network.loss_probability;
             if !is_lost && to < self.managers.len() {
                 let is_late = self.rng.rand_float() < LATE_PROBABILITY;
                 let max_us = if is_late { MAX_LATE_DELAY_US } else { MAX_DELAY_US };
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/tests/input.rs
@@ -43,14 +43,14 @@
 #[test]
 fn invalid_messages_are_rejected_and_counted_by_reason() {
     let poll = || PeerMessage::TablePoll { index: 0 };
-    let good = encode(PROTOCOL_VERSION, "here", "m1", 3, poll());
-    let mut corrupt = good.clone();
-    corrupt[9] ^= 1;
+    let valid_message = encode(PROTOCOL_VERSION, "here", "m1", 3, poll());
+    let mut corrupted = valid_message.clone();
+    corrupted[9] ^= 1;
     let from_m1 = |message| encode(PROTOCOL_VERSION, "here", "m1", 3, message);
     let cases: [(Vec<u8>, MessageRejection); 9] = [
         (vec![0; MAX_MESSAGE_BYTES + 1], MessageRejection::TooLong),
-        (good[..good.len() - 1].to_vec(), MessageRejection::Malformed),
-        (corrupt, MessageRejection::Malformed),
+        (valid_message[..valid_message.len() - 1].to_vec(), MessageRejection::Malformed),
+        (corrupted, MessageRejection::Malformed),
         (Vec::new(), MessageRejection::Malformed),
         (encode(PROTOCOL_VERSION + 1, "here", "m1", 3, poll()), MessageRejection::UnsupportedVersion),
         (encode(PROTOCOL_VERSION, "there", "m1", 3, poll()), MessageRejection::OtherCluster),
@@ -66,7 +66,7 @@
     }
     assert_eq!(node.table(), &LeaseTable::default());
     assert!(
-        receive(&mut node, &good).is_empty() && node.rejections().values().sum::<u64>() == 9,
+        receive(&mut node, &valid_message).is_empty() && node.rejections().values().sum::<u64>() == 9,
         "a valid message was rejected"
     );
 }
--- a/crates/cluster/tests/simulation.rs
+++ b/crates/cluster/tests/simulation.rs
@@ -9,7 +9,7 @@
     run(SimulationPlan::from_seed(seed, disabled))
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
@@ -17,8 +17,9 @@
 /// fencing tokens, one table for each log index, and recovery after the last fault.
 #[test]
 fn every_seed_keeps_the_invariants_and_recovers_after_the_last_fault() {
-    let first = number("SANDDYKE_SIM_SEED", 1);
-    let runs = number("SANDDYKE_SIM_RUNS", if std::env::var("SANDDYKE_SIM_SEED").is_ok() { 1 } else { 60 });
+    let first = env_number("SANDDYKE_SIM_SEED", 1);
+    let runs =
+        env_number("SANDDYKE_SIM_RUNS", if std::env::var("SANDDYKE_SIM_SEED").is_ok() { 1 } else { 60 });
     let mut fenced = 0;
     for seed in first..first + runs {
         match simulate(seed, DisabledSafeguard::None) {
--- a/src/cluster/peer_transport.rs
+++ b/src/cluster/peer_transport.rs
@@ -39,7 +39,7 @@
 impl PeerTransport {
     /// Starts to accept connections. Received messages are sent to `inbox`.
     pub fn start(listener: TcpListener, local: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) -> PeerTransport {
-        tokio::spawn(accept(listener, inbox));
+        tokio::spawn(accept_connections(listener, inbox));
         PeerTransport { local, queues: HashMap::new() }
     }
 
@@ -52,7 +52,7 @@
         }
         let queue = self.queues.entry(to).or_insert_with(|| {
             let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
-            tokio::spawn(send_all(self.local, to, messages));
+            tokio::spawn(run_outgoing_connection(self.local, to, messages));
             queue
         });
         queue.try_send(message.into()).is_ok()
@@ -71,7 +71,7 @@
 }
 
 /// Sends the queued messages to one manager until the connection ends. The next message opens another connection.
-async fn send_all(local: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
+async fn run_outgoing_connection(local: SocketAddr, to: SocketAddr, mut messages: mpsc::Receiver<Bytes>) {
     let stream = match connect(local, to).await {
         Ok(stream) => stream,
         Err(error) => return log::debug!("cluster: connecting to {to} failed: {error}"),
@@ -85,7 +85,7 @@
     }
 }
 
-async fn accept(listener: TcpListener, inbox: mpsc::Sender<Vec<u8>>) {
+async fn accept_connections(listener: TcpListener, inbox: mpsc::Sender<Vec<u8>>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let (stream, from) = match listener.accept().await {
@@ -102,14 +102,14 @@
         };
         let inbox = inbox.clone();
         tokio::spawn(async move {
-            receive_all(stream, from, inbox).await;
+            run_incoming_connection(stream, from, inbox).await;
             drop(permit);
         });
     }
 }
 
 /// Receives messages from one manager until the connection ends.
-async fn receive_all(stream: TcpStream, from: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) {
+async fn run_incoming_connection(stream: TcpStream, from: SocketAddr, inbox: mpsc::Sender<Vec<u8>>) {
     let mut frames = FramedRead::new(stream, codec());
     while let Ok(Some(frame)) = tokio::time::timeout(IDLE_TIMEOUT, frames.next()).await {
         match frame {
