--- a/src/cluster/node_driver.rs
+++ b/src/cluster/node_driver.rs
@@ -242,7 +242,7 @@
                     log::info!(incarnation:%; "cluster: member left or does not respond");
                     self.published.statuses.send_modify(|statuses| statuses.remove(&incarnation.name));
                 }
-                Output::LogEvent(notice) => log::info!("cluster: {notice}"),
+                Output::LogEvent(event) => log::info!("cluster: {event}"),
                 Output::RestartStep { reply_to, step } => {
                     let local_incarnation = self.node.membership().local().incarnation.number;
                     self.process.apply_step(step, local_incarnation);
