--- a/crates/cluster/src/simulation/effects.rs
+++ b/crates/cluster/src/simulation/effects.rs
@@ -1,20 +1,20 @@
-//! What the managers do: inputs of their nodes, and the effects of the outputs.
+//! Passes inputs to the nodes of the managers, and applies the outputs of the nodes to the simulated fleet.
 
-use super::world::World;
+use super::fleet::SimulatedFleet;
 use super::{DisabledSafeguard, LEASES, Violation};
 use crate::lease_holder::LeaseEffect;
 use crate::node::{Input, Output};
 
-/// Tables that are retained for comparison.
+/// Number of tables that are retained for comparison, those with the highest log indexes.
 const RETAINED_TABLES: usize = 64;
 
-/// Position of a lease.
-fn position(lease: &str) -> usize {
+/// Index of a lease in [`LEASES`].
+fn lease_index(lease: &str) -> usize {
     LEASES.iter().position(|known| *known == lease).unwrap_or(0)
 }
 
-impl World {
-    /// Passes an input to a manager, and carries out its outputs.
+impl SimulatedFleet {
+    /// Passes an input to a manager, and applies the outputs.
     pub(super) fn input(&mut self, manager: usize, input: Input<'_>) -> Result<(), Violation> {
         let outputs = self.managers[manager].handle(self.now, input);
         self.compare_tables(manager)?;
@@ -26,13 +26,14 @@
                 | Output::MemberDown(_)
                 | Output::RestartStep { .. }
                 | Output::MemberStatus(_)
-                | Output::Notice(_) => {}
+                | Output::LogEvent(_) => {}
             }
         }
         Ok(())
     }
 
-    /// Tables of leaders at the same log index are the same.
+    /// Returns a violation if the manager is a leader and its table differs from that of another leader at the same log
+    /// index.
     fn compare_tables(&mut self, manager: usize) -> Result<(), Violation> {
         let Some(node) = self.managers[manager].node.as_ref().filter(|node| node.is_leader()) else {
             return Ok(());
@@ -54,14 +55,14 @@
             LeaseEffect::Acquired { lease, fencing_token, expires_at_us } => {
                 self.summary.grants += 1;
                 let until = clock.true_time(expires_at_us);
-                self.holders.acquire(position(&lease), manager, fencing_token, until);
-                self.check_single_holder(position(&lease), manager)?;
+                self.holders.acquire(lease_index(&lease), manager, fencing_token, until);
+                self.check_single_holder(lease_index(&lease), manager)?;
             }
             LeaseEffect::Extended { lease, expires_at_us, .. } => {
-                self.holders.extend(position(&lease), manager, clock.true_time(expires_at_us));
-                self.check_single_holder(position(&lease), manager)?;
+                self.holders.extend(lease_index(&lease), manager, clock.true_time(expires_at_us));
+                self.check_single_holder(lease_index(&lease), manager)?;
             }
-            LeaseEffect::Ended { lease, .. } => self.holders.end(position(&lease), manager),
+            LeaseEffect::Ended { lease, .. } => self.holders.end(lease_index(&lease), manager),
             LeaseEffect::FinishWork { lease, .. } => {
                 self.input(manager, Input::WorkFinished { lease: &lease })?;
             }
@@ -71,19 +72,20 @@
         Ok(())
     }
 
-    /// An act arrives at its resource, which rejects tokens below the highest that it has accepted.
-    pub(super) fn accept_act(&mut self, lease: usize, fencing_token: u64) -> Result<(), Violation> {
+    /// Processes an operation at its resource. The resource rejects fencing tokens below the highest one that it has
+    /// accepted.
+    pub(super) fn accept_operation(&mut self, lease: usize, fencing_token: u64) -> Result<(), Violation> {
         let highest = self.highest_tokens[lease];
         let is_stale = fencing_token < highest;
         if is_stale && self.plan.disabled != DisabledSafeguard::Fencing {
-            self.summary.fenced_acts += 1;
+            self.summary.fenced_operations += 1;
             return Ok(());
         }
         if is_stale {
-            return Err(Violation::StaleAct { lease: LEASES[lease], fencing_token, highest });
+            return Err(Violation::StaleOperation { lease: LEASES[lease], fencing_token, highest });
         }
         self.highest_tokens[lease] = fencing_token;
-        self.summary.acts += 1;
+        self.summary.operations += 1;
         Ok(())
     }
 }
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -1,32 +1,32 @@
-//! What fails, and when.
+//! Random faults: cut links, partitions, suspensions, crashes, full disks and message loss.
 
-use super::network::MAX_LOSS;
-use super::world::{Event, World};
+use super::fleet::{Event, SimulatedFleet};
+use super::network::MAX_LOSS_PROBABILITY;
 use crate::lease_holder::Micros;
 
-/// When the first fault occurs, in microseconds.
+/// Time of the first fault, in microseconds since the start.
 const FIRST_FAULT_US: std::ops::Range<u64> = 2_000_000..8_000_000;
 /// Time between two faults, in microseconds.
 const FAULT_INTERVAL_US: std::ops::Range<u64> = 200_000..4_000_000;
 /// Minimum duration of a cut of a link, in microseconds.
 const MIN_CUT_US: Micros = 100_000;
-/// Maximum duration of the cut of one manager, in microseconds.
+/// Maximum duration of the cut of one link or the isolation of one manager, in microseconds.
 const MAX_CUT_US: Micros = 10_000_000;
 /// Maximum duration of a partition of the fleet, in microseconds.
 const MAX_PARTITION_US: Micros = 6_000_000;
 /// Maximum duration of a suspension, in microseconds.
 const MAX_SUSPENSION_US: Micros = 10_000_000;
-/// Maximum time until a crashed manager restarts, in microseconds.
-const MAX_DOWN_US: Micros = 5_000_000;
-/// Maximum time until a manager with a full disk restarts, in microseconds.
+/// Maximum time from a crash until the manager restarts, in microseconds.
+const MAX_DOWNTIME_US: Micros = 5_000_000;
+/// Maximum time from the moment that a disk is full until its manager restarts, in microseconds.
 const MAX_DISK_FULL_US: Micros = 8_000_000;
-/// Probability that a holder is suspended, rather than any manager.
+/// Probability that a suspension affects a manager that holds a lease, if there is one, instead of a random manager.
 const SUSPEND_HOLDER_PROBABILITY: f64 = 0.7;
-/// Bits of the directions in which a manager is cut off.
+/// Bits of the directions in which a manager is isolated.
 const OUTBOUND: u64 = 1;
 const INBOUND: u64 = 2;
 
-impl World {
+impl SimulatedFleet {
     pub(super) fn schedule_first_fault(&mut self) {
         let at = self.rng.rand_range(FIRST_FAULT_US);
         self.schedule_at(at, Event::Fault);
@@ -47,21 +47,21 @@
             3 | 4 => self.suspend(manager),
             5 | 6 if is_up => {
                 self.crash(manager);
-                let max_us = MAX_DOWN_US.min(self.remaining_us());
+                let max_us = MAX_DOWNTIME_US.min(self.remaining_us());
                 self.schedule_after(0, max_us, Event::Restart { manager });
             }
             7 if has_state => self.fill_disk(manager),
-            _ => self.network.loss = self.rng.rand_float() * MAX_LOSS,
+            _ => self.network.loss_probability = self.rng.rand_float() * MAX_LOSS_PROBABILITY,
         }
         let next = self.now + self.rng.rand_range(FAULT_INTERVAL_US);
         if next < self.plan.fault_period_us {
             self.schedule_at(next, Event::Fault);
         } else {
-            self.network.loss = 0.0;
+            self.network.loss_probability = 0.0;
         }
     }
 
-    /// Remaining time of faults, at least 1: all faults end with it.
+    /// Remaining time during which faults occur, in microseconds, at least 1. No fault lasts longer.
     fn remaining_us(&self) -> Micros {
         self.plan.fault_period_us.saturating_sub(self.now).max(1)
     }
@@ -73,7 +73,7 @@
         self.schedule_after(min_us, max_us.min(remaining_us), Event::RepairLink { from, to });
     }
 
-    /// Cuts a manager off from all others, in one direction or both.
+    /// Cuts the links between one manager and all others, in one direction or both.
     fn isolate(&mut self, manager: usize) {
         let directions = self.rng.rand_range(OUTBOUND..(OUTBOUND | INBOUND) + 1);
         for peer in (0..self.managers.len()).filter(|peer| *peer != manager) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Suspends a manager, most often one that holds a lease.
+    /// Suspends a manager, with [`SUSPEND_HOLDER_PROBABILITY`] one that holds a lease.
     fn suspend(&mut self, manager: usize) {
         let holder = self.holders.first_holder();
         let manager =
@@ -110,7 +110,7 @@
         self.schedule_at(until, Event::Resume { manager });
     }
 
-    /// Fills a manager's disk. An operator frees space and restarts it.
+    /// Fills the disk of a manager. The restart stands for an operator who frees space and restarts the manager.
     fn fill_disk(&mut self, manager: usize) {
         if let Some(disk) = &mut self.managers[manager].disk {
             disk.set_full(true);
