--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -48,4 +48,4 @@
 /// Entries of the audit trail that are retained; the oldest are removed first.
 pub const AUDIT_KEPT: u64 = 200_000;
 /// Idempotency keys of creations that are retained; the oldest are removed first.
-pub const CREATIONS_KEPT: u64 = 10_000;
+pub const MAX_CREATION_KEYS: u64 = 10_000;
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -5,7 +5,7 @@
 use crate::encoding::{pack, unpack};
 use crate::error::message;
 use crate::store::Loaded;
-use crate::{AUDIT_KEPT, CREATIONS_KEPT, FORM};
+use crate::{AUDIT_KEPT, FORM, MAX_CREATION_KEYS};
 use redb::{ReadTransaction, ReadableTable, TableDefinition, TableError, WriteTransaction};
 use sanddyke_authorization::Tokens;
 use sanddyke_tenancy::{Generation, Registry, Tenant};
@@ -111,7 +111,7 @@
     order.insert(next, creation.key.as_str()).map_err(message)?;
     loop {
         let oldest = order.first().map_err(message)?.map(|(number, _)| number.value());
-        let Some(oldest) = oldest.filter(|oldest| oldest + CREATIONS_KEPT <= next) else { return Ok(()) };
+        let Some(oldest) = oldest.filter(|oldest| oldest + MAX_CREATION_KEYS <= next) else { return Ok(()) };
         let key = order.remove(oldest).map_err(message)?.map(|key| key.value().to_owned());
         if let Some(key) = key {
             creations.remove(key.as_str()).map_err(message)?;
--- a/crates/store/src/voter_file.rs
+++ b/crates/store/src/voter_file.rs
@@ -78,7 +78,7 @@
     }
 
     /// The voter's id, and whether its group is founded: only then it votes.
-    pub fn standing(&self) -> (u64, bool) {
+    pub fn identity(&self) -> (u64, bool) {
         (self.id, self.founded)
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// Nothing is stored.
-    pub fn begin(&mut self, state: &VoterState) -> Result<(), StoreError> {
+    pub fn initialize(&mut self, state: &VoterState) -> Result<(), StoreError> {
         self.write(|meta, log| {
             log.retain(|_, _| false).map_err(message)?;
             meta.insert("hard_state", pack(&state.hard_state)?.as_slice()).map_err(message)?;
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// Nothing of it is stored.
-    pub fn keep(&self, more: &VoterUpdate<'_>) -> Result<(), StoreError> {
+    pub fn store(&self, more: &VoterUpdate<'_>) -> Result<(), StoreError> {
         self.write(|meta, log| {
             if let Some(state) = more.hard_state {
                 meta.insert("hard_state", pack(&state)?.as_slice()).map_err(message)?;
--- a/crates/store/src/voter_file/tests.rs
+++ b/crates/store/src/voter_file/tests.rs
@@ -9,21 +9,21 @@
     let path = folder.path().join("voter.redb");
     {
         let mut file = VoterFile::open(&path, 7).unwrap();
-        assert_eq!(file.standing(), (7, false));
-        file.begin(&VoterState { hard_state: vec![1], snapshot: vec![2], entries: Vec::new() }).unwrap();
+        assert_eq!(file.identity(), (7, false));
+        file.initialize(&VoterState { hard_state: vec![1], snapshot: vec![2], entries: Vec::new() }).unwrap();
         let entries = [(2, vec![20]), (3, vec![30]), (4, vec![40])];
-        file.keep(&VoterUpdate { hard_state: Some(&[3]), entries: &entries, ..VoterUpdate::default() })
+        file.store(&VoterUpdate { hard_state: Some(&[3]), entries: &entries, ..VoterUpdate::default() })
             .unwrap();
-        file.keep(&VoterUpdate { entries: &[(3, vec![31])], ..VoterUpdate::default() }).unwrap();
+        file.store(&VoterUpdate { entries: &[(3, vec![31])], ..VoterUpdate::default() }).unwrap();
     }
     let file = VoterFile::open(&path, 8).unwrap();
-    assert_eq!(file.standing(), (7, true), "the number stays the file's");
+    assert_eq!(file.identity(), (7, true), "the number stays the file's");
     let state = file.state().unwrap();
     assert_eq!(
         state,
         VoterState { hard_state: vec![3], snapshot: vec![2], entries: vec![vec![20], vec![31]] }
     );
-    file.keep(&VoterUpdate { snapshot: Some((2, &[9])), ..VoterUpdate::default() }).unwrap();
+    file.store(&VoterUpdate { snapshot: Some((2, &[9])), ..VoterUpdate::default() }).unwrap();
     let state = file.state().unwrap();
     assert_eq!((state.snapshot, state.entries), (vec![9], vec![vec![31]]));
 }
--- a/crates/tenancy/src/model.rs
+++ b/crates/tenancy/src/model.rs
@@ -206,7 +206,7 @@
     }
 
     /// Whether the same request may be taken later with nothing changed by an operator.
-    pub fn passes_by_itself(self) -> bool {
+    pub fn is_temporary(self) -> bool {
         matches!(self, Reason::Open | Reason::Rate)
     }
 }
--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -117,7 +117,7 @@
     /// The effective shares then.
     pub shares: BTreeMap<TenantId, f64>,
     /// Tenants whose effective share is another then: before and after.
-    pub moved: BTreeMap<TenantId, (f64, f64)>,
+    pub share_changes: BTreeMap<TenantId, (f64, f64)>,
 }
 
 /// Why changes are not made.
@@ -254,7 +254,11 @@
     }
 
     /// Refuses where the subject is not of the generation that an operator has seen.
-    pub fn expect(&self, subject: &Subject, expected: Option<Generation>) -> Result<(), ChangeError> {
+    pub fn check_generation(
+        &self,
+        subject: &Subject,
+        expected: Option<Generation>,
+    ) -> Result<(), ChangeError> {
         match (expected, self.generation_of(subject)) {
             (Some(expected), Some(found)) if expected != found => Err(ChangeError::Stale { expected, found }),
             _ => Ok(()),
@@ -266,8 +270,8 @@
         let mut after = self.clone();
         let records = after.apply(changes)?;
         let shares = shares::effective(&after);
-        let moved = shares::moved(&shares::effective(self), &shares);
-        Ok(Plan { after, records, shares, moved })
+        let share_changes = shares::moved(&shares::effective(self), &shares);
+        Ok(Plan { after, records, shares, share_changes })
     }
 
     /// Makes changes, all of them or none.
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -99,7 +99,7 @@
         |registry: &Registry, name: &str| shares::effective(registry)[&registry.tenant(name).unwrap().id];
     assert_eq!((share(&registry, "a"), share(&registry, "b"), share(&registry, "alone")), (0.25, 0.5, 0.25));
     let plan = registry.plan(&[Change::MoveTenant { name: "b".to_owned(), to: State::Suspended }]).unwrap();
-    let moved: Vec<(f64, f64)> = plan.moved.values().copied().collect();
+    let moved: Vec<(f64, f64)> = plan.share_changes.values().copied().collect();
     assert_eq!(moved, [(0.25, 0.75), (0.5, 0.0)], "its group keeps its part, others see nothing");
 }
 
@@ -118,11 +118,11 @@
     let mut registry = Registry::default();
     create(&mut registry, "a", 1.0, None);
     let (seen, subject) = (registry.tenant("a").unwrap().generation, Subject::Tenant("a".to_owned()));
-    assert_eq!(registry.expect(&subject, Some(seen)), Ok(()));
+    assert_eq!(registry.check_generation(&subject, Some(seen)), Ok(()));
     let change = Change::MoveTenant { name: "a".to_owned(), to: State::Draining };
     registry.apply(&[change]).unwrap();
     let stale = ChangeError::Stale { expected: seen, found: Generation(2) };
-    assert_eq!(registry.expect(&subject, Some(seen)), Err(stale));
+    assert_eq!(registry.check_generation(&subject, Some(seen)), Err(stale));
 }
 
 #[test]
--- a/src/admin/v1/changes.rs
+++ b/src/admin/v1/changes.rs
@@ -85,7 +85,7 @@
         let shares = self.moved_shares(&plan).await;
         let body = json!({
             "dry_run": true, "changes": plan.records.len(), "generation": plan.after.generation(),
-            "shares_changed": plan.moved.len(), "shares": shares,
+            "shares_changed": plan.share_changes.len(), "shares": shares,
         });
         Ok(Response::json(200, body.to_string()))
     }
@@ -96,7 +96,7 @@
                 let tenant = plan.after.by_id(id).or_else(|| tenants.registry.by_id(id));
                 tenant.map_or(String::new(), |tenant| tenant.name.clone())
             };
-            let moved = plan.moved.iter().take(MAX_LISTED_SHARES);
+            let moved = plan.share_changes.iter().take(MAX_LISTED_SHARES);
             let listed = moved.map(
                 |(id, (before, after))| json!({ "tenant": name(*id), "before": before, "after": after }),
             );
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -161,7 +161,7 @@
     let plan = loaded.registry.plan(&document.changes(&loaded.registry, prune))?;
     let change_count = plan.records.len();
     if dry_run {
-        let moved_count = plan.moved.len();
+        let moved_count = plan.share_changes.len();
         return print(&format!("{change_count} changes would be made, {moved_count} shares moved\n"));
     }
     if change_count > 0 {
--- a/src/cluster/voter_disk.rs
+++ b/src/cluster/voter_disk.rs
@@ -29,19 +29,19 @@
             entries: &batch.entries,
             snapshot: batch.snapshot.as_ref().map(|(index, snapshot)| (*index, snapshot.as_slice())),
         };
-        self.0.keep(&update).map_err(|error| error.to_string())
+        self.0.store(&update).map_err(|error| error.to_string())
     }
 }
 
 impl VoterDisk for FileVoterDisk {
     fn identity(&self) -> VoterIdentity {
-        let (id, founded) = self.0.standing();
+        let (id, founded) = self.0.identity();
         VoterIdentity { id, founded }
     }
 
     fn initialize(&mut self, state: &PersistedState) -> Result<(), String> {
         let PersistedState { hard_state, entries, snapshot } = state.clone();
-        self.0.begin(&VoterState { hard_state, entries, snapshot }).map_err(|error| error.to_string())
+        self.0.initialize(&VoterState { hard_state, entries, snapshot }).map_err(|error| error.to_string())
     }
 
     fn load(&self) -> Result<PersistedState, String> {
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -53,7 +53,7 @@
     let status = match reason {
         None => 503,
         Some(Reason::StatementBytes) => 413,
-        Some(reason) if reason.passes_by_itself() => 429,
+        Some(reason) if reason.is_temporary() => 429,
         Some(_) => 403,
     };
     let response = Response::json(status, fault_body("Rejected", reason));
--- a/src/frontend/tds/responses.rs
+++ b/src/frontend/tds/responses.rs
@@ -59,7 +59,7 @@
 }
 
 fn limit_number(reason: Reason) -> u32 {
-    if reason.passes_by_itself() { error_number::TENANT_LIMITED } else { error_number::TENANT_FORBIDDEN }
+    if reason.is_temporary() { error_number::TENANT_LIMITED } else { error_number::TENANT_FORBIDDEN }
 }
 
 fn limit_text(retry_after: Micros, reason: Reason) -> String {
--- a/src/tenants/change.rs
+++ b/src/tenants/change.rs
@@ -61,7 +61,7 @@
         let request = request.clone();
         off_thread(move || {
             if let Some(Precondition { subject, generation }) = &request.precondition {
-                registry.expect(subject, Some(*generation))?;
+                registry.check_generation(subject, Some(*generation))?;
             }
             Ok(registry.plan(&request.changes)?)
         })
@@ -96,7 +96,7 @@
             };
         }
         if let Some(Precondition { subject, generation }) = &request.precondition {
-            state.registry.expect(subject, Some(*generation))?;
+            state.registry.check_generation(subject, Some(*generation))?;
         }
         let ChangeRequest { actor, changes, .. } = request;
         // Planning takes some ms where there are thousands of tenants, as long as the disk: neither runs on the thread
--- a/src/tenants/state.rs
+++ b/src/tenants/state.rs
@@ -66,7 +66,7 @@
         let removed = changed.iter().filter(|id| self.registry.by_id(**id).is_none());
         let mut updates: Vec<TenantUpdate> = removed.map(|id| TenantUpdate::Removed(*id)).collect();
         updates.extend(changed.iter().filter_map(|id| self.update_of(*id)));
-        let moved = plan.moved.into_iter().filter(|(id, _)| changed.binary_search(id).is_err());
+        let moved = plan.share_changes.into_iter().filter(|(id, _)| changed.binary_search(id).is_err());
         updates.extend(moved.map(|(id, (_, share))| TenantUpdate::Share { id, share }));
         self.add_recent(plan.records, actor, at_ms);
         updates
@@ -97,7 +97,7 @@
     pub(super) fn add_creation(&mut self, creation: Creation) {
         self.creation_order.push_back(creation.key.clone());
         self.creations.insert(creation.key.clone(), creation);
-        while self.creations.len() as u64 > sanddyke_store::CREATIONS_KEPT {
+        while self.creations.len() as u64 > sanddyke_store::MAX_CREATION_KEYS {
             let Some(oldest) = self.creation_order.pop_front() else { break };
             self.creations.remove(&oldest);
         }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -58,7 +58,7 @@
 fn the_voter_file_of_an_earlier_build_is_read() {
     let (_folder, path) = copy("voter.redb");
     let file = VoterFile::open(&path, 1).unwrap();
-    assert_eq!(file.standing(), (0xfebc_de7e_9b4b_5d8b, true));
+    assert_eq!(file.identity(), (0xfebc_de7e_9b4b_5d8b, true));
     let state = file.state().unwrap();
     assert!(!state.hard_state.is_empty() && !state.snapshot.is_empty());
     #[cfg(feature = "cluster")]
