--- a/crates/store/src/audit.rs
+++ b/crates/store/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail's entries. Their doc comments are the descriptions in the OpenAPI document.
+//! Entries of the audit trail. The doc comments of these types are the descriptions in the OpenAPI document.
 
 use sanddyke_tenancy::Record;
 use schemars::JsonSchema;
--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -1,4 +1,4 @@
-//! Backups of a store, and restoring them.
+//! Backup of a store to another file, and restoring a store from a backup.
 
 use crate::error::{StoreError, write_error};
 use crate::store::{Store, open_error};
@@ -8,11 +8,11 @@
 use std::path::{Path, PathBuf};
 
 impl Store {
-    /// Writes a copy of the store as it is now; the store stays in use. The copy appears under its name only once it is
-    /// complete; a file of that name is not replaced.
+    /// Writes a copy of the store in its current state. The store can be used meanwhile. The copy is written under a
+    /// temporary name and renamed when it is complete. An existing file is not replaced.
     ///
     /// # Errors
-    /// There is a file of that name, or writing failed.
+    /// The file `to` exists, or writing failed.
     pub fn backup(&self, to: &Path) -> Result<(), StoreError> {
         if to.exists() {
             return Err(StoreError::Exists(to.to_owned()));
@@ -26,9 +26,10 @@
         Ok(())
     }
 
-    /// Writes a copy under a name that is taken once and for all; false where it is taken already. The fencing token
-    /// grows from caller to caller: incomplete copies under older tokens are removed, so that a former caller that
-    /// continues later has nothing to put there.
+    /// Writes a copy under a name that at most one caller creates. Returns false if the file `to` exists already.
+    ///
+    /// Each later lease holder passes a greater fencing token. Incomplete copies with smaller tokens are removed, so that a
+    /// former lease holder that resumes after a pause can't publish its copy.
     ///
     /// # Errors
     /// Reading the folder or writing failed.
@@ -42,7 +43,7 @@
         let _left = std::fs::remove_file(&part);
         self.copy(&part)?;
         File::open(&part).and_then(|file| file.sync_all()).map_err(failed)?;
-        // Unlike a rename, a link replaces nothing.
+        // A hard link fails if the name exists; a rename would replace the file.
         let linked = std::fs::hard_link(&part, to);
         std::fs::remove_file(&part).map_err(failed)?;
         match linked {
@@ -61,9 +62,10 @@
     }
 }
 
-/// The extension of an incomplete copy, before the fencing token under which it is written.
+/// The extension of an incomplete copy is this prefix and the caller's fencing token.
 const PART_PREFIX: &str = "part-";
 
+/// Removes the incomplete copies in a folder whose fencing token is smaller.
 fn remove_older_parts(folder: &Path, fencing_token: u64) -> std::io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
@@ -76,11 +78,12 @@
     Ok(())
 }
 
+/// The folder that contains a file; the working directory for a bare file name.
 fn folder_of(path: &Path) -> &Path {
     path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."))
 }
 
-/// Gives a finished file its name; both are on the disk when this returns.
+/// Renames a complete file to its final name. The file and its name are on the disk when this returns.
 pub(crate) fn publish(part: &Path, to: &Path) -> Result<(), StoreError> {
     let failed = |error| StoreError::Io(to.to_owned(), error);
     File::open(part).and_then(|file| file.sync_all()).map_err(failed)?;
@@ -94,11 +97,11 @@
     synced.map_err(|error| StoreError::Io(folder.to_owned(), error))
 }
 
-/// Puts a backup in the place of a store that no process has open. The backup is read completely first. The store that
-/// was there is kept beside it; returns its new name.
+/// Replaces a store that no process has open by a backup, which is read completely first. A previous store is renamed
+/// and retained in the same folder. Returns its new name; `None` if there was none.
 ///
 /// # Errors
-/// The backup can't be used, the store is open, or writing failed. The store is then as it was.
+/// The backup can't be read, the store is open, or writing failed. The store is not changed then.
 pub fn restore(from: &Path, to: &Path) -> Result<Option<PathBuf>, StoreError> {
     let (backup, _) = Store::open_existing(from)?;
     let replaced = match to.exists() {
@@ -114,9 +117,9 @@
     Ok(replaced)
 }
 
-/// Renames a store to a free name.
+/// Renames a store to an unused name in the same folder, and returns that name.
 fn move_aside(path: &Path) -> Result<PathBuf, StoreError> {
-    // A process that has it open keeps others out; a damaged one may be replaced all the same.
+    // A store that another process has open must not be replaced. A corrupted store may be, so other errors are ignored.
     if let Err(StoreError::InUse(path)) = Store::open(path) {
         return Err(StoreError::InUse(path));
     }
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -1,32 +1,32 @@
-//! Changes to be stored, each as one transaction.
+//! Changes to be stored. Each [`Commit`] is one transaction.
 
 use crate::audit::AuditAction;
 use sanddyke_authorization::Token;
 use sanddyke_tenancy::{Generation, Group, Record, Registry, Subject, Tenant};
 use serde::{Deserialize, Serialize};
 
-/// A creation with an idempotency key, and its result.
+/// The idempotency key of a creation, with the creation's result.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Creation {
     /// The key, together with the id of the token that used it.
     pub key: String,
-    /// A digest of the request.
+    /// A digest of the request, by which reuse of the key for another request is detected.
     #[serde(rename = "asked")]
     pub request_digest: String,
-    /// The name that was created.
+    /// The name of the tenant or group that was created.
     pub name: String,
     /// When the key expires (Unix time, ms).
     pub until_ms: u64,
 }
 
-/// A change to be stored completely or not at all.
+/// A change that is stored completely or not at all.
 #[derive(Debug, Default)]
 pub struct Commit {
     pub(crate) who: String,
     pub(crate) at_ms: u64,
     pub(crate) generation: Generation,
     pub(crate) last_id: u64,
-    /// Rows to be written (`Some`) or removed, by their key.
+    /// Rows to write (`Some`) or remove (`None`), by their key; `groups` and `tokens` likewise.
     pub(crate) tenants: Vec<(u64, Option<Tenant>)>,
     pub(crate) groups: Vec<(String, Option<Group>)>,
     pub(crate) tokens: Vec<(String, Option<Token>)>,
@@ -35,7 +35,7 @@
 }
 
 impl Commit {
-    /// Changes of a registry: its state after them, and their records.
+    /// Changes of a registry: the registry after them, and one record for each change.
     pub fn of(who: &str, at_ms: u64, after: &Registry, records: Vec<Record>) -> Commit {
         let mut commit = Commit {
             who: who.to_owned(),
@@ -60,7 +60,7 @@
         commit
     }
 
-    /// A token that was created or rotated (`Some`) or removed; the registry stays as it is.
+    /// A token that was created or rotated (`Some`) or removed (`None`). The registry is unchanged.
     pub fn token(
         who: &str,
         at_ms: u64,
@@ -75,7 +75,7 @@
         commit
     }
 
-    /// Stores the idempotency key of a creation with it.
+    /// Adds the idempotency key of a creation to the transaction.
     pub fn with_creation(mut self, creation: Creation) -> Commit {
         self.creation = Some(creation);
         self
--- a/crates/store/src/encoding.rs
+++ b/crates/store/src/encoding.rs
@@ -1,10 +1,10 @@
-//! The encoding of rows: JSON behind its CRC-32. JSON, so that a later version reads by field names what an earlier one
-//! wrote, and that an operator can read a row that can't be used.
+//! The encoding of rows: the CRC-32 of the JSON text, little-endian, followed by the text. JSON identifies fields by name,
+//! so that later versions can read rows of earlier ones, and an operator can read a corrupted row.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Bytes of the checksum.
+/// Length of the CRC-32 at the start of a row.
 const CHECKSUM_BYTES: usize = 4;
 
 /// Encodes a value as a row.
@@ -15,7 +15,7 @@
     Ok(row)
 }
 
-/// Decodes a row; `kind` names it in the error message.
+/// Decodes a row and checks its checksum. `kind` names the row in error messages.
 pub fn unpack<T: DeserializeOwned>(kind: &str, row: &[u8]) -> Result<T, String> {
     let (checksum, json) =
         row.split_at_checked(CHECKSUM_BYTES).ok_or_else(|| format!("a {kind} row is too short"))?;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,12 @@
-//! Persistent storage of what the administration API changes: tenants, groups, tokens, the audit trail and the idempotency
-//! keys of creations, in one file. A change and its audit entry are one transaction, and [`Store::commit`] returns only
-//! once it is on the disk.
+//! Persistent storage of the data that the administration API changes: tenants, groups, tokens, the audit trail and the
+//! idempotency keys of creations, in one file. A change and its audit entries are one transaction, and [`Store::commit`]
+//! returns when the transaction is on the disk.
 //!
-//! The file is a redb database (copy-on-write B-trees with checksums and atomic commits). Each value has a CRC-32 of its
-//! own, so that a damaged row is recognised wherever the damage is. Opening a file never repairs or overwrites it: one
-//! that is newer, damaged or no store at all gives one error and stays as it was, byte for byte.
+//! The file is a redb database (copy-on-write B-trees with checksums and atomic commits). Each value also has a CRC-32, so
+//! that any corrupted row is detected. Opening a file never repairs or overwrites it: a file that is corrupted, has a later
+//! format or is not a store causes one error and is not changed.
 //!
-//! [`voter_file`] is a file of its own, for managers that vote about leases.
+//! [`voter_file`] is a separate file for managers that are voters of the lease group.
 //!
 //! ```
 //! use sanddyke_store::{Commit, Store};
@@ -44,8 +44,8 @@
 pub use store::{Loaded, Store};
 
 /// The format version that this build writes, and the latest that it reads.
-pub const FORM: u64 = 1;
-/// Entries of the audit trail that are retained; the oldest are removed first.
-pub const AUDIT_KEPT: u64 = 200_000;
-/// Idempotency keys of creations that are retained; the oldest are removed first.
+pub const FORMAT_VERSION: u64 = 1;
+/// Maximum number of retained audit entries. The oldest are removed first.
+pub const MAX_AUDIT_ENTRIES: u64 = 200_000;
+/// Maximum number of retained idempotency keys of creations. The oldest are removed first.
 pub const MAX_CREATION_KEYS: u64 = 10_000;
--- a/crates/store/src/panic_guard.rs
+++ b/crates/store/src/panic_guard.rs
@@ -1,4 +1,5 @@
-//! Turns panics into errors: redb checks some of a damaged file by assertions. Such a panic prints nothing.
+//! Converts panics to errors. redb checks parts of a file by assertions, so that a corrupted file can cause a panic. The
+//! message of such a panic is not printed.
 
 use std::cell::Cell;
 use std::panic::{AssertUnwindSafe, catch_unwind, set_hook, take_hook};
@@ -8,8 +9,8 @@
     static GUARDED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Runs a function on a file that may be damaged; a panic is returned as its message. What the function had open is
-/// dropped before this returns, so that nothing inconsistent of it can be seen afterwards.
+/// Runs a function on a file that may be corrupted. If it panics, returns the message of the panic. Values that the
+/// function had open are dropped by then, so that no inconsistent value remains visible.
 pub fn guarded<T>(run: impl FnOnce() -> T) -> Result<T, String> {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
@@ -25,6 +26,9 @@
     GUARDED.set(false);
     result.map_err(|panic| {
         let message = panic.downcast_ref::<String>().map(String::as_str);
-        message.or(panic.downcast_ref::<&str>().copied()).unwrap_or("it can't be read").replace('\n', " ")
+        message
+            .or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("reading it panicked without a message")
+            .replace('\n', " ")
     })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,9 +1,9 @@
-//! The open store: opening without harm, and transactions.
+//! Opening a store without changing a file that can't be used, and transactions on the open store.
 
 use crate::audit::AuditEntry;
 use crate::commit::{Commit, Creation};
 use crate::error::{StoreError, message, write_error};
-use crate::{FORM, backup, panic_guard, tables};
+use crate::{FORMAT_VERSION, backup, panic_guard, tables};
 use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
 use sanddyke_authorization::Tokens;
 use sanddyke_tenancy::Registry;
@@ -11,8 +11,9 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
+/// Size of the page cache.
 const CACHE_BYTES: usize = 4 << 20;
-/// The first bytes of the database's files.
+/// The first bytes of each redb file.
 const MAGIC: [u8; 4] = *b"redb";
 
 /// The content of a store when it was opened.
@@ -22,20 +23,20 @@
     pub registry: Registry,
     /// The tokens.
     pub tokens: Tokens,
-    /// The creations with an idempotency key.
+    /// The retained idempotency keys of creations.
     pub creations: Vec<Creation>,
-    /// Whether the file was created now.
+    /// Whether the file did not exist and was created.
     pub is_new: bool,
 }
 
-/// An open store.
+/// An open store. Other processes can't open the file meanwhile.
 #[derive(Debug)]
 pub struct Store {
     pub(crate) database: Database,
     pub(crate) path: PathBuf,
 }
 
-/// The error of a database that can't be opened.
+/// Converts an error of opening a database. Faults in the file's content are [`StoreError::Corrupted`].
 pub(crate) fn open_error(path: &Path, error: redb::DatabaseError) -> StoreError {
     use std::io::ErrorKind::{InvalidData, UnexpectedEof};
     match error {
@@ -45,28 +46,28 @@
         {
             StoreError::Io(path.to_owned(), error)
         }
-        other => damaged(path, other),
+        other => corrupted(path, other),
     }
 }
 
-fn damaged(path: &Path, reason: impl ToString) -> StoreError {
-    StoreError::Damaged { path: path.to_owned(), why: reason.to_string() }
+fn corrupted(path: &Path, reason: impl ToString) -> StoreError {
+    StoreError::Corrupted { path: path.to_owned(), reason: reason.to_string() }
 }
 
 impl Store {
-    /// Opens a store, or creates an empty one where there is no file; reads it completely.
+    /// Opens a store and reads it completely. Creates an empty store if the file does not exist.
     ///
     /// # Errors
-    /// A file that can't be used stays as it was, byte for byte.
+    /// The file can't be used. It is not changed.
     pub fn open(path: &Path) -> Result<(Store, Loaded), StoreError> {
         let opened = panic_guard::guarded(|| Store::open_unguarded(path));
-        opened.unwrap_or_else(|reason| Err(damaged(path, reason)))
+        opened.unwrap_or_else(|reason| Err(corrupted(path, reason)))
     }
 
     /// Opens a store whose file exists.
     ///
     /// # Errors
-    /// As [`Store::open`], and where there is no file.
+    /// As [`Store::open`], and if the file does not exist.
     pub fn open_existing(path: &Path) -> Result<(Store, Loaded), StoreError> {
         match path.exists() {
             true => Store::open(path),
@@ -82,39 +83,41 @@
             check_file(path)?;
         }
         let store = Store::attach(path)?;
-        let loaded = store.load().map_err(|reason| damaged(path, reason))?;
+        let loaded = store.load().map_err(|reason| corrupted(path, reason))?;
         Ok((store, Loaded { is_new, ..loaded }))
     }
 
-    /// Creates an empty store. It appears under its name only once it can be opened: a crash here leaves no half store.
+    /// Creates an empty store under a temporary name and renames it when it is complete, so that a crash leaves no
+    /// incomplete store under its name.
     fn create(path: &Path) -> Result<(), StoreError> {
         let part = path.with_extension("part");
         let _left = std::fs::remove_file(&part);
         let database = Database::create(&part).map_err(|error| open_error(&part, error))?;
-        Store { database, path: part.clone() }.write_form()?;
+        Store { database, path: part.clone() }.write_format_version()?;
         backup::publish(&part, path)
     }
 
+    /// Opens the database of a file that was checked or just created.
     fn attach(path: &Path) -> Result<Store, StoreError> {
         let database = Database::builder().set_cache_size(CACHE_BYTES).open(path);
         let database = database.map_err(|error| open_error(path, error))?;
         Ok(Store { database, path: path.to_owned() })
     }
 
-    /// Makes an empty file a store.
-    pub(crate) fn write_form(&self) -> Result<(), StoreError> {
-        self.write(tables::write_form)
+    /// Writes the format version into an empty database, which makes it a store.
+    pub(crate) fn write_format_version(&self) -> Result<(), StoreError> {
+        self.write(tables::write_format_version)
     }
 
     fn load(&self) -> Result<Loaded, String> {
         let read = self.database.begin_read().map_err(message)?;
-        match tables::read_form(&read)? {
-            FORM => tables::load(&read),
-            found => Err(format!("form {found}")),
+        match tables::read_format_version(&read)? {
+            FORMAT_VERSION => tables::load(&read),
+            found => Err(format!("format version is {found}, expected {FORMAT_VERSION}")),
         }
     }
 
-    /// Runs one transaction; it is on the disk when this returns.
+    /// Runs one transaction. It is on the disk when this returns.
     pub(crate) fn write(
         &self,
         write: impl FnOnce(&WriteTransaction) -> Result<(), String>,
@@ -125,41 +128,48 @@
         transaction.commit().map_err(write_error)
     }
 
-    /// Stores a change; it is on the disk when this returns.
+    /// Stores a change. It is on the disk when this returns.
     ///
     /// # Errors
-    /// Nothing of the change is stored.
+    /// Writing failed. Nothing of the change is stored.
     pub fn commit(&self, commit: &Commit) -> Result<(), StoreError> {
         self.write(|transaction| tables::write(transaction, commit))
     }
 
-    /// Entries of the audit trail before a number, the newest first: at most `limit` of those that are wanted.
+    /// The newest audit entries whose number is less than `before`, newest first: at most `limit` of those for which
+    /// `is_wanted` returns true.
     ///
     /// # Errors
-    /// A row that can't be read.
+    /// A row can't be read.
     pub fn audit(
         &self,
         before: u64,
         limit: usize,
         is_wanted: impl Fn(&AuditEntry) -> bool,
     ) -> Result<Vec<AuditEntry>, StoreError> {
-        let read = self.database.begin_read().map_err(|error| damaged(&self.path, error))?;
-        tables::audit(&read, before, limit, is_wanted).map_err(|reason| damaged(&self.path, reason))
+        let read = self.database.begin_read().map_err(|error| corrupted(&self.path, error))?;
+        tables::audit(&read, before, limit, is_wanted).map_err(|reason| corrupted(&self.path, reason))
     }
 }
 
-/// Checks a file on a copy: opening a database may write to it, and must not where it can't be used. The copy is read
-/// completely, with the checksum of each page. (A store with all that is retained has some tens of MB at most.)
+/// Checks a file by a copy, because opening a database may write to its file, and a file that can't be used must not be
+/// changed. The copy is read completely, and the checksum of each page is verified. (At the retention limits a store has
+/// some tens of MB at most.)
 fn check_file(path: &Path) -> Result<(), StoreError> {
     let io_error = |error| StoreError::Io(path.to_owned(), error);
     let mut file = File::open(path).map_err(io_error)?;
     let mut start = [0; MAGIC.len()];
     match file.read_exact(&mut start) {
         Ok(()) if start == MAGIC => {}
-        Ok(()) => return Err(damaged(path, "it does not begin as a store does")),
-        Err(error) => return Err(damaged(path, error)),
+        Ok(()) => {
+            return Err(corrupted(
+                path,
+                format!("it starts with the bytes {start:02x?}, expected {MAGIC:02x?}"),
+            ));
+        }
+        Err(error) => return Err(corrupted(path, error)),
     }
-    // A file that is being written can't be copied consistently.
+    // A file that another process writes can't be copied consistently.
     if let Err(std::fs::TryLockError::WouldBlock) = file.try_lock() {
         return Err(StoreError::InUse(path.to_owned()));
     }
@@ -168,23 +178,23 @@
     std::fs::copy(path, &copy).map_err(|error| StoreError::Io(copy.clone(), error))?;
     let checked = panic_guard::guarded(|| check_copy(&copy, path));
     std::fs::remove_file(&copy).map_err(|error| StoreError::Io(copy.clone(), error))?;
-    checked.unwrap_or_else(|reason| Err(damaged(path, reason)))
+    checked.unwrap_or_else(|reason| Err(corrupted(path, reason)))
 }
 
-/// Checks the copy of a file; errors name the file.
+/// Checks the copy of a file. Errors name the original `path`.
 fn check_copy(copy: &Path, path: &Path) -> Result<(), StoreError> {
-    // A database that was not closed goes back to its last commit.
+    // Opening a database that was not closed cleanly rolls it back to its last commit.
     let mut database = Database::open(copy).map_err(|error| open_error(path, error))?;
-    let read = database.begin_read().map_err(|error| damaged(path, error))?;
-    let found = tables::read_form(&read).map_err(|reason| damaged(path, reason))?;
-    if found > FORM {
+    let read = database.begin_read().map_err(|error| corrupted(path, error))?;
+    let found = tables::read_format_version(&read).map_err(|reason| corrupted(path, reason))?;
+    if found > FORMAT_VERSION {
         return Err(StoreError::Newer { path: path.to_owned(), found });
     }
-    tables::load(&read).map_err(|reason| damaged(path, reason))?;
+    tables::load(&read).map_err(|reason| corrupted(path, reason))?;
     drop(read);
     match database.check_integrity() {
         Ok(true) => Ok(()),
-        Ok(false) => Err(damaged(path, "its pages do not fit together")),
+        Ok(false) => Err(corrupted(path, "its pages are inconsistent")),
         Err(error) => Err(open_error(path, error)),
     }
 }
--- a/crates/store/src/store/crash_tests.rs
+++ b/crates/store/src/store/crash_tests.rs
@@ -1,6 +1,6 @@
-//! A crash at every write. A disk in memory records each write and each sync, and is cut at any of them: what was synced
-//! is there, and each write that was not is there, lost, or there in part. Whatever the cut, all that was acknowledged is
-//! there afterwards, and nothing incomplete.
+//! Simulates a crash at every disk operation. An in-memory disk records each write and each sync, and the test restores its
+//! content as of any of them: synced writes are complete, and each later write is complete, lost or partial. After each
+//! crash the store contains all acknowledged commits and no incomplete one.
 
 use crate::{Commit, Store};
 use oorandom::Rand32;
@@ -19,10 +19,10 @@
     Sync,
 }
 
-/// A disk in memory that remembers what was done to it.
+/// An in-memory disk that records all operations on it.
 #[derive(Debug, Clone, Default)]
 struct Disk {
-    now: Arc<Mutex<Vec<u8>>>,
+    content: Arc<Mutex<Vec<u8>>>,
     log: Arc<Mutex<Vec<Op>>>,
 }
 
@@ -39,13 +39,13 @@
 }
 
 impl Disk {
-    fn keep(&self, op: Op) {
-        apply(&mut self.now.lock().unwrap(), &op, usize::MAX);
+    fn record(&self, op: Op) {
+        apply(&mut self.content.lock().unwrap(), &op, usize::MAX);
         self.log.lock().unwrap().push(op);
     }
 
-    /// What is on it when the machine stops after so many operations.
-    fn cut(&self, at: usize, rng: &mut Rand32) -> Vec<u8> {
+    /// The content of the disk after a crash that follows the first `at` operations.
+    fn content_after_crash(&self, at: usize, rng: &mut Rand32) -> Vec<u8> {
         let log = self.log.lock().unwrap();
         let synced = log[..at].iter().rposition(|op| matches!(op, Op::Sync)).unwrap_or(0);
         let mut image = Vec::new();
@@ -54,7 +54,7 @@
             match rng.rand_range(0..3) {
                 0 => {}
                 1 => apply(&mut image, op, usize::MAX),
-                // A page of a disk is written whole or not at all, a run of them in part.
+                // A sector is written completely or not at all. A write of several sectors can be partial.
                 _ => apply(&mut image, op, 512 * rng.rand_range(0..16) as usize),
             }
         }
@@ -64,30 +64,30 @@
 
 impl redb::StorageBackend for Disk {
     fn len(&self) -> Result<u64, io::Error> {
-        Ok(self.now.lock().unwrap().len() as u64)
+        Ok(self.content.lock().unwrap().len() as u64)
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), io::Error> {
-        let (now, at) = (self.now.lock().unwrap(), offset as usize);
-        let found = now.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let (content, at) = (self.content.lock().unwrap(), offset as usize);
+        let found = content.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(found);
         Ok(())
     }
     fn set_len(&self, length: u64) -> Result<(), io::Error> {
-        self.keep(Op::Length(length as usize));
+        self.record(Op::Length(length as usize));
         Ok(())
     }
     fn sync_data(&self) -> Result<(), io::Error> {
-        self.keep(Op::Sync);
+        self.record(Op::Sync);
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-        self.keep(Op::Write(offset as usize, data.to_vec()));
+        self.record(Op::Write(offset as usize, data.to_vec()));
         Ok(())
     }
 }
 
-/// A change that can be made, whatever is there.
-fn some_change(registry: &Registry, rng: &mut Rand32) -> Change {
+/// A random change that can be applied to the registry.
+fn random_change(registry: &Registry, rng: &mut Rand32) -> Change {
     let name = format!("t{}", rng.rand_range(0..6));
     let group = Some("g".to_owned()).filter(|_| registry.group("g").is_some() && rng.rand_range(0..2) == 0);
     let spec = TenantSpec { weight: f64::from(rng.rand_range(1..100)), group, ..TenantSpec::default() };
@@ -103,26 +103,26 @@
 }
 
 #[test]
-fn all_that_was_acknowledged_survives_a_stop_at_any_write() {
+fn acknowledged_commits_survive_a_crash_at_any_write() {
     let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("cut.redb");
-    let mut cuts = 0;
+    let path = folder.path().join("crash.redb");
+    let mut crashes = 0;
     for seed in 0..2 {
         let mut rng = Rand32::new(seed);
         let disk = Disk::default();
         let database = Database::builder().create_with_backend(disk.clone()).unwrap();
         let store = Store { database, path: path.clone() };
-        store.write_form().unwrap();
-        let made = disk.log.lock().unwrap().len();
+        store.write_format_version().unwrap();
+        let created = disk.log.lock().unwrap().len();
         let mut registry = Registry::default();
-        // After how many operations what had been acknowledged.
-        let mut acknowledged = vec![(made, registry.clone(), 0)];
+        // For each acknowledged commit: the number of disk operations, the registry and the number of tokens after it.
+        let mut acknowledged = vec![(created, registry.clone(), 0)];
         for number in 1..=25u64 {
             let many = rng.rand_range(1..4);
             let mut after = registry.clone();
             let mut records = Vec::new();
             for _ in 0..many {
-                let change = some_change(&after, &mut rng);
+                let change = random_change(&after, &mut rng);
                 records.extend(after.apply(&[change]).unwrap());
             }
             let token = if number % 5 == 0 {
@@ -143,20 +143,24 @@
             acknowledged.push((disk.log.lock().unwrap().len(), registry.clone(), number / 5));
         }
         let end = disk.log.lock().unwrap().len();
-        for at in made..=end {
-            std::fs::write(&path, disk.cut(at, &mut rng)).unwrap();
+        for at in created..=end {
+            std::fs::write(&path, disk.content_after_crash(at, &mut rng)).unwrap();
             let (store, loaded) = Store::open(&path)
-                .unwrap_or_else(|error| panic!("seed {seed}, cut at {at} of {end}: {error}"));
+                .unwrap_or_else(|error| panic!("seed {seed}, crash at {at} of {end}: {error}"));
             let known = acknowledged.iter().rposition(|(when, ..)| *when <= at).unwrap();
-            // The commit under way may be there too: whole, or not at all.
-            let fits = acknowledged[known..].iter().take(2).any(|(_, registry, tokens)| {
+            // The commit that the crash interrupted may be stored too, completely.
+            let is_expected = acknowledged[known..].iter().take(2).any(|(_, registry, tokens)| {
                 *registry == loaded.registry && *tokens == loaded.tokens.iter().count() as u64
             });
-            assert!(fits, "seed {seed}, cut at {at} of {end}: {:?} acknowledged", acknowledged[known]);
+            assert!(
+                is_expected,
+                "seed {seed}, crash at {at} of {end}: expected at least {:?}",
+                acknowledged[known]
+            );
             let entries = store.audit(u64::MAX, 1000, |_| true).unwrap();
-            assert_eq!(entries.len() as u64, loaded.registry.generation().0, "seed {seed}, cut at {at}");
-            cuts += 1;
+            assert_eq!(entries.len() as u64, loaded.registry.generation().0, "seed {seed}, crash at {at}");
+            crashes += 1;
         }
     }
-    assert!(cuts > 300, "{cuts} cuts");
+    assert!(crashes > 300, "{crashes} crashes");
 }
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -1,34 +1,34 @@
-//! The tables of the store's file: how rows are written and read.
+//! The tables of the store's file, and reading and writing their rows.
 
 use crate::audit::AuditEntry;
 use crate::commit::{Commit, Creation};
 use crate::encoding::{pack, unpack};
 use crate::error::message;
 use crate::store::Loaded;
-use crate::{AUDIT_KEPT, FORM, MAX_CREATION_KEYS};
+use crate::{FORMAT_VERSION, MAX_AUDIT_ENTRIES, MAX_CREATION_KEYS};
 use redb::{ReadTransaction, ReadableTable, TableDefinition, TableError, WriteTransaction};
 use sanddyke_authorization::Tokens;
 use sanddyke_tenancy::{Generation, Registry, Tenant};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Format version, generation and last id.
+/// Format version, generation and last id, by the keys below.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const TENANTS: TableDefinition<u64, &[u8]> = TableDefinition::new("tenants");
 const GROUPS: TableDefinition<&str, &[u8]> = TableDefinition::new("groups");
 const TOKENS: TableDefinition<&str, &[u8]> = TableDefinition::new("tokens");
 const AUDIT: TableDefinition<u64, &[u8]> = TableDefinition::new("audit");
-/// Creations by their idempotency key.
+/// Creations by [`Creation::key`].
 const CREATIONS: TableDefinition<&str, &[u8]> = TableDefinition::new("creations");
-/// The keys of creations in the order in which they came.
+/// The keys of creations in the order in which they were stored, which is the order of their removal.
 const CREATION_ORDER: TableDefinition<u64, &str> = TableDefinition::new("creation_order");
 
 /// Keys in `META`.
-const META_FORM: &str = "form";
+const META_FORMAT_VERSION: &str = "form";
 const META_GENERATION: &str = "generation";
 const META_LAST_ID: &str = "last_id";
 
-/// A table that may not be there: it was never written.
+/// A table, or `None` if it does not exist because it was never written.
 pub(crate) fn optional<T>(table: Result<T, TableError>) -> Result<Option<T>, String> {
     match table {
         Ok(table) => Ok(Some(table)),
@@ -37,18 +37,18 @@
     }
 }
 
-/// Writes the format version into an empty file.
-pub(crate) fn write_form(transaction: &WriteTransaction) -> Result<(), String> {
+/// Writes the format version into an empty database.
+pub(crate) fn write_format_version(transaction: &WriteTransaction) -> Result<(), String> {
     let mut meta = transaction.open_table(META).map_err(message)?;
-    meta.insert(META_FORM, FORM).map_err(message)?;
+    meta.insert(META_FORMAT_VERSION, FORMAT_VERSION).map_err(message)?;
     Ok(())
 }
 
-/// The format version.
-pub(crate) fn read_form(read: &ReadTransaction) -> Result<u64, String> {
-    let missing = || "it has no form".to_owned();
+/// Reads the format version.
+pub(crate) fn read_format_version(read: &ReadTransaction) -> Result<u64, String> {
+    let missing = || "it has no format version".to_owned();
     let meta = optional(read.open_table(META))?.ok_or_else(missing)?;
-    let form = meta.get(META_FORM).map_err(message)?;
+    let form = meta.get(META_FORMAT_VERSION).map_err(message)?;
     form.map(|form| form.value()).ok_or_else(missing)
 }
 
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// Appends the actions of a change to the audit trail, and removes its oldest entries above the limit.
+/// Appends the actions of a change to the audit trail, and removes the oldest entries above [`MAX_AUDIT_ENTRIES`].
 fn write_audit(transaction: &WriteTransaction, commit: &Commit) -> Result<(), String> {
     let mut audit = transaction.open_table(AUDIT).map_err(message)?;
     let mut next = audit.last().map_err(message)?.map_or(1, |(number, _)| number.value() + 1);
@@ -98,11 +98,11 @@
         audit.insert(next, pack(&entry)?.as_slice()).map_err(message)?;
         next += 1;
     }
-    let oldest = next.saturating_sub(AUDIT_KEPT);
+    let oldest = next.saturating_sub(MAX_AUDIT_ENTRIES);
     audit.retain_in(..oldest, |_, _| false).map_err(message)
 }
 
-/// Stores the key of a creation, and removes the oldest keys above the limit.
+/// Stores the key of a creation, and removes the oldest keys above [`MAX_CREATION_KEYS`].
 fn write_creation(transaction: &WriteTransaction, creation: &Creation) -> Result<(), String> {
     let mut creations = transaction.open_table(CREATIONS).map_err(message)?;
     let mut order = transaction.open_table(CREATION_ORDER).map_err(message)?;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Reads all but the audit trail.
+/// Reads all tables except the audit trail.
 pub(crate) fn load(read: &ReadTransaction) -> Result<Loaded, String> {
     let generation = Generation(meta_number(read, META_GENERATION)?);
     let last_id = meta_number(read, META_LAST_ID)?;
@@ -133,7 +133,7 @@
     Ok(Loaded { registry, tokens, creations, is_new: false })
 }
 
-/// A number in `META`; 0 where it was never written.
+/// Reads a number from `META`; 0 if it was never written.
 fn meta_number(read: &ReadTransaction, key: &str) -> Result<u64, String> {
     let Some(meta) = optional(read.open_table(META))? else { return Ok(0) };
     let number = meta.get(key).map_err(message)?;
@@ -147,14 +147,14 @@
         let (id, value) = row.map_err(message)?;
         let tenant: Tenant = unpack("tenant", value.value())?;
         if tenant.id.0 != id.value() {
-            return Err(format!("tenant {} stands under {}", tenant.id.0, id.value()));
+            return Err(format!("the row of tenant {} contains tenant {}", id.value(), tenant.id.0));
         }
         tenants.push(tenant);
     }
     Ok(tenants)
 }
 
-/// All values of a table whose keys are text; `kind` names a row in error messages.
+/// Reads all values of a table whose keys are text. `kind` names a row in error messages.
 fn named_rows<T: DeserializeOwned>(
     read: &ReadTransaction,
     definition: TableDefinition<&str, &[u8]>,
@@ -169,7 +169,8 @@
     Ok(rows)
 }
 
-/// Entries of the audit trail before a number, the newest first: at most `limit` of those that are wanted.
+/// The newest audit entries whose number is less than `before`, newest first: at most `limit` of those for which
+/// `is_wanted` returns true.
 pub(crate) fn audit(
     read: &ReadTransaction,
     before: u64,
@@ -191,7 +192,7 @@
     Ok(found)
 }
 
-/// Copies all tables.
+/// Copies all tables into an empty database.
 pub(crate) fn copy(from: &ReadTransaction, to: &WriteTransaction) -> Result<(), String> {
     copy_table(from, to, META)?;
     copy_table(from, to, TENANTS)?;
--- a/crates/store/src/voter_file/tests.rs
+++ b/crates/store/src/voter_file/tests.rs
@@ -1,10 +1,10 @@
-//! A voter's file after restarts, and one that is damaged.
+//! The voter file after restarts, and a corrupted file.
 
 use super::*;
 
-/// Guards against a voter that comes back with less than it promised, or with what it took back.
+/// Guards against a voter that restarts without stored state, or with log entries that were replaced.
 #[test]
-fn what_was_promised_is_there_after_a_new_start() {
+fn the_stored_state_is_restored_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("voter.redb");
     {
@@ -17,7 +17,7 @@
         file.store(&VoterUpdate { entries: &[(3, vec![31])], ..VoterUpdate::default() }).unwrap();
     }
     let file = VoterFile::open(&path, 8).unwrap();
-    assert_eq!(file.identity(), (7, true), "the number stays the file's");
+    assert_eq!(file.identity(), (7, true), "the id of an existing file is retained");
     let state = file.state().unwrap();
     assert_eq!(
         state,
@@ -28,12 +28,12 @@
     assert_eq!((state.snapshot, state.entries), (vec![9], vec![vec![31]]));
 }
 
-/// Guards against a damaged file that is voted on as if it were whole.
+/// Guards against votes that are based on a corrupted file.
 #[test]
-fn a_file_that_is_no_voters_is_refused_and_left() {
+fn a_file_that_is_not_a_voter_file_is_rejected_and_not_changed() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("voter.redb");
     std::fs::write(&path, b"not a file of this kind").unwrap();
-    assert!(matches!(VoterFile::open(&path, 7), Err(StoreError::Damaged { .. })));
+    assert!(matches!(VoterFile::open(&path, 7), Err(StoreError::Corrupted { .. })));
     assert_eq!(std::fs::read(&path).unwrap(), b"not a file of this kind");
 }
--- a/crates/tenancy/src/document.rs
+++ b/crates/tenancy/src/document.rs
@@ -1,12 +1,12 @@
-//! Tenants and groups as one document, for export, import and the first start; and the changes that make a
-//! registry agree with one.
+//! All tenants and groups as one document, for export, import and the first start, and the changes that make a registry
+//! equal to a document.
 
 use crate::{Change, GroupSpec, Registry, State, TenantSpec};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The form that is written.
+/// The format version that this build writes.
 pub const FORMAT: u32 = 1;
 
 /// A tenant in a document.
@@ -34,7 +34,7 @@
 }
 
 impl Document {
-    /// What a registry holds.
+    /// The tenants and groups of a registry.
     pub fn of(registry: &Registry) -> Document {
         let entry = |state, spec: &TenantSpec| Entry { state, spec: spec.clone() };
         Document {
@@ -47,8 +47,9 @@
         }
     }
 
-    /// The changes after which a registry agrees with this; what it holds beyond stays, unless it is to be
-    /// pruned. They come in an order in which each can be made: groups first, members out before a group goes.
+    /// The changes that make a registry equal to this document. Tenants and groups that the document does not contain are
+    /// removed if `prune` is set, and left otherwise. The order is such that each change can be applied: groups are created
+    /// before their members, and members are removed before their group.
     pub fn changes(&self, registry: &Registry, prune: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         for (name, spec) in &self.groups {
@@ -75,11 +76,11 @@
         }
         if prune {
             let tenants = registry.tenants().map(|tenant| &tenant.name);
-            let gone = tenants.filter(|name| !self.tenants.contains_key(*name));
-            changes.extend(gone.map(|name| Change::RemoveTenant { name: name.clone() }));
+            let obsolete = tenants.filter(|name| !self.tenants.contains_key(*name));
+            changes.extend(obsolete.map(|name| Change::RemoveTenant { name: name.clone() }));
             let groups = registry.groups().map(|group| &group.name);
-            let gone = groups.filter(|name| !self.groups.contains_key(*name));
-            changes.extend(gone.map(|name| Change::RemoveGroup { name: name.clone() }));
+            let obsolete = groups.filter(|name| !self.groups.contains_key(*name));
+            changes.extend(obsolete.map(|name| Change::RemoveGroup { name: name.clone() }));
         }
         changes
     }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,18 +1,20 @@
-//! Tenants of a hosted service: who they are, what part of the service is theirs, what they may ask, and
-//! whose turn it is. No I/O and no clock: time comes in as whole microseconds, changes as values.
+//! Tenants of a hosted service: their configuration, their shares, their limits, and the order in which their requests
+//! are served. The crate does no I/O and reads no clock: callers pass times in microseconds and changes as values.
 //!
 //! ```text
-//!   operators' changes -> Registry (what is meant: tenants, groups, generations) -> shares
+//!   operators' changes -> Registry (configuration: tenants, groups, generations) -> shares
 //!                             |                                                       |
 //!                             v                                                       v
-//!   requests -----------> Roster (what is under way: limits, counts, slots)    FairQueue (who is next)
+//!   requests -----------> Roster (current use: limits, counts, slots)          FairQueue (order of service)
 //! ```
 //!
-//! * [`Registry`] is the state that operators change. Every change raises one generation, all or nothing.
-//! * [`shares`] turns weights into effective shares; a group's share is split among its members.
-//! * [`Roster`] judges each request against its tenant's state and limits, and keeps a tenant's slot until
-//!   nothing refers to it any more.
-//! * [`FairQueue`] holds what waits and says who is next: two-level start-time fair queueing over the slots of the roster.
+//! * [`Registry`] is the state that operators change. A list of changes is applied completely or not at all, and each
+//!   change increments the registry's generation.
+//! * [`shares`] computes effective shares from weights. A group's share is split among its members.
+//! * [`Roster`] admits or rejects each request by its tenant's state and limits. It frees a tenant's slot when no request
+//!   and no attempt refers to it.
+//! * [`FairQueue`] holds the queued requests and selects the next member by two-level start-time fair queueing. Its
+//!   members are the slots of the roster.
 //!
 //! ```
 //! use sanddyke_tenancy::{AdmissionRequest, Change, Reason, Registry, Roster, TenantSpec};
--- a/crates/tenancy/src/model.rs
+++ b/crates/tenancy/src/model.rs
@@ -1,19 +1,21 @@
-//! What a tenant and a group are, and which values are taken.
+//! Tenants, groups and their limits, and the validation of their values. The doc comments of the types with a JSON schema
+//! are the descriptions in the OpenAPI document.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tenants and groups at once: what a manager of the smallest size holds in memory with room to spare.
-pub const MOST_TENANTS: usize = 50_000;
-/// Groups at once.
-pub const MOST_GROUPS: usize = 10_000;
-/// Greatest weight and least weight above zero; their ratio still leaves turns exact in a 64-bit float.
-pub const WEIGHTS: (f64, f64) = (1e-3, 1e6);
-const LONGEST_NAME: usize = 64;
-const MOST_LABELS: usize = 32;
-const LONGEST_LABEL: usize = 256;
-const MOST_CLASSES: usize = 64;
+/// Maximum number of tenants. A manager of the smallest size holds this many tenants and their groups in memory with room
+/// to spare.
+pub const MAX_TENANTS: usize = 50_000;
+/// Maximum number of groups.
+pub const MAX_GROUPS: usize = 10_000;
+/// Smallest and largest weight. At their ratio the start tags of [`crate::FairQueue`] are still exact in a 64-bit float.
+pub const WEIGHT_RANGE: (f64, f64) = (1e-3, 1e6);
+const MAX_NAME_BYTES: usize = 64;
+const MAX_LABELS: usize = 32;
+const MAX_LABEL_BYTES: usize = 256;
+const MAX_CLASSES: usize = 64;
 
 /// Names a tenant for good: a tenant removed and added again under its name has another.
 #[derive(
@@ -148,31 +150,32 @@
     pub generation: Generation,
 }
 
-/// Why a request was refused for its tenant's sake: one code in answers, log, metrics and audit.
+/// Why a request is rejected by its tenant's state or limits. Responses, log, metrics and the audit trail use the same
+/// [`Reason::code`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// No such tenant.
+    /// No tenant of this name exists.
     Unknown,
-    /// It is suspended.
+    /// The tenant is suspended.
     Suspended,
-    /// It drains.
+    /// The tenant is draining.
     Draining,
-    /// It was removed, and its last work is ending.
+    /// The tenant was removed, and some of its requests or attempts have not ended.
     Removed,
-    /// The class is not among its own.
+    /// The tenant may not use the request's class.
     Class,
-    /// The statement is too long.
+    /// The statement has more bytes than the tenant's limit.
     StatementBytes,
-    /// The result is too long.
+    /// The result has more bytes than the tenant's limit.
     ResultBytes,
-    /// Too many requests of it are open.
+    /// The tenant's number of open requests is at its limit.
     Open,
-    /// Its bucket is empty.
+    /// The tenant's token bucket is empty.
     Rate,
 }
 
 impl Reason {
-    /// All of them, in the order of [`Reason::index`].
+    /// All reasons in the order of [`Reason::index`].
     pub const ALL: [Reason; 9] = [
         Reason::Unknown,
         Reason::Suspended,
@@ -185,12 +188,12 @@
         Reason::Rate,
     ];
 
-    /// Its place in [`Reason::ALL`].
+    /// The index of the reason in [`Reason::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Its code.
+    /// The stable code that clients and operators see.
     pub fn code(self) -> &'static str {
         match self {
             Reason::Unknown => "tenant_unknown",
@@ -205,82 +208,91 @@
         }
     }
 
-    /// Whether the same request may be taken later with nothing changed by an operator.
+    /// Whether the same request may be admitted later without a change by an operator.
     pub fn is_temporary(self) -> bool {
         matches!(self, Reason::Open | Reason::Rate)
     }
 }
 
-/// A value that is not taken: which, and why.
+/// A value that is invalid: its field, and what is wrong with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {why}")]
-pub struct Fault {
+#[error("{field}: {reason}")]
+pub struct InvalidValue {
     /// The field, as it is written in JSON.
     pub field: &'static str,
-    /// What is wrong with it.
-    pub why: String,
+    /// Which values are valid, and the value found where the message has it.
+    pub reason: String,
 }
 
-fn fault(field: &'static str, why: impl Into<String>) -> Result<(), Fault> {
-    Err(Fault { field, why: why.into() })
+fn invalid_value(field: &'static str, reason: impl Into<String>) -> Result<(), InvalidValue> {
+    Err(InvalidValue { field, reason: reason.into() })
 }
 
-/// Checks the name of a tenant or a group: it stands in paths, labels and files as it is.
-pub fn check_name(name: &str) -> Result<(), Fault> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    let first = name.chars().next().is_some_and(|c| c.is_ascii_alphanumeric());
-    match first && name.len() <= LONGEST_NAME && name.chars().all(plain) {
+/// Checks the name of a tenant or a group. The characters are limited because the name is used without escaping in paths,
+/// labels and files.
+pub fn check_name(name: &str) -> Result<(), InvalidValue> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+    let starts_allowed = name.chars().next().is_some_and(|c| c.is_ascii_alphanumeric());
+    match starts_allowed && name.len() <= MAX_NAME_BYTES && name.chars().all(is_allowed) {
         true => Ok(()),
-        false => fault("name", "must be 1 to 64 of A-Z a-z 0-9 . _ - and begin with a letter or digit"),
+        false => {
+            invalid_value("name", "must be 1 to 64 of A-Z a-z 0-9 . _ - and begin with a letter or digit")
+        }
     }
 }
 
-fn check_weight(weight: f64) -> Result<(), Fault> {
-    match (WEIGHTS.0..=WEIGHTS.1).contains(&weight) {
+fn check_weight(weight: f64) -> Result<(), InvalidValue> {
+    match (WEIGHT_RANGE.0..=WEIGHT_RANGE.1).contains(&weight) {
         true => Ok(()),
-        false => fault("weight", format!("must be from {} to {}, is {weight}", WEIGHTS.0, WEIGHTS.1)),
+        false => invalid_value(
+            "weight",
+            format!("must be from {} to {}, is {weight}", WEIGHT_RANGE.0, WEIGHT_RANGE.1),
+        ),
     }
 }
 
-fn check_labels(labels: &BTreeMap<String, String>) -> Result<(), Fault> {
-    let fits = |text: &str| text.len() <= LONGEST_LABEL && !text.chars().any(char::is_control);
-    if labels.len() > MOST_LABELS {
-        return fault("labels", format!("at most {MOST_LABELS}"));
+fn check_labels(labels: &BTreeMap<String, String>) -> Result<(), InvalidValue> {
+    let fits = |text: &str| text.len() <= MAX_LABEL_BYTES && !text.chars().any(char::is_control);
+    if labels.len() > MAX_LABELS {
+        return invalid_value("labels", format!("at most {MAX_LABELS}"));
     }
     match labels.iter().all(|(key, value)| check_name(key).is_ok() && fits(value)) {
         true => Ok(()),
-        false => fault("labels", "keys are named as tenants are, values have at most 256 bytes"),
+        false => invalid_value("labels", "keys are named as tenants are, values have at most 256 bytes"),
     }
 }
 
 impl TenantSpec {
-    /// Checks every value.
-    pub fn check(&self) -> Result<(), Fault> {
+    /// Checks every value except that the group exists, which [`crate::Registry`] checks.
+    ///
+    /// # Errors
+    /// The first value that is invalid.
+    pub fn check(&self) -> Result<(), InvalidValue> {
         check_weight(self.weight)?;
         if !(0.0..=1e9).contains(&self.quota_rps) {
-            return fault("quota_rps", format!("must be from 0 to 1e9, is {}", self.quota_rps));
+            return invalid_value("quota_rps", format!("must be from 0 to 1e9, is {}", self.quota_rps));
         }
         if let Some(group) = &self.group {
-            check_name(group).map_err(|bad| Fault { field: "group", why: bad.why })?;
+            check_name(group).map_err(|bad| InvalidValue { field: "group", reason: bad.reason })?;
         }
         let limits = &self.limits;
         if limits.requests_per_s.is_some_and(|rate| !(1e-3..=1e9).contains(&rate)) {
-            return fault("limits.requests_per_s", "must be from 0.001 to 1e9");
+            return invalid_value("limits.requests_per_s", "must be from 0.001 to 1e9");
         }
         if limits.burst.is_some_and(|burst| !(1.0..=1e9).contains(&burst)) {
-            return fault("limits.burst", "must be from 1 to 1e9");
+            return invalid_value("limits.burst", "must be from 1 to 1e9");
         }
         if limits.burst.is_some() && limits.requests_per_s.is_none() {
-            return fault("limits.burst", "goes with limits.requests_per_s");
+            return invalid_value("limits.burst", "goes with limits.requests_per_s");
         }
         if limits.time_budget_ms == Some(0) {
-            return fault("limits.time_budget_ms", "must be at least 1");
+            return invalid_value("limits.time_budget_ms", "must be at least 1");
         }
         let classes = limits.classes.iter().flatten();
-        if limits.classes.as_ref().is_some_and(|all| all.len() > MOST_CLASSES)
+        if limits.classes.as_ref().is_some_and(|all| all.len() > MAX_CLASSES)
             || classes.into_iter().any(|name| check_name(name).is_err())
         {
-            return fault("limits.classes", "at most 64 names of classes");
+            return invalid_value("limits.classes", "at most 64 names of classes");
         }
         check_labels(&self.labels)
     }
@@ -288,7 +300,10 @@
 
 impl GroupSpec {
     /// Checks every value.
-    pub fn check(&self) -> Result<(), Fault> {
+    ///
+    /// # Errors
+    /// The first value that is invalid.
+    pub fn check(&self) -> Result<(), InvalidValue> {
         check_weight(self.weight)?;
         check_labels(&self.labels)
     }
--- a/crates/tenancy/src/queue.rs
+++ b/crates/tenancy/src/queue.rs
@@ -1,31 +1,34 @@
 //! A queue that is fair among tenants: start-time fair queueing (Goyal, Vin and Cheng, 1996) on two levels, with priority
 //! bands.
 //!
-//! Each member belongs to a group; a member without one is a group of its own. A group's start tag advances by the work
-//! sent over the group's share, a member's by the same work over its own, and the least tag goes first: among groups,
-//! then among the members of the group. After being idle a member starts at the virtual time, so that it saves up
-//! nothing; what idle members leave goes to their group before it goes to others.
+//! Each member belongs to a group; a member without a group forms a group of its own. Work sent for a member advances the
+//! group's start tag by the work divided by the group's share, and the member's start tag by the work divided by the
+//! member's share. The group with the smallest tag is served first, and within it the member with the smallest tag. A
+//! member that was idle resumes at the virtual time, so that it accumulates no credit while idle. The capacity that idle
+//! members don't use goes to the other members of their group before it goes to other groups.
 //!
-//! Bands come before tags: all requests of band 0 go before any of band 1. A member's band is that of its first request.
-//! Finding the next member, pushing, taking and charging cost the logarithm of the number of queued requests.
+//! Bands take precedence over tags: all requests of band 0 are served before any of band 1. A member's band is the band of
+//! its first request. Finding the next member, pushing, taking and charging take time logarithmic in the number of queued
+//! requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The number of bands.
+/// The number of priority bands. A request with a higher band number is in the last band.
 pub const BANDS: usize = 4;
-/// The least share that counts: a tenant without one is virtual_time when others leave capacity.
+/// The smallest share used for tags. It avoids a division by zero; a tenant without a share is served only when others
+/// leave capacity.
 const MIN_SHARE: f64 = 1e-7;
 
-/// A request's rank in its tenant's queue, the least first: its band, then its order within the band.
+/// A request's rank in its tenant's queue: its band, then its order within the band. The smallest rank is first.
 pub type Rank = (u8, i64);
 
-/// A start tag: work over share. Ordered as floats are.
+/// A start tag: work divided by share, ordered by [`f64::total_cmp`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 struct StartTag(f64);
 
 impl StartTag {
-    /// The tag as far ahead of the virtual time as before, in other units; one that is behind it stays.
+    /// The tag with its distance ahead of the virtual time multiplied by a factor. A tag that is not ahead is unchanged.
     fn scaled(self, virtual_time: StartTag, factor: f64) -> StartTag {
         if self > virtual_time { StartTag(virtual_time.0 + (self.0 - virtual_time.0) * factor) } else { self }
     }
@@ -72,7 +75,7 @@
     }
 }
 
-/// The position of a member in the order, from which [`FairQueue::next`] continues.
+/// The position of a member in the order of service, from which [`FairQueue::next`] continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cursor {
     band: usize,
@@ -81,13 +84,13 @@
 }
 
 impl Cursor {
-    /// The member.
+    /// The number of the member at this position, as passed to [`FairQueue::set`].
     pub fn member(&self) -> usize {
         self.member.1
     }
 }
 
-/// Queued requests by member.
+/// Queued requests by member, with the order in which members are served.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     members: Vec<Option<Member>>,
@@ -97,9 +100,10 @@
 }
 
 impl FairQueue {
-    /// Adds a member, or changes its share or group; `share` is its fraction of the whole, `group` the number of its
-    /// group. Queued requests stay. With a changed share, the work by which the member and its group are ahead of others
-    /// stays the same, and so does not count for ever once a share has been tiny.
+    /// Adds a member, or changes its share or group. `share` is its fraction of the whole, `group` the number of its
+    /// group. Queued requests stay queued. When the share changes, the tags are rescaled so that the member and its group
+    /// are ahead of others by the same amount of work as before. Otherwise work charged during a tiny share would delay
+    /// the member indefinitely.
     pub fn set(&mut self, member: usize, group: Option<u64>, share: f64) {
         let group = group.map_or(2 * member as u64, |number| 2 * number + 1);
         let share = share.max(MIN_SHARE);
@@ -112,7 +116,7 @@
         self.members.resize_with(self.members.len().max(member + 1), || None);
         let into = self.groups.entry(group).or_default();
         into.members += 1;
-        // In another group it starts as one that has been idle there.
+        // In a new group the member starts like one that was idle there.
         let tag = into.virtual_time;
         self.add_share(group, share);
         self.members[member] = Some(Member { group, share, tag, queued: BTreeSet::new() });
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Removes a member; returns its queued requests.
+    /// Removes a member and returns its queued requests.
     pub fn remove(&mut self, member: usize) -> BTreeSet<(Rank, u64)> {
         let Some(mut old) = self.members.get_mut(member).and_then(Option::take) else {
             return BTreeSet::new();
@@ -150,7 +154,7 @@
         self.members[number] = Some(member);
     }
 
-    /// Adds to a group's share.
+    /// Adds `by`, which may be negative, to a group's share, and rescales the group's tag.
     fn add_share(&mut self, id: u64, by: f64) {
         let virtual_time = self.virtual_time;
         self.rekey(id, |group| {
@@ -162,7 +166,7 @@
         });
     }
 
-    /// Changes a group, and its position in the order with it.
+    /// Applies a change to a group and updates the group's position in the order.
     fn rekey(&mut self, id: u64, change: impl FnOnce(&mut Group)) {
         let Some(group) = self.groups.get_mut(&id) else { return };
         let before = group.tag;
@@ -173,18 +177,18 @@
         }
     }
 
-    /// Queues a request of a member; false where it is queued already, or there is no such member.
+    /// Queues a request of a member. Returns false if it is queued already or the member does not exist.
     pub fn push(&mut self, member: usize, rank: Rank, id: u64) -> bool {
         self.change(member, |queued| queued.insert((rank, id)))
     }
 
-    /// Takes a request out; false where it is not queued.
+    /// Removes a request from the queue. Returns false if it is not queued.
     pub fn take(&mut self, member: usize, rank: Rank, id: u64) -> bool {
         self.change(member, |queued| queued.remove(&(rank, id)))
     }
 
     fn change(&mut self, number: usize, make: impl FnOnce(&mut BTreeSet<(Rank, u64)>) -> bool) -> bool {
-        // The member is out of the table while its position among the others changes.
+        // The member is taken out of the table while its position in the order changes.
         let Some(mut member) = self.members.get_mut(number).and_then(Option::take) else { return false };
         let before = member.band();
         let changed = make(&mut member.queued);
@@ -201,7 +205,7 @@
         changed
     }
 
-    /// Moves a member from one band to another.
+    /// Moves a member from one band of its group to another; `None` is no band, for a member with an empty queue.
     fn move_band(&mut self, number: usize, member: &Member, from: Option<usize>, to: Option<usize>) {
         let Some(group) = self.groups.get_mut(&member.group).filter(|_| from != to) else { return };
         if let Some(from) = from {
@@ -218,7 +222,7 @@
         }
     }
 
-    /// The member that comes after a position, or the first of all.
+    /// The next member after a position, or the first member if there is no position. `None` at the end of the order.
     pub fn next(&self, after: Option<Cursor>) -> Option<Cursor> {
         let first = |band: usize, group: (StartTag, u64)| {
             let member = *self.groups.get(&group.1)?.queued[band].first()?;
@@ -240,15 +244,15 @@
         (from..BANDS).find_map(|band| first(band, *self.order[band].first()?))
     }
 
-    /// The queued requests of a member, in order.
+    /// The queued requests of a member in the order of their ranks.
     pub fn waiting(&self, member: usize) -> impl Iterator<Item = u64> {
         let member = self.members.get(member).and_then(Option::as_ref);
         member.into_iter().flat_map(|member| member.queued.iter().map(|(_, id)| *id))
     }
 
-    /// All queued requests in the order of their ranks. Costs a sort of them; idle members cost nothing.
+    /// All queued requests in the order of their ranks. Sorts the queued requests; idle members cost no time.
     pub fn sorted(&self) -> Vec<u64> {
-        // Each member with queued requests is in one band of its group: that of its first request.
+        // Each member with queued requests is in exactly one band of its group, that of its first request.
         let groups = self.order.iter().enumerate().flat_map(|(band, order)| {
             order.iter().filter_map(move |(_, id)| Some(&self.groups.get(id)?.queued[band]))
         });
@@ -263,7 +267,7 @@
         self.order.iter().all(BTreeSet::is_empty)
     }
 
-    /// Charges work that was sent for a member to the member and its group.
+    /// Charges work that was sent for a member to the member and its group, and advances the virtual times.
     pub fn charge(&mut self, number: usize, work: f64) {
         let Some(member) = self.members.get_mut(number).and_then(Option::as_mut) else { return };
         let Some(group) = self.groups.get_mut(&member.group) else { return };
--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -1,8 +1,8 @@
-//! The tenants and groups as operators mean them. A list of changes is applied whole or not at all, and each
-//! change raises the generation by one and touches one subject.
+//! The tenants and groups as operators configure them. A list of changes is applied completely or not at all. Each change
+//! increments the generation and modifies one subject.
 
 use crate::{
-    Fault, Generation, Group, GroupSpec, MOST_GROUPS, MOST_TENANTS, State, Tenant, TenantId, TenantSpec,
+    Generation, Group, GroupSpec, InvalidValue, MAX_GROUPS, MAX_TENANTS, State, Tenant, TenantId, TenantSpec,
     check_name, shares,
 };
 use schemars::JsonSchema;
@@ -71,7 +71,7 @@
 }
 
 impl Subject {
-    /// The name alone.
+    /// The name of the tenant or group.
     pub fn name(&self) -> &str {
         match self {
             Subject::Tenant(name) | Subject::Group(name) => name,
@@ -80,7 +80,7 @@
 }
 
 impl Change {
-    /// What it is about.
+    /// The tenant or group that the change modifies.
     pub fn subject(&self) -> Subject {
         match self {
             Change::CreateTenant { name, .. }
@@ -107,51 +107,51 @@
     pub change: Change,
 }
 
-/// What changes would do.
+/// The result that a list of changes would have.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The registry afterwards.
+    /// The registry after the changes.
     pub after: Registry,
-    /// One record for each change.
+    /// One record for each change, in the order of the changes.
     pub records: Vec<Record>,
-    /// The effective shares then.
+    /// The effective shares after the changes, from 0 to 1.
     pub shares: BTreeMap<TenantId, f64>,
-    /// Tenants whose effective share is another then: before and after.
+    /// The shares before and after the changes, for each tenant whose effective share differs.
     pub share_changes: BTreeMap<TenantId, (f64, f64)>,
 }
 
-/// Why changes are not made.
+/// Why changes are not applied. The messages are part of the administration API's answers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// A value is not taken.
+    /// A value is invalid.
     #[error("{0}")]
-    Invalid(#[from] Fault),
-    /// The subject is not there.
+    Invalid(#[from] InvalidValue),
+    /// The subject, a tenant or a group, does not exist.
     #[error("no {0} of this name")]
     NotFound(&'static str),
-    /// The name is taken.
+    /// A tenant or group of this name exists already.
     #[error("a {0} of this name is there already")]
     Exists(&'static str),
-    /// Another change came first.
+    /// The subject was changed after the operator read it.
     #[error("generation {} was expected, {} is there", expected.0, found.0)]
     Stale {
-        /// What the operator had seen.
+        /// The generation that the operator read.
         expected: Generation,
-        /// What is there.
+        /// The subject's current generation.
         found: Generation,
     },
-    /// A group that has members.
+    /// A group that has members can't be removed; the number of members.
     #[error("the group has {0} members")]
     HasMembers(usize),
-    /// A state that can't be reached from the present one.
+    /// The tenant's state can't change from the first to the second.
     #[error("a tenant can't go from {0:?} to {1:?}")]
     Transition(State, State),
-    /// There are as many as can be.
+    /// The number of tenants or groups is at this maximum.
     #[error("there are {0} already, the most that there can be")]
     Full(usize),
 }
 
-/// The tenants and groups.
+/// The tenants and groups, their generation, and the last id assigned.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Registry {
     generation: Generation,
@@ -162,7 +162,10 @@
 }
 
 impl Registry {
-    /// The registry as it was written down. Says what does not fit together rather than mend it.
+    /// Restores a registry from stored values.
+    ///
+    /// # Errors
+    /// The values are inconsistent. The message names the first inconsistency; nothing is repaired.
     pub fn restore(
         generation: Generation,
         last_id: u64,
@@ -172,80 +175,87 @@
         let mut registry = Registry { generation, last_id, ..Registry::default() };
         for group in groups {
             if group.id > last_id || group.generation > generation {
-                return Err(format!("group {:?} is of a generation to come", group.name));
+                return Err(format!(
+                    "group {:?} has id {} and generation {}, but the registry's last id is {last_id} and its generation {}",
+                    group.name, group.id, group.generation.0, generation.0
+                ));
             }
-            if let Some(twice) = registry.groups.insert(group.name.clone(), group) {
-                return Err(format!("group {:?} is there twice", twice.name));
+            if let Some(duplicate) = registry.groups.insert(group.name.clone(), group) {
+                return Err(format!("two groups have the name {:?}", duplicate.name));
             }
         }
         for tenant in tenants {
             let name = &tenant.name;
             if tenant.id.0 > last_id || tenant.generation > generation {
-                return Err(format!("tenant {name:?} is of a generation to come"));
+                return Err(format!(
+                    "tenant {name:?} has id {} and generation {}, but the registry's last id is {last_id} and its generation {}",
+                    tenant.id.0, tenant.generation.0, generation.0
+                ));
             }
             if tenant.spec.group.as_ref().is_some_and(|group| !registry.groups.contains_key(group)) {
-                return Err(format!("tenant {name:?} stands in a group that is not there"));
+                let group = tenant.spec.group.as_deref().unwrap_or_default();
+                return Err(format!("tenant {name:?} belongs to a group that does not exist: {group:?}"));
             }
             if registry.names.insert(name.clone(), tenant.id).is_some()
                 || registry.tenants.insert(tenant.id, tenant.clone()).is_some()
             {
-                return Err(format!("tenant {name:?} is there twice"));
+                return Err(format!("two tenants have the name {name:?} or the id {}", tenant.id.0));
             }
         }
         Ok(registry)
     }
 
-    /// Its generation: how many changes were ever made.
+    /// The generation: the number of changes applied so far.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The last id that was given.
+    /// The last id that was assigned to a tenant or a group.
     pub fn last_id(&self) -> u64 {
         self.last_id
     }
 
-    /// The tenants, in the order of their ids.
+    /// The tenants in the order of their ids.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         self.tenants.values()
     }
 
-    /// The tenants whose ids come after one.
+    /// The tenants whose ids are greater than this one, in the order of their ids.
     pub fn tenants_after(&self, id: TenantId) -> impl Iterator<Item = &Tenant> {
         self.tenants.range(TenantId(id.0 + 1)..).map(|(_, tenant)| tenant)
     }
 
-    /// How many tenants there are.
+    /// The number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// A tenant by its name.
+    /// The tenant of this name; `None` if it does not exist or was removed.
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
         self.names.get(name).and_then(|id| self.tenants.get(id))
     }
 
-    /// A tenant by its id.
+    /// The tenant with this id; `None` if it does not exist or was removed.
     pub fn by_id(&self, id: TenantId) -> Option<&Tenant> {
         self.tenants.get(&id)
     }
 
-    /// The groups, by name.
+    /// The groups in the order of their names.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.values()
     }
 
-    /// A group by its name.
+    /// The group of this name; `None` if it does not exist.
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.get(name)
     }
 
-    /// The generation of a subject, where it is there.
+    /// The generation of the change that last modified a subject; `None` if the subject does not exist.
     pub fn generation_of(&self, subject: &Subject) -> Option<Generation> {
         match subject {
             Subject::Tenant(name) => self.tenant(name).map(|tenant| tenant.generation),
@@ -253,7 +263,11 @@
         }
     }
 
-    /// Refuses where the subject is not of the generation that an operator has seen.
+    /// Checks that a subject still has the generation that an operator read. Succeeds if `expected` is `None` or the
+    /// subject does not exist.
+    ///
+    /// # Errors
+    /// [`ChangeError::Stale`] if the subject has another generation.
     pub fn check_generation(
         &self,
         subject: &Subject,
@@ -265,31 +279,37 @@
         }
     }
 
-    /// What changes would do; the registry stays as it is.
+    /// The result that changes would have. The registry is not modified.
+    ///
+    /// # Errors
+    /// As [`Registry::apply`].
     pub fn plan(&self, changes: &[Change]) -> Result<Plan, ChangeError> {
         let mut after = self.clone();
         let records = after.apply(changes)?;
         let shares = shares::effective(&after);
-        let share_changes = shares::moved(&shares::effective(self), &shares);
+        let share_changes = shares::changes(&shares::effective(self), &shares);
         Ok(Plan { after, records, shares, share_changes })
     }
 
-    /// Makes changes, all of them or none.
+    /// Applies changes, all of them or none, and returns one record for each.
+    ///
+    /// # Errors
+    /// The first change that can't be applied.
     pub fn apply(&mut self, changes: &[Change]) -> Result<Vec<Record>, ChangeError> {
         match changes {
-            // One change checks all before it touches anything.
-            [one] => self.make(one).map(|record| vec![record]),
+            // A single change is validated completely before it modifies anything, so that no copy is needed.
+            [one] => self.apply_one(one).map(|record| vec![record]),
             many => {
                 let mut after = self.clone();
-                let records = many.iter().map(|change| after.make(change)).collect::<Result<_, _>>()?;
+                let records = many.iter().map(|change| after.apply_one(change)).collect::<Result<_, _>>()?;
                 *self = after;
                 Ok(records)
             }
         }
     }
 
-    /// Makes one change; it is checked completely before anything is touched.
-    fn make(&mut self, change: &Change) -> Result<Record, ChangeError> {
+    /// Applies one change. It is validated completely before anything is modified.
+    fn apply_one(&mut self, change: &Change) -> Result<Record, ChangeError> {
         let from = self.generation_of(&change.subject());
         let next = Generation(self.generation.0 + 1);
         let tenant = match change {
@@ -316,8 +336,8 @@
         if self.names.contains_key(name) {
             return Err(ChangeError::Exists("tenant"));
         }
-        if self.tenants.len() >= MOST_TENANTS {
-            return Err(ChangeError::Full(MOST_TENANTS));
+        if self.tenants.len() >= MAX_TENANTS {
+            return Err(ChangeError::Full(MAX_TENANTS));
         }
         self.last_id += 1;
         let id = TenantId(self.last_id);
@@ -373,8 +393,8 @@
         if self.groups.contains_key(name) {
             return Err(ChangeError::Exists("group"));
         }
-        if self.groups.len() >= MOST_GROUPS {
-            return Err(ChangeError::Full(MOST_GROUPS));
+        if self.groups.len() >= MAX_GROUPS {
+            return Err(ChangeError::Full(MAX_GROUPS));
         }
         self.last_id += 1;
         let group = Group { id: self.last_id, name: name.to_owned(), spec: spec.clone(), generation };
--- a/crates/tenancy/src/roster.rs
+++ b/crates/tenancy/src/roster.rs
@@ -1,48 +1,49 @@
-//! The tenants on the path of requests.
+//! The tenants as the request path uses them: admission by state and limits, and counts of requests and attempts.
 //!
-//! Each tenant has a slot, by which the rest of the service addresses it, with its limits, its token bucket and the number
-//! of requests and attempts that refer to it. A slot is given to another tenant only once nothing refers to it.
+//! Each tenant has a slot, by whose number the rest of the service refers to it. The slot holds the tenant's limits, its
+//! token bucket and the number of requests and attempts that refer to it. A slot is reused for another tenant only when
+//! nothing refers to it.
 
 use crate::{Reason, Rejection, State, Tenant, TenantId, TokenBucket};
 use std::collections::HashMap;
 
-/// Advice to clients of a suspended tenant: only an operator ends the suspension.
+/// Retry advice for clients of a suspended tenant. It is long because only an operator ends the suspension.
 const SUSPENDED_RETRY_AFTER_US: i64 = 30_000_000;
-/// Weight of one answer in the mean time that a tenant's requests are open.
+/// Weight of one closed request in the exponential moving average of the time that a tenant's requests are open.
 const OPEN_TIME_WEIGHT: f64 = 0.1;
-/// Mean time that a request is taken to be open before one has ended.
+/// Initial value of that average, used until a request of the tenant is closed.
 const INITIAL_OPEN_TIME_US: f64 = 500_000.0;
 
-/// The number of a tenant's slot.
+/// The index of a tenant's slot in the [`Roster`].
 pub type Slot = usize;
 
 /// The properties of a request on which its admission depends.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// The class.
+    /// The name of the request's class.
     pub class: &'a str,
-    /// Bytes of the statement.
+    /// Length of the statement in bytes.
     pub statement_bytes: usize,
 }
 
-/// What refers to a slot.
+/// Number of requests and attempts that refer to a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SlotUsage {
-    /// Requests that are open.
+    /// Requests that are admitted and not closed.
     pub open_requests: u32,
-    /// Attempts in flight.
+    /// Attempts that were started and have not ended.
     pub attempts: u32,
 }
 
-/// A tenant in its slot.
+/// The contents of a slot in use.
 #[derive(Debug)]
 struct Entry {
     tenant: Tenant,
     bucket: TokenBucket,
     usage: SlotUsage,
-    /// Mean time that a request is open.
+    /// Moving average of the time that a request is open.
     open_time_us: f64,
-    /// Rejected requests, by the index of the reason.
+    /// Number of rejected requests by [`Reason::index`].
     rejections: [u64; Reason::ALL.len()],
 }
 
@@ -53,14 +54,14 @@
     free: Vec<Slot>,
     names: HashMap<String, Slot>,
     ids: HashMap<TenantId, Slot>,
-    /// Names of removed tenants that still have requests or attempts, and the number of these tenants for each name.
+    /// For each name, the number of removed tenants that still have requests or attempts.
     removed_names: HashMap<String, u32>,
     unknown_tenants: u64,
 }
 
 impl Roster {
-    /// Adds a tenant or applies its changes; returns its slot. The bucket of a new tenant is full. A changed rate keeps
-    /// the tokens that are there, up to the new burst.
+    /// Adds a tenant or applies its changes, and returns its slot. A new tenant starts with a full bucket. When the rate
+    /// changes, the bucket retains its tokens up to the new burst.
     pub fn set(&mut self, tenant: &Tenant) -> Slot {
         if let Some(slot) = self.ids.get(&tenant.id).copied()
             && let Some(entry) = self.entry(slot)
@@ -81,8 +82,8 @@
         slot
     }
 
-    /// Removes a tenant: its new requests are rejected, its name is free at once, and its open requests go on. Returns its
-    /// slot where nothing refers to it any more; the slot is free then.
+    /// Removes a tenant. New requests of it are rejected, its name can be reused immediately, and its open requests
+    /// continue. Returns its slot if nothing refers to it; the slot is then free.
     pub fn remove(&mut self, id: TenantId) -> Option<Slot> {
         let slot = self.ids.remove(&id)?;
         let entry = self.entry(slot)?;
@@ -95,7 +96,7 @@
         self.release(slot)
     }
 
-    /// Frees a slot whose tenant is removed and to which nothing refers.
+    /// Frees a slot if its tenant is removed and nothing refers to it. Returns the slot if it was freed.
     fn release(&mut self, slot: Slot) -> Option<Slot> {
         let released = self.slots.get_mut(slot)?.take_if(|entry| entry.is_released())?;
         if let Some(count) = self.removed_names.get_mut(&released.tenant.name) {
@@ -112,31 +113,31 @@
         self.slots.get_mut(slot).and_then(Option::as_mut)
     }
 
-    /// The slot of a tenant's name.
+    /// The slot of the tenant that has this name and is not removed.
     pub fn slot(&self, name: &str) -> Option<Slot> {
         self.names.get(name).copied()
     }
 
-    /// The slot of a tenant that is not removed.
+    /// The slot of a tenant by its id; `None` if it is removed.
     pub fn slot_of(&self, id: TenantId) -> Option<Slot> {
         self.ids.get(&id).copied()
     }
 
-    /// The tenant in a slot.
+    /// The tenant in a slot; `None` if the slot is free.
     pub fn tenant(&self, slot: Slot) -> Option<&Tenant> {
         Some(&self.slots.get(slot)?.as_ref()?.tenant)
     }
 
-    /// Whether there are no tenants at all: then requests carry none.
+    /// Whether all slots are free. The service then runs without tenants, and requests name none.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty() && self.free.len() == self.slots.len()
     }
 
-    /// Admits a request of a tenant, which counts as open until [`Roster::request_closed`].
+    /// Admits a request of a tenant. It counts as open until [`Roster::request_closed`].
     ///
     /// # Errors
-    /// The request is rejected, and takes no token. The reasons are checked in the order of how long the client has to
-    /// stay away.
+    /// The request is rejected, and takes no token. If several reasons apply, the one for which the client has to wait
+    /// longest is returned.
     pub fn admit(
         &mut self,
         now_us: i64,
@@ -161,16 +162,16 @@
         }
     }
 
-    /// The greatest time budget of a slot's requests, in microseconds; `None` for no limit.
+    /// The longest time budget of a request of this slot, in microseconds; `None` if there is no limit.
     pub fn max_time_budget_us(&self, slot: Slot) -> Option<i64> {
         let ms = self.tenant(slot)?.spec.limits.time_budget_ms?;
         Some(i64::try_from(ms).unwrap_or(i64::MAX).saturating_mul(1000))
     }
 
-    /// Checks a result's bytes against the tenant's limit.
+    /// Checks the length of a result in bytes against the tenant's limit.
     ///
     /// # Errors
-    /// The result is too long; it counts as a rejection.
+    /// The result is too long. It is counted as a rejection.
     pub fn check_result(&mut self, slot: Slot, bytes: usize) -> Result<(), Rejection> {
         let Some(entry) = self.entry(slot) else { return Ok(()) };
         if entry.tenant.spec.limits.result_bytes.is_none_or(|limit| bytes as u64 <= limit) {
@@ -180,8 +181,8 @@
         Err(Rejection::permanent(Reason::ResultBytes))
     }
 
-    /// An admitted request has its answer, or its client has left, after it was open for this long. Returns the slot where
-    /// that was the last reference to a removed tenant.
+    /// Records that an admitted request has its final answer or that its client disconnected. `open_us` is the time that
+    /// the request was open. Returns the slot if it was freed, because this was the last reference to a removed tenant.
     pub fn request_closed(&mut self, slot: Slot, open_us: i64) -> Option<Slot> {
         let entry = self.entry(slot)?;
         entry.usage.open_requests = entry.usage.open_requests.saturating_sub(1);
@@ -189,45 +190,46 @@
         self.release(slot)
     }
 
-    /// An attempt for a request of this slot was started.
+    /// Records that an attempt for a request of this slot was started.
     pub fn attempt_started(&mut self, slot: Slot) {
         if let Some(entry) = self.entry(slot) {
             entry.usage.attempts += 1;
         }
     }
 
-    /// An attempt has ended. Returns the slot where that was the last reference to a removed tenant.
+    /// Records that an attempt has ended. Returns the slot if it was freed, because this was the last reference to a
+    /// removed tenant.
     pub fn attempt_ended(&mut self, slot: Slot) -> Option<Slot> {
         let entry = self.entry(slot)?;
         entry.usage.attempts = entry.usage.attempts.saturating_sub(1);
         self.release(slot)
     }
 
-    /// What refers to a slot.
+    /// Number of requests and attempts that refer to a slot; zeros for a free slot.
     pub fn usage(&self, slot: Slot) -> SlotUsage {
         let entry = self.slots.get(slot).and_then(Option::as_ref);
         entry.map_or(SlotUsage::default(), |entry| entry.usage)
     }
 
-    /// Rejected requests of a slot by reason, where there were any.
+    /// Number of rejected requests of a slot by reason, without the reasons that did not occur.
     pub fn rejections(&self, slot: Slot) -> impl Iterator<Item = (Reason, u64)> {
         let entry = self.slots.get(slot).and_then(Option::as_ref);
         let counts = entry.map_or([0; Reason::ALL.len()], |entry| entry.rejections);
         Reason::ALL.iter().copied().zip(counts).filter(|(_, count)| *count > 0)
     }
 
-    /// The tenants with their slots, also removed ones to which something still refers.
+    /// The tenants with their slots, including removed tenants that still have requests or attempts.
     pub fn tenants(&self) -> impl Iterator<Item = (Slot, &Tenant)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(slot, entry)| Some((slot, &entry.as_ref()?.tenant)))
     }
 
-    /// Requests that named no known tenant.
+    /// Number of requests that named no known tenant.
     pub fn unknown_tenants(&self) -> u64 {
         self.unknown_tenants
     }
 
-    /// Slots in use, also those of removed tenants.
+    /// Number of slots in use, including those of removed tenants.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Whether the tenant is removed and nothing refers to it.
+    /// Whether the tenant is removed and no request or attempt refers to it.
     fn is_released(&self) -> bool {
         self.tenant.state == State::Removed && self.usage == SlotUsage::default()
     }
@@ -260,7 +262,7 @@
         }
         let open = self.usage.open_requests;
         if limits.open_requests.is_some_and(|limit| open >= limit) {
-            // With so many open, one ends each so-many-th part of the time that a request is open.
+            // With N requests open, one is expected to be closed every 1/N of the mean open time.
             let retry_after_us = self.open_time_us / f64::from(open.max(1));
             return Err(Rejection::temporary(Reason::Open, retry_after_us));
         }
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry against its promises, under any changes.
+//! Invariants of the registry under random changes, and single changes.
 
 use proptest::prelude::*;
 use sanddyke_tenancy::{
@@ -29,19 +29,19 @@
 }
 
 proptest! {
-    /// Whatever changes come: a list is made whole or not at all, each change raises the generation by one and
-    /// leaves it on its subject, shares sum to one, and what is written down reads back the same.
+    /// Under random lists of changes: a list is applied completely or not at all, each change increments the generation
+    /// and stores it with its subject, the shares sum to 1, and a restored registry equals the original.
     #[test]
-    fn every_change_keeps_the_promises(lists in prop::collection::vec(
+    fn random_changes_preserve_the_invariants(lists in prop::collection::vec(
         prop::collection::vec(any_change(), 1..4), 1..40)) {
         let mut registry = Registry::default();
         for list in lists {
             let before = registry.clone();
             let planned = registry.plan(&list);
             match registry.apply(&list) {
-                Err(refusal) => {
-                    prop_assert_eq!(&registry, &before, "a refused list leaves everything: {}", &refusal);
-                    prop_assert_eq!(planned.unwrap_err(), refusal);
+                Err(error) => {
+                    prop_assert_eq!(&registry, &before, "a list that fails changes nothing: {}", &error);
+                    prop_assert_eq!(planned.unwrap_err(), error);
                 }
                 Ok(records) => {
                     let plan = planned.unwrap();
@@ -56,29 +56,30 @@
                 }
             }
             let shares = shares::effective(&registry);
-            let counting = registry.tenants().any(|tenant| tenant.state != State::Suspended);
+            let has_share = registry.tenants().any(|tenant| tenant.state != State::Suspended);
             let sum: f64 = shares.values().sum();
-            prop_assert!((sum - f64::from(u8::from(counting))).abs() < 1e-9, "{}", sum);
+            prop_assert!((sum - f64::from(u8::from(has_share))).abs() < 1e-9, "{}", sum);
             let (tenants, groups) = (registry.tenants().cloned().collect(), registry.groups().cloned().collect());
-            let again = Registry::restore(registry.generation(), registry.last_id(), tenants, groups).unwrap();
-            prop_assert_eq!(&again, &registry);
+            let restored = Registry::restore(registry.generation(), registry.last_id(), tenants, groups).unwrap();
+            prop_assert_eq!(&restored, &registry);
         }
     }
 
-    /// A document makes any registry agree with the one that it was taken of, in one list of changes.
+    /// The changes of a document, applied as one list, make any registry equal to the one that the document was exported
+    /// from.
     #[test]
-    fn a_document_brings_any_registry_to_it(one in prop::collection::vec(any_change(), 0..30),
+    fn the_changes_of_a_document_make_any_registry_equal_to_it(one in prop::collection::vec(any_change(), 0..30),
                                             other in prop::collection::vec(any_change(), 0..30)) {
         let build = |changes: Vec<Change>| {
             let mut registry = Registry::default();
             changes.iter().for_each(|change| drop(registry.apply(std::slice::from_ref(change))));
             registry
         };
-        let (meant, mut registry) = (Document::of(&build(one)), build(other));
-        let changes = meant.changes(&registry, true);
+        let (document, mut registry) = (Document::of(&build(one)), build(other));
+        let changes = document.changes(&registry, true);
         registry.apply(&changes).unwrap();
-        prop_assert_eq!(&Document::of(&registry), &meant);
-        prop_assert!(meant.changes(&registry, true).is_empty(), "the second time there is nothing to do");
+        prop_assert_eq!(&Document::of(&registry), &document);
+        prop_assert!(document.changes(&registry, true).is_empty(), "no changes remain after they were applied");
     }
 }
 
@@ -100,11 +101,15 @@
     assert_eq!((share(&registry, "a"), share(&registry, "b"), share(&registry, "alone")), (0.25, 0.5, 0.25));
     let plan = registry.plan(&[Change::MoveTenant { name: "b".to_owned(), to: State::Suspended }]).unwrap();
     let moved: Vec<(f64, f64)> = plan.share_changes.values().copied().collect();
-    assert_eq!(moved, [(0.25, 0.75), (0.5, 0.0)], "its group keeps its part, others see nothing");
+    assert_eq!(
+        moved,
+        [(0.25, 0.75), (0.5, 0.0)],
+        "the group's share goes to its other member, and other shares are unchanged"
+    );
 }
 
 #[test]
-fn a_name_added_again_is_another_tenant() {
+fn a_tenant_created_under_a_removed_name_has_a_new_id() {
     let mut registry = Registry::default();
     create(&mut registry, "a", 1.0, None);
     let first = registry.tenant("a").unwrap().id;
@@ -114,19 +119,19 @@
 }
 
 #[test]
-fn what_came_between_is_told() {
+fn a_change_based_on_an_old_generation_is_stale() {
     let mut registry = Registry::default();
     create(&mut registry, "a", 1.0, None);
-    let (seen, subject) = (registry.tenant("a").unwrap().generation, Subject::Tenant("a".to_owned()));
-    assert_eq!(registry.check_generation(&subject, Some(seen)), Ok(()));
+    let (read, subject) = (registry.tenant("a").unwrap().generation, Subject::Tenant("a".to_owned()));
+    assert_eq!(registry.check_generation(&subject, Some(read)), Ok(()));
     let change = Change::MoveTenant { name: "a".to_owned(), to: State::Draining };
     registry.apply(&[change]).unwrap();
-    let stale = ChangeError::Stale { expected: seen, found: Generation(2) };
-    assert_eq!(registry.check_generation(&subject, Some(seen)), Err(stale));
+    let stale = ChangeError::Stale { expected: read, found: Generation(2) };
+    assert_eq!(registry.check_generation(&subject, Some(read)), Err(stale));
 }
 
 #[test]
-fn values_that_are_not_taken_are_named() {
+fn the_error_of_an_invalid_value_names_its_field() {
     let spec = |change: fn(&mut TenantSpec)| {
         let mut spec = TenantSpec::default();
         change(&mut spec);
--- a/crates/tenancy/tests/roster.rs
+++ b/crates/tenancy/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Limits, advice and slots.
+//! Limits, retry advice and slots of the roster.
 
 use proptest::prelude::*;
 use sanddyke_tenancy::{
@@ -7,66 +7,67 @@
 };
 use std::collections::BTreeMap;
 
-const ASK: AdmissionRequest = AdmissionRequest { class: "lookup", statement_bytes: 10 };
+const REQUEST: AdmissionRequest = AdmissionRequest { class: "lookup", statement_bytes: 10 };
 
 fn tenant(id: u64, limits: Limits) -> Tenant {
     let spec = TenantSpec { limits, ..TenantSpec::default() };
     Tenant { id: TenantId(id), name: format!("t{id}"), spec, state: State::Active, generation: Generation(1) }
 }
 
-fn one(limits: Limits) -> Roster {
+fn roster_with(limits: Limits) -> Roster {
     let mut roster = Roster::default();
     roster.set(&tenant(1, limits));
     roster
 }
 
-fn refusal(roster: &mut Roster, now: i64, ask: &AdmissionRequest) -> Rejection {
-    roster.admit(now, "t1", ask).expect_err("it is refused")
+fn rejection(roster: &mut Roster, now: i64, request: &AdmissionRequest) -> Rejection {
+    roster.admit(now, "t1", request).expect_err("the request is rejected")
 }
 
 proptest! {
-    /// In no stretch of time are more requests taken than the burst and the rate allow, whatever the arrivals;
-    /// and who comes back when told is taken.
+    /// With random arrivals, no interval has more admitted requests than the burst and the rate allow, and each rejection
+    /// has retry advice of at least the lower bound.
     #[test]
-    fn a_rate_binds_in_every_stretch(rate in 1u32..50, burst in 1u32..20,
+    fn the_rate_limit_holds_in_every_interval(rate in 1u32..50, burst in 1u32..20,
                                      gaps in prop::collection::vec(0i64..200_000, 1..300)) {
         let limits = Limits {
             requests_per_s: Some(rate.into()), burst: Some(burst.into()), ..Limits::default()
         };
-        let mut roster = one(limits);
-        let (mut now, mut taken) = (0, Vec::new());
+        let mut roster = roster_with(limits);
+        let (mut now, mut admitted) = (0, Vec::new());
         for gap in gaps {
             now += gap;
-            match roster.admit(now, "t1", &ASK) {
-                Ok(_) => taken.push(now),
-                Err(refused) => {
-                    prop_assert_eq!(refused.reason, Reason::Rate);
-                    prop_assert!(refused.retry_after_us >= 50_000);
+            match roster.admit(now, "t1", &REQUEST) {
+                Ok(_) => admitted.push(now),
+                Err(rejection) => {
+                    prop_assert_eq!(rejection.reason, Reason::Rate);
+                    prop_assert!(rejection.retry_after_us >= 50_000);
                 }
             }
         }
-        for (at, from) in taken.iter().enumerate() {
-            for (to, until) in taken.iter().enumerate().skip(at) {
+        for (at, from) in admitted.iter().enumerate() {
+            for (to, until) in admitted.iter().enumerate().skip(at) {
                 let most = f64::from(burst) + f64::from(rate) * (until - from) as f64 / 1e6;
                 prop_assert!((to - at + 1) as f64 <= most + 1e-6);
             }
         }
     }
 
-    /// Against a model: a slot is one tenant's until nothing refers to it, and then it is free.
+    /// Compares the roster with a model under random operations: a slot belongs to one tenant while anything refers to
+    /// it, and is freed when the last reference to a removed tenant ends.
     #[test]
-    fn a_slot_is_nobody_elses_while_anything_refers_to_it(ops in prop::collection::vec((0u8..6, 0u64..8), 1..200)) {
+    fn a_slot_is_reused_only_when_nothing_refers_to_it(ops in prop::collection::vec((0u8..6, 0u64..8), 1..200)) {
         let mut roster = Roster::default();
         let mut slots: BTreeMap<usize, (u64, u32, u32, bool)> = BTreeMap::new();
         for (op, id) in ops {
             let slot = slots.iter().find(|(_, (held, ..))| *held == id).map(|(slot, _)| *slot);
-            let (open, out, removed) = slot.map_or((0, 0, false), |slot| {
-                let (_, open, out, removed) = slots[&slot];
-                (open, out, removed)
+            let (open, attempts, removed) = slot.map_or((0, 0, false), |slot| {
+                let (_, open, attempts, removed) = slots[&slot];
+                (open, attempts, removed)
             });
-            let last = removed && open + out == 1;
+            let last = removed && open + attempts == 1;
             let freed = match (op, slot) {
-                // Ids are never given again: a removed tenant is not set.
+                // Ids are never reused, so that a removed tenant is not set again.
                 (0, known) if !removed => {
                     let slot = roster.set(&tenant(id, Limits::default()));
                     match known {
@@ -76,7 +77,7 @@
                     None
                 }
                 (1, _) => {
-                    if let Ok(slot) = roster.admit(0, &format!("t{id}"), &ASK) {
+                    if let Ok(slot) = roster.admit(0, &format!("t{id}"), &REQUEST) {
                         slots.entry(slot).and_modify(|state| state.1 += 1);
                     }
                     None
@@ -91,16 +92,16 @@
                     roster.attempt_started(slot);
                     None
                 }
-                (4, Some(slot)) if out > 0 => {
+                (4, Some(slot)) if attempts > 0 => {
                     slots.entry(slot).and_modify(|state| state.2 -= 1);
                     prop_assert_eq!(roster.attempt_ended(slot), last.then_some(slot));
                     last.then_some(slot)
                 }
                 (5, Some(slot)) if !removed => {
                     slots.entry(slot).and_modify(|state| state.3 = true);
-                    let over = open + out == 0;
-                    prop_assert_eq!(roster.remove(TenantId(id)), over.then_some(slot));
-                    over.then_some(slot)
+                    let is_unused = open + attempts == 0;
+                    prop_assert_eq!(roster.remove(TenantId(id)), is_unused.then_some(slot));
+                    is_unused.then_some(slot)
                 }
                 _ => None,
             };
@@ -108,26 +109,29 @@
                 slots.remove(&slot);
             }
             prop_assert_eq!(roster.len(), slots.len());
-            for (slot, (id, open, out, _)) in &slots {
+            for (slot, (id, open, attempts, _)) in &slots {
                 prop_assert_eq!(roster.tenant(*slot).unwrap().id, TenantId(*id));
-                prop_assert_eq!(roster.usage(*slot), SlotUsage { open_requests: *open, attempts: *out });
+                prop_assert_eq!(roster.usage(*slot), SlotUsage { open_requests: *open, attempts: *attempts });
             }
         }
     }
 }
 
-/// Those who are told to come back are told different times, and each finds its token then.
+/// Guards against rejected clients that all retry for the same token: each has different retry advice and is admitted at
+/// that time.
 #[test]
-fn who_comes_back_when_told_is_taken() {
-    let mut roster = one(Limits { requests_per_s: Some(10.0), burst: Some(1.0), ..Limits::default() });
-    roster.admit(0, "t1", &ASK).unwrap();
-    let told: Vec<i64> = (0..20).map(|_| refusal(&mut roster, 0, &ASK).retry_after_us).collect();
-    assert!(told.windows(2).all(|two| two[0] < two[1]), "{told:?}");
-    assert!(told.iter().all(|at| roster.admit(*at, "t1", &ASK).is_ok()), "{told:?}");
+fn a_client_that_follows_its_retry_advice_is_admitted() {
+    let mut roster =
+        roster_with(Limits { requests_per_s: Some(10.0), burst: Some(1.0), ..Limits::default() });
+    roster.admit(0, "t1", &REQUEST).unwrap();
+    let retry_times_us: Vec<i64> =
+        (0..20).map(|_| rejection(&mut roster, 0, &REQUEST).retry_after_us).collect();
+    assert!(retry_times_us.windows(2).all(|two| two[0] < two[1]), "{retry_times_us:?}");
+    assert!(retry_times_us.iter().all(|at| roster.admit(*at, "t1", &REQUEST).is_ok()), "{retry_times_us:?}");
 }
 
 #[test]
-fn each_limit_refuses_with_its_own_code_and_count() {
+fn each_limit_rejects_with_its_own_code_and_counter() {
     let classes = Some(["lookup".to_owned()].into());
     let limits = Limits {
         open_requests: Some(1),
@@ -136,19 +140,22 @@
         classes,
         ..Limits::default()
     };
-    let mut roster = one(limits);
-    let reason = |roster: &mut Roster, ask: &AdmissionRequest| refusal(roster, 0, ask).reason;
-    assert_eq!(reason(&mut roster, &AdmissionRequest { class: "load", ..ASK }), Reason::Class);
-    assert_eq!(reason(&mut roster, &AdmissionRequest { statement_bytes: 11, ..ASK }), Reason::StatementBytes);
-    let slot = roster.admit(0, "t1", &ASK).unwrap();
-    let full = refusal(&mut roster, 0, &ASK);
-    assert!(full.reason == Reason::Open && full.retry_after_us > 0, "{full:?}");
+    let mut roster = roster_with(limits);
+    let reason = |roster: &mut Roster, request: &AdmissionRequest| rejection(roster, 0, request).reason;
+    assert_eq!(reason(&mut roster, &AdmissionRequest { class: "load", ..REQUEST }), Reason::Class);
+    assert_eq!(
+        reason(&mut roster, &AdmissionRequest { statement_bytes: 11, ..REQUEST }),
+        Reason::StatementBytes
+    );
+    let slot = roster.admit(0, "t1", &REQUEST).unwrap();
+    let at_limit = rejection(&mut roster, 0, &REQUEST);
+    assert!(at_limit.reason == Reason::Open && at_limit.retry_after_us > 0, "{at_limit:?}");
     assert!(roster.check_result(slot, 5).is_ok());
     assert_eq!(roster.check_result(slot, 6).unwrap_err().reason, Reason::ResultBytes);
     roster.request_closed(slot, 9);
     for (state, expected) in [(State::Suspended, Reason::Suspended), (State::Draining, Reason::Draining)] {
         roster.set(&Tenant { state, ..tenant(1, Limits::default()) });
-        assert_eq!(reason(&mut roster, &ASK), expected);
+        assert_eq!(reason(&mut roster, &REQUEST), expected);
     }
     let counts: Vec<(&str, u64)> =
         roster.rejections(slot).map(|(reason, count)| (reason.code(), count)).collect();
@@ -163,16 +170,24 @@
 }
 
 #[test]
-fn a_removed_tenants_work_goes_on_and_its_name_is_free() {
-    let mut roster = one(Limits::default());
-    let old = roster.admit(0, "t1", &ASK).unwrap();
+fn open_requests_of_a_removed_tenant_continue_and_its_name_can_be_reused() {
+    let mut roster = roster_with(Limits::default());
+    let old = roster.admit(0, "t1", &REQUEST).unwrap();
     assert_eq!(roster.remove(TenantId(1)), None);
-    assert_eq!(refusal(&mut roster, 0, &ASK).reason, Reason::Removed, "while its last work is ending");
+    assert_eq!(
+        rejection(&mut roster, 0, &REQUEST).reason,
+        Reason::Removed,
+        "the tenant still has an open request"
+    );
     let again = roster.set(&Tenant { name: "t1".to_owned(), ..tenant(2, Limits::default()) });
-    assert_ne!(again, old, "what refers to the old one is not the new one's");
-    assert_eq!(roster.admit(0, "t1", &ASK), Ok(again));
+    assert_ne!(again, old, "the slot of the removed tenant is still in use");
+    assert_eq!(roster.admit(0, "t1", &REQUEST), Ok(again));
     assert_eq!(roster.request_closed(old, 1), Some(old));
     assert_eq!(roster.remove(TenantId(2)), None);
     assert_eq!(roster.request_closed(again, 1), Some(again));
-    assert_eq!(refusal(&mut roster, 0, &ASK).reason, Reason::Unknown, "and unknown from then on");
+    assert_eq!(
+        rejection(&mut roster, 0, &REQUEST).reason,
+        Reason::Unknown,
+        "nothing refers to a tenant of this name"
+    );
 }
