--- a/src/cluster/backup.rs
+++ b/src/cluster/backup.rs
@@ -51,7 +51,7 @@
         return;
     }
     let Some(fencing_token) = cluster.may_act(LEASE_NAME) else { return };
-    match tenant_service.backup_as(&format!("period-{period}.redb"), fencing_token).await {
+    match tenant_service.write_periodic_backup(&format!("period-{period}.redb"), fencing_token).await {
         Ok(is_written) => {
             let message = if is_written { "backup written" } else { "backup already present" };
             let at_us = clock.unix_us();
--- a/src/tenants/mod.rs
+++ b/src/tenants/mod.rs
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// There is no store or no folder, or writing failed.
-    pub async fn backup_as(&self, name: &str, fencing_token: u64) -> Result<bool, TenantServiceError> {
+    pub async fn write_periodic_backup(&self, name: &str, fencing_token: u64) -> Result<bool, TenantServiceError> {
         let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         let to = self.backups.clone().ok_or(TenantServiceError::NoBackups)?.join(name);
         off_thread(move || Ok(store.backup_once(&to, fencing_token)?)).await
