--- a/src/admin/bodies.rs
+++ b/src/admin/bodies.rs
@@ -1,4 +1,5 @@
-//! The JSON bodies that calls of version 1 take. Their doc comments are the descriptions in the OpenAPI document.
+//! JSON request bodies of version 1. Their doc comments are the descriptions in the OpenAPI document, which is published:
+//! a reworded comment changes the document.
 
 use sanddyke_authorization::Role;
 use sanddyke_tenancy::{GroupSpec, TenantSpec};
@@ -8,7 +9,8 @@
 
 /// A tenant to be made.
 #[derive(Debug, Deserialize, JsonSchema)]
-#[allow(dead_code)] // the document's shape; it is read in two steps, so that no unknown key passes
+// Only the OpenAPI schema is generated from it. Bodies are parsed as `NamedSpec`, which rejects unknown keys.
+#[allow(dead_code)]
 pub struct NewTenant {
     /// Its name: 1 to 64 of `A-Z a-z 0-9 . _ -`, the first a letter or digit.
     pub(super) name: String,
@@ -18,6 +20,7 @@
 
 /// A group to be made.
 #[derive(Debug, Deserialize, JsonSchema)]
+// Like `NewTenant`, only for the schema.
 #[allow(dead_code)]
 pub struct NewGroup {
     /// Its name, as tenants' are.
@@ -53,17 +56,21 @@
 #[cfg_attr(not(feature = "cluster"), allow(dead_code))]
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct NewRoll {
+#[schemars(rename = "NewRoll")]
+pub struct NewRollingRestart {
     /// `drain` or `restart`: a restart needs something that starts a manager again when it has ended.
-    pub(super) how: RollHow,
+    #[serde(rename = "how")]
+    pub(super) mode: RollingRestartMode,
     /// Managers at once, all of one zone: 1 where it is absent.
-    pub(super) most: Option<usize>,
+    #[serde(rename = "most")]
+    pub(super) max_active: Option<usize>,
 }
 
 /// What a roll does to each manager.
 #[derive(Debug, Clone, Copy, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum RollHow {
+#[schemars(rename = "RollHow")]
+pub enum RollingRestartMode {
     /// It is drained, and goes back to work.
     Drain,
     /// It is drained and ends.
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,44 +1,44 @@
-//! The metrics page, in Prometheus' text format. The number of labels is bounded: beyond a number of tenants the rest share
-//! one label.
+//! Renders the metrics page in the Prometheus text format. The number of series is bounded: tenants beyond
+//! [`MAX_TENANT_LABELS`] share one label.
 
 use crate::cluster::{ClusterView, MessageCounters};
 use crate::core::{AnswerCounts, Report};
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::{Display, Write};
 
-/// Tenants with series of their own; those with the most answers come first.
-const MAX_TENANTS: usize = 1000;
-/// The label of all other tenants.
-const OTHER_TENANTS: &str = "_others";
+/// Number of tenants with a label of their own: those with the most answers.
+const MAX_TENANT_LABELS: usize = 1000;
+/// Label shared by all other tenants.
+const OTHER_TENANTS_LABEL: &str = "_others";
 
-/// The kind of a metric.
+/// Type of a metric, as in its `# TYPE` line.
 #[derive(Debug, Clone, Copy)]
 enum Kind {
     Counter,
     Gauge,
 }
 
-/// The page as it is written.
+/// A metrics page under construction.
 #[derive(Debug, Default)]
 struct Page(String);
 
 impl Page {
-    /// Begins a metric.
+    /// Writes the `# TYPE` line of a metric.
     fn metric(&mut self, name: &str, kind: Kind) {
         let kind = match kind {
             Kind::Counter => "counter",
             Kind::Gauge => "gauge",
         };
-        // Writing to a string cannot fail.
+        // Writing to a string can't fail.
         let _ = writeln!(self.0, "# TYPE {name} {kind}");
     }
 
-    /// A value of a metric without labels.
+    /// Writes the value of a metric without labels.
     fn value(&mut self, name: &str, value: impl Display) {
         let _ = writeln!(self.0, "{name} {value}");
     }
 
-    /// A value of a metric with labels, whose values are escaped already.
+    /// Writes a value of a metric with labels. Label values must be escaped already.
     fn series(&mut self, name: &str, labels: &[(&str, &str)], value: impl Display) {
         let labels: Vec<String> =
             labels.iter().map(|(label, value)| format!("{label}=\"{value}\"")).collect();
@@ -46,11 +46,12 @@
     }
 }
 
+/// Escapes a label value.
 fn escaped(text: &str) -> String {
     text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// The metrics of the fleet.
+/// Renders the metrics of the fleet: members, leases, rejected and sent messages.
 pub fn fleet(view: &ClusterView) -> String {
     let mut page = Page::default();
     page.metric("sanddyke_fleet_members", Kind::Gauge);
@@ -77,7 +78,7 @@
     page.0
 }
 
-/// The metrics of the service.
+/// Renders the metrics of the service: answers, rejections, tenants, open requests and attempts.
 pub fn service(report: &Report) -> String {
     let tenants = TenantLabels::of(report);
     let mut page = Page::default();
@@ -101,7 +102,7 @@
     page.0
 }
 
-/// What may be executed now, and what was denied.
+/// Attempts in flight, requests that were deferred, and violations of the execution rules.
 fn execution(page: &mut Page, report: &Report) {
     page.metric("sanddyke_attempts_possibly_executing", Kind::Gauge);
     page.value("sanddyke_attempts_possibly_executing", report.attempts_in_flight);
@@ -113,7 +114,7 @@
     }
 }
 
-/// The tenants that have series of their own.
+/// The tenants that have a label of their own.
 struct TenantLabels<'a>(HashSet<&'a str>);
 
 impl<'a> TenantLabels<'a> {
@@ -124,22 +125,23 @@
         }
         let mut totals: Vec<(&str, u64)> = totals.into_iter().collect();
         totals.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
-        TenantLabels(totals.into_iter().take(MAX_TENANTS).map(|(name, _)| name).collect())
+        TenantLabels(totals.into_iter().take(MAX_TENANT_LABELS).map(|(name, _)| name).collect())
     }
 
     fn label(&self, tenant: &str) -> String {
         match self.0.contains(tenant) {
             true => escaped(tenant),
-            false => OTHER_TENANTS.to_owned(),
+            false => OTHER_TENANTS_LABEL.to_owned(),
         }
     }
 }
 
+/// Answers of all kinds, including requests whose client disconnected.
 fn total(counts: &AnswerCounts) -> u64 {
     counts.served + counts.rejected + counts.failed + counts.cancelled + counts.disconnected
 }
 
-/// Answers by class, tenant and end, and the time that served requests took.
+/// Answers by class, tenant and end, and the total duration of served requests in seconds.
 fn answers(page: &mut Page, report: &Report, tenants: &TenantLabels) {
     let mut ends: BTreeMap<(String, String, &str), u64> = BTreeMap::new();
     let mut served_seconds: BTreeMap<(String, String), f64> = BTreeMap::new();
@@ -169,7 +171,8 @@
     }
 }
 
-/// Requests rejected for a tenant's sake, by reason.
+/// Requests rejected because of their tenant's state or limits, by tenant and reason. Requests of unknown tenants are
+/// counted under an empty tenant label.
 fn rejections(page: &mut Page, report: &Report, tenants: &TenantLabels) {
     let mut rejected: BTreeMap<(String, &str), u64> = BTreeMap::new();
     for tenant in &report.tenants {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -41,15 +41,15 @@
 /// A client that takes longer to read an answer loses the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Calls of one token.
-const CALLS: RateLimit = RateLimit { per_second: 100.0, burst: 200.0 };
+const CALL_LIMIT: RateLimit = RateLimit { per_second: 100.0, burst: 200.0 };
 /// Calls of one token that read all open requests: each costs the service some time.
-const EXPENSIVE_CALLS: RateLimit = RateLimit { per_second: 5.0, burst: 20.0 };
+const EXPENSIVE_CALL_LIMIT: RateLimit = RateLimit { per_second: 5.0, burst: 20.0 };
 /// Calls without a valid token, all together: guessing must not become fast.
-const UNAUTHORIZED_CALLS: RateLimit = RateLimit { per_second: 10.0, burst: 50.0 };
+const UNAUTHORIZED_CALL_LIMIT: RateLimit = RateLimit { per_second: 10.0, burst: 50.0 };
 /// The id of the operator whose token is in the file.
-const ROOT: &str = "root";
-/// The key of calls without a valid token in the table of rates; no token has it as its id.
-const UNAUTHORIZED: &str = "";
+const ROOT_ID: &str = "root";
+/// The key of calls without a valid token in the table of buckets_by_caller; no token has it as its id.
+const UNAUTHORIZED_ID: &str = "";
 
 /// A limit on the rate of calls.
 #[derive(Debug, Clone, Copy)]
@@ -82,7 +82,7 @@
     cluster: Option<Cluster>,
     watchers: Arc<Semaphore>,
     /// By the id of the caller's token.
-    rates: Mutex<HashMap<String, CallBuckets>>,
+    buckets_by_caller: Mutex<HashMap<String, CallBuckets>>,
 }
 
 /// The caller of a call.
@@ -148,7 +148,7 @@
         token: String,
         cluster: Option<Cluster>,
     ) -> Arc<Admin> {
-        let rates = Mutex::default();
+        let buckets_by_caller = Mutex::default();
         Arc::new(Admin {
             handle,
             lifecycle,
@@ -157,7 +157,7 @@
             token,
             cluster,
             watchers: v1::watcher_permits(),
-            rates,
+            buckets_by_caller,
         })
     }
 
@@ -203,18 +203,18 @@
             if same(secret, &self.token) {
                 return Ok(root());
             }
-            if let Some(token) = self.tenant_service.check(secret).await {
+            if let Some(token) = self.tenant_service.authenticate(secret).await {
                 return Ok(Caller { id: token.id, grant: token.grant });
             }
         }
-        self.take(UNAUTHORIZED, UNAUTHORIZED_CALLS, |buckets| &mut buckets.all)?;
+        self.take(UNAUTHORIZED_ID, UNAUTHORIZED_CALL_LIMIT, |buckets| &mut buckets.all)?;
         Err(Problem::new(401, "unauthorized", "a valid bearer token is needed"))
     }
 
     fn limit_rate(&self, caller: &str, is_expensive: bool) -> Result<(), Problem> {
-        self.take(caller, CALLS, |buckets| &mut buckets.all)?;
+        self.take(caller, CALL_LIMIT, |buckets| &mut buckets.all)?;
         if is_expensive {
-            self.take(caller, EXPENSIVE_CALLS, |buckets| &mut buckets.expensive)?;
+            self.take(caller, EXPENSIVE_CALL_LIMIT, |buckets| &mut buckets.expensive)?;
         }
         Ok(())
     }
@@ -225,12 +225,12 @@
         limit: RateLimit,
         bucket: fn(&mut CallBuckets) -> &mut TokenBucket,
     ) -> Result<(), Problem> {
-        let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        if rates.len() > 2 * sanddyke_authorization::MOST_TOKENS {
+        let mut buckets_by_caller = self.buckets_by_caller.lock().unwrap_or_else(PoisonError::into_inner);
+        if buckets_by_caller.len() > 2 * sanddyke_authorization::MOST_TOKENS {
             // Tokens come and go: those that are still in use begin with full buckets.
-            rates.clear();
+            buckets_by_caller.clear();
         }
-        let buckets = rates.entry(caller.to_owned()).or_insert_with(CallBuckets::full);
+        let buckets = buckets_by_caller.entry(caller.to_owned()).or_insert_with(CallBuckets::full);
         let taken = bucket(buckets).take(self.clock.now().0, limit.per_second, limit.burst);
         taken.map_err(|wait_us| Problem {
             retry_after_ms: Some((wait_us / 1000.0) as i64),
@@ -259,7 +259,7 @@
 fn root() -> Caller {
     let grant =
         Grant { role: Role::Operator, tenants: BTreeSet::new(), note: String::new(), expires_ms: None };
-    Caller { id: ROOT.to_owned(), grant }
+    Caller { id: ROOT_ID.to_owned(), grant }
 }
 
 /// The path of version 1 for the first calls of the API, which had none.
--- a/src/admin/openapi.rs
+++ b/src/admin/openapi.rs
@@ -1,4 +1,4 @@
-//! The OpenAPI document, made from the routes and the schemas of their bodies.
+//! Generates the OpenAPI document from the routes and the schemas of their bodies.
 
 use super::bodies;
 use super::routes::{ROUTES, Route};
@@ -6,7 +6,7 @@
 use schemars::{JsonSchema, SchemaGenerator};
 use serde_json::{Map, Value, json};
 
-/// The OpenAPI document.
+/// Returns the OpenAPI document of version 1.
 pub fn openapi() -> Value {
     let mut schemas = Value::Object(schemas());
     schemas["Problem"] = problem_schema();
@@ -28,6 +28,7 @@
     })
 }
 
+/// Schemas of the request bodies, and of the tenants, groups and audit entries in responses, by name.
 fn schemas() -> Map<String, Value> {
     let mut settings = SchemaSettings::draft2020_12();
     settings.definitions_path = "/components/schemas".into();
@@ -36,7 +37,7 @@
     add::<bodies::NewGroup>(&mut generator);
     add::<bodies::NewToken>(&mut generator);
     add::<bodies::Rotation>(&mut generator);
-    add::<bodies::NewRoll>(&mut generator);
+    add::<bodies::NewRollingRestart>(&mut generator);
     add::<sanddyke_tenancy::TenantSpec>(&mut generator);
     add::<sanddyke_tenancy::GroupSpec>(&mut generator);
     add::<sanddyke_tenancy::Tenant>(&mut generator);
@@ -49,7 +50,7 @@
     generator.subschema_for::<T>();
 }
 
-/// The schema of problem details (RFC 9457).
+/// Schema of problem details (RFC 9457).
 fn problem_schema() -> Value {
     json!({
         "type": "object", "required": ["type", "title", "status", "detail"],
@@ -58,6 +59,7 @@
     })
 }
 
+/// The operation object of a route.
 fn operation(route: &Route) -> Value {
     let mut operation = json!({
         "operationId": format!("{:?}", route.call),
@@ -65,26 +67,26 @@
         "description": format!("Roles: {}.", route.roles),
         "parameters": parameters(route),
         "responses": {
-            route.status.to_string(): { "description": "granted" },
+            route.success_status.to_string(): { "description": "granted" },
             "default": { "description": "a problem", "content": { "application/problem+json": {
                 "schema": { "$ref": "#/components/schemas/Problem" } } } },
         },
     });
-    if let Some(name) = route.takes {
+    if let Some(name) = route.body_schema {
         let body = json!({ "schema": { "$ref": format!("#/components/schemas/{name}") } });
         operation["requestBody"] = json!({ "required": true, "content": { "application/json": body } });
     }
     operation
 }
 
-/// The parameters in a route's path, query string and header.
+/// The parameters of a route: in its path, query string and header.
 fn parameters(route: &Route) -> Vec<Value> {
     let parameter = |name: &str, location: &str| {
         let required = location == "path";
         json!({ "name": name, "in": location, "required": required, "schema": { "type": "string" } })
     };
     let in_path = route.path.split(['{', '}']).nth(1).map(|name| parameter(name, "path"));
-    let in_query = route.query.split_whitespace().map(|name| parameter(name, "query"));
-    let in_header = route.fields.split_whitespace().map(|name| parameter(name, "header"));
+    let in_query = route.query_keys.split_whitespace().map(|name| parameter(name, "query"));
+    let in_header = route.header_fields.split_whitespace().map(|name| parameter(name, "header"));
     in_path.into_iter().chain(in_query).chain(in_header).collect()
 }
--- a/src/admin/problem.rs
+++ b/src/admin/problem.rs
@@ -1,4 +1,4 @@
-//! Problem details (RFC 9457): each error has a code that stays, a status, and a sentence for people.
+//! Error responses as problem details (RFC 9457). Each error has a stable code, an HTTP status and a text for people.
 
 use crate::frontend::http::message::Response;
 use crate::tenants::TenantServiceError;
@@ -6,26 +6,26 @@
 use sanddyke_tenancy::ChangeError;
 use serde_json::json;
 
-/// An error of the API.
+/// An error response of the API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The status that it is answered with.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Its code, the last part of its type.
+    /// Stable code: the last part of the problem type and, with spaces, its title.
     pub code: &'static str,
-    /// What is wrong, in words.
+    /// Description for people.
     pub detail: String,
-    /// When to come back (ms), where that helps.
+    /// Delay before a retry in milliseconds, sent as `Retry-After` in whole seconds; `None` if a retry does not help.
     pub retry_after_ms: Option<i64>,
 }
 
 impl Problem {
-    /// A problem.
+    /// Creates a problem without a retry delay.
     pub fn new(status: u16, code: &'static str, detail: impl Into<String>) -> Problem {
         Problem { status, code, detail: detail.into(), retry_after_ms: None }
     }
 
-    /// Its answer.
+    /// Returns the HTTP response. A 401 has a `WWW-Authenticate` field.
     pub fn response(&self) -> Response {
         let body = json!({
             "type": format!("urn:sanddyke:problem:{}", self.code),
@@ -43,8 +43,8 @@
 }
 
 impl From<TenantServiceError> for Problem {
-    fn from(failure: TenantServiceError) -> Problem {
-        let (status, code) = match &failure {
+    fn from(error: TenantServiceError) -> Problem {
+        let (status, code) = match &error {
             TenantServiceError::Rejected(ChangeError::Invalid(_)) => (422, "invalid"),
             TenantServiceError::Rejected(ChangeError::NotFound(_)) | TenantServiceError::UnknownToken => {
                 (404, "not_found")
@@ -62,7 +62,7 @@
             TenantServiceError::Grant(_) => (422, "invalid"),
             TenantServiceError::Ended => (503, "ending"),
         };
-        Problem::new(status, code, failure.to_string())
+        Problem::new(status, code, error.to_string())
     }
 }
 
--- a/src/admin/routes/tests.rs
+++ b/src/admin/routes/tests.rs
@@ -1,11 +1,11 @@
-//! Routing, and the OpenAPI document that is made from the routes.
+//! Tests of routing, and of the OpenAPI document that is generated from the routes.
 
 use super::*;
 use crate::admin::openapi::openapi;
 
 #[test]
-fn each_path_has_its_route() {
-    let found = |method, path| find(method, path).map(|(row, name)| (row.call, name));
+fn paths_match_complete_templates_only() {
+    let found = |method, path| find(method, path).map(|(route, name)| (route.call, name));
     assert_eq!(found("GET", "/v1/tenants"), Ok((Call::ListTenants, "")));
     assert_eq!(found("GET", "/v1/tenants/a"), Ok((Call::GetTenant, "a")));
     assert_eq!(found("POST", "/v1/tenants/a/drain"), Ok((Call::DrainTenant, "a")));
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn the_document_has_all_schemas_that_it_refers_to() {
+fn every_schema_reference_resolves_and_every_path_is_listed() {
     let document = openapi();
     let text = document.to_string();
     for name in text.split("#/components/schemas/").skip(1).map(|rest| rest.split('"').next().unwrap()) {
         assert!(document["components"]["schemas"].get(name).is_some(), "{name}");
     }
     assert_eq!(document["paths"].as_object().unwrap().len(), {
-        let mut paths: Vec<&str> = ROUTES.iter().map(|row| row.path).collect();
+        let mut paths: Vec<&str> = ROUTES.iter().map(|route| route.path).collect();
         paths.sort_unstable();
         paths.dedup();
         paths.len()
--- a/src/admin/v1/audit.rs
+++ b/src/admin/v1/audit.rs
@@ -23,7 +23,7 @@
 /// The wait where the caller asks for none.
 const DEFAULT_WAIT_MS: u64 = 10_000;
 /// When a caller for whom there is no permit should come back.
-const WATCHER_RETRY_MS: i64 = 1000;
+const WATCHER_RETRY_AFTER_MS: i64 = 1000;
 
 /// Permits for callers that wait for changes.
 pub(in crate::admin) fn watcher_permits() -> Arc<Semaphore> {
@@ -61,7 +61,7 @@
     /// Answers with the changes after a generation: at once where there are any, else when one comes or the time is up.
     pub(super) async fn watch(&self, context: &Context<'_>) -> Answer {
         let _permit = self.watchers.clone().try_acquire_owned().map_err(|_| Problem {
-            retry_after_ms: Some(WATCHER_RETRY_MS),
+            retry_after_ms: Some(WATCHER_RETRY_AFTER_MS),
             ..Problem::new(429, "watchers", format!("{MAX_WATCHERS} callers wait for changes already"))
         })?;
         let now = self.tenant_service.read(|tenants| tenants.registry.generation()).await;
@@ -77,7 +77,7 @@
             }
             // What came was not the caller's to see: the wait goes on from there.
             after = latest;
-            self.tenant_service.wait_after(latest, remaining).await;
+            self.tenant_service.wait_for_change_after(latest, remaining).await;
         }
     }
 
@@ -89,7 +89,7 @@
     ) -> Result<(Vec<Value>, Generation), Problem> {
         let found = self.tenant_service.read(|tenants| {
             let is_visible = |event: &&ChangeEvent| may_see(grant, event.record.tenant);
-            let changes = tenants.since(after)?.filter(is_visible).take(MAX_CHANGES).map(json::change);
+            let changes = tenants.changes_after(after)?.filter(is_visible).take(MAX_CHANGES).map(json::change);
             Some((changes.collect(), tenants.registry.generation()))
         });
         let gone = || Problem::new(410, "gone", "changes after that generation are not at hand: list anew");
--- a/src/admin/v1/changes.rs
+++ b/src/admin/v1/changes.rs
@@ -13,7 +13,7 @@
 /// Changed shares that the answer to a dry run lists at most.
 const MAX_LISTED_SHARES: usize = 1000;
 /// The longest idempotency key, in bytes.
-const MAX_KEY_BYTES: usize = 128;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
 impl Admin {
     /// Creates a tenant or group.
@@ -120,7 +120,7 @@
 fn idempotency_key(request: &Request) -> Result<Option<String>, Problem> {
     let Some(key) = request.field("Idempotency-Key") else { return Ok(None) };
     let is_plain = key.chars().all(|c| c.is_ascii_graphic());
-    if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_plain {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES || !is_plain {
         let detail = "Idempotency-Key: 1 to 128 plain characters";
         return Err(Problem::new(400, "idempotency_key", detail));
     }
--- a/src/admin/v1/fleet.rs
+++ b/src/admin/v1/fleet.rs
@@ -1,4 +1,4 @@
-//! Calls on the fleet: leases, voters and rolling restarts.
+//! Calls that read and control the fleet: leases, voters and rolling restarts.
 
 use super::{Answer, Context};
 use crate::admin::problem::Problem;
@@ -9,34 +9,34 @@
 use sanddyke_authorization::Permission;
 use serde_json::json;
 
-fn rejected(detail: impl ToString) -> Problem {
+fn fleet_conflict(detail: impl ToString) -> Problem {
     Problem::new(409, "fleet", detail.to_string())
 }
 
 impl Admin {
     fn fleet(&self) -> Result<&Cluster, Problem> {
-        let none = || Problem::new(409, "no_fleet", "no fleet is set up (cluster)");
-        self.cluster.as_ref().ok_or_else(none)
+        let no_fleet = || Problem::new(409, "no_fleet", "no fleet is set up (cluster)");
+        self.cluster.as_ref().ok_or_else(no_fleet)
     }
 
     pub(super) fn show_fleet(&self, caller: &Caller) -> Answer {
         caller.require(Permission::See)?;
         let view = serde_json::to_string(&*self.fleet()?.view());
-        let view = view.map_err(|error| Problem::new(500, "fleet", error.to_string()))?;
-        Ok(Response::json(200, view))
+        let json = view.map_err(|error| Problem::new(500, "fleet", error.to_string()))?;
+        Ok(Response::json(200, json))
     }
 
-    /// Hands a lease that this manager holds over to the next manager.
+    /// Transfers a lease that this manager holds to the next manager in order.
     pub(super) async fn hand_over(&self, caller: &Caller, route: &Route, lease: &str) -> Answer {
         caller.require(Permission::Govern)?;
-        self.fleet()?.hand_over(lease).await.map_err(rejected)?;
+        self.fleet()?.hand_over(lease).await.map_err(fleet_conflict)?;
         Ok(accepted(caller, route, lease))
     }
 
-    /// Lets a voter in whose file was lost.
+    /// Admits a voter whose state file was lost, under its new id.
     pub(super) async fn admit_voter(&self, caller: &Caller, route: &Route, voter: &str) -> Answer {
         caller.require(Permission::Govern)?;
-        self.fleet()?.admit(voter).await.map_err(rejected)?;
+        self.fleet()?.admit(voter).await.map_err(fleet_conflict)?;
         Ok(accepted(caller, route, voter))
     }
 
@@ -46,17 +46,17 @@
         self.rolling_restart(rolling::start(&context.request.body)?).await?;
         #[cfg(not(feature = "cluster"))]
         self.fleet()?;
-        Ok(accepted_target(context))
+        Ok(accepted_call(context))
     }
 
-    /// Pauses, resumes or takes back a rolling restart.
+    /// Pauses, resumes or cancels a rolling restart.
     pub(super) async fn control_rolling_restart(&self, context: &Context<'_>, command: &str) -> Answer {
         context.caller.require(Permission::Govern)?;
         #[cfg(feature = "cluster")]
         self.rolling_restart(rolling::control(command)?).await?;
         #[cfg(not(feature = "cluster"))]
         self.fleet().map(|_| command)?;
-        Ok(accepted_target(context))
+        Ok(accepted_call(context))
     }
 
     #[cfg(feature = "cluster")]
@@ -64,26 +64,26 @@
         &self,
         command: crate::cluster::restart_controller::OperatorCommand,
     ) -> Result<(), Problem> {
-        crate::cluster::restart_controller::execute(self.fleet()?, command).await.map_err(rejected)
+        crate::cluster::restart_controller::execute(self.fleet()?, command).await.map_err(fleet_conflict)
     }
 }
 
-/// The commands for rolling restarts.
+/// Parsing of the commands for rolling restarts.
 #[cfg(feature = "cluster")]
 mod rolling {
-    use crate::admin::bodies::{NewRoll, RollHow};
+    use crate::admin::bodies::{NewRollingRestart, RollingRestartMode};
     use crate::admin::problem::Problem;
     use crate::admin::v1::json::parse;
     use crate::cluster::restart_controller::OperatorCommand;
     use sanddyke_cluster::rolling_restart::{RestartMode, RestartState};
 
     pub(super) fn start(body: &[u8]) -> Result<OperatorCommand, Problem> {
-        let body: NewRoll = parse(body)?;
-        let mode = match body.how {
-            RollHow::Drain => RestartMode::Drain,
-            RollHow::Restart => RestartMode::Restart,
+        let body: NewRollingRestart = parse(body)?;
+        let mode = match body.mode {
+            RollingRestartMode::Drain => RestartMode::Drain,
+            RollingRestartMode::Restart => RestartMode::Restart,
         };
-        Ok(OperatorCommand::Start { mode, max_active: body.most.unwrap_or(1) })
+        Ok(OperatorCommand::Start { mode, max_active: body.max_active.unwrap_or(1) })
     }
 
     pub(super) fn control(command: &str) -> Result<OperatorCommand, Problem> {
@@ -97,12 +97,12 @@
 }
 
 fn accepted(caller: &Caller, route: &Route, name: &str) -> Response {
-    log::info!(who = caller.id.as_str(); "admin: {} of the fleet: {name}", route.path);
+    log::info!(who = caller.id.as_str(); "admin: fleet command accepted: {} for {name}", route.path);
     Response::json(202, json!({ "accepted": name }).to_string())
 }
 
-fn accepted_target(context: &Context<'_>) -> Response {
+fn accepted_call(context: &Context<'_>) -> Response {
     let target = &context.request.target;
-    log::info!(who = context.caller.id.as_str(); "admin: {target} of the fleet");
+    log::info!(who = context.caller.id.as_str(); "admin: fleet command accepted: {target}");
     Response::json(202, json!({ "accepted": target }).to_string())
 }
--- a/src/admin/v1/groups.rs
+++ b/src/admin/v1/groups.rs
@@ -1,6 +1,6 @@
 //! Calls on groups of tenants.
 
-use super::json::{self, Named, not_found, tagged};
+use super::json::{self, NamedSpec, not_found, with_etag};
 use super::{Answer, Context};
 use crate::admin::{Admin, Caller};
 use sanddyke_authorization::Permission;
@@ -15,7 +15,7 @@
             (groups, tenants.registry.generation())
         });
         let (groups, generation) = groups.await;
-        Ok(tagged(200, generation, json!({ "groups": groups, "generation": generation })))
+        Ok(with_etag(200, generation, json!({ "groups": groups, "generation": generation })))
     }
 
     pub(super) async fn group(&self, caller: &Caller, status: u16, name: &str) -> Answer {
@@ -35,12 +35,12 @@
         let mut body = serde_json::to_value(&group).unwrap_or_default();
         body["members"] = json!(members);
         body["share"] = json!(share);
-        Ok(tagged(status, group.generation, body))
+        Ok(with_etag(status, group.generation, body))
     }
 
     pub(super) async fn create_group(&self, context: &Context<'_>) -> Answer {
         context.caller.require(Permission::Change)?;
-        let Named { name, spec } = Named::parse(&context.request.body)?;
+        let NamedSpec { name, spec } = NamedSpec::parse(&context.request.body)?;
         self.create(context, Change::CreateGroup { name, spec }).await
     }
 
@@ -48,7 +48,7 @@
         context.caller.require(Permission::Change)?;
         let group = self.tenant_service.read(|tenants| tenants.registry.group(name).cloned()).await;
         let group = group.ok_or_else(|| not_found("group"))?;
-        let spec = json::patched(&group.spec, &context.request.body)?;
+        let spec = json::apply_merge_patch(&group.spec, &context.request.body)?;
         let change = Change::SetGroup { name: name.to_owned(), spec };
         self.change(context, change, Some(group.generation)).await
     }
--- a/src/admin/v1/json.rs
+++ b/src/admin/v1/json.rs
@@ -16,38 +16,38 @@
     serde_json::from_slice(body).map_err(|error| Problem::new(400, "body", error.to_string()))
 }
 
-/// A specification from a value, or the problem with one of its values.
-fn specification<T: DeserializeOwned>(value: Value) -> Result<T, Problem> {
+/// A parse_spec from a value, or the problem with one of its values.
+fn parse_spec<T: DeserializeOwned>(value: Value) -> Result<T, Problem> {
     serde_json::from_value(value).map_err(|error| Problem::new(422, "invalid", error.to_string()))
 }
 
-/// A specification and the name that its body has beside it.
-pub(super) struct Named<T> {
+/// A parse_spec and the name that its body has beside it.
+pub(super) struct NamedSpec<T> {
     pub name: String,
     pub spec: T,
 }
 
-impl<T: DeserializeOwned> Named<T> {
-    pub(super) fn parse(body: &[u8]) -> Result<Named<T>, Problem> {
+impl<T: DeserializeOwned> NamedSpec<T> {
+    pub(super) fn parse(body: &[u8]) -> Result<NamedSpec<T>, Problem> {
         let mut value: Map<String, Value> = parse(body)?;
         let name = value.remove("name");
         let name = name.as_ref().and_then(Value::as_str);
         let name = name.ok_or_else(|| Problem::new(422, "invalid", "name: missing"))?.to_owned();
-        Ok(Named { name, spec: specification(Value::Object(value))? })
+        Ok(NamedSpec { name, spec: parse_spec(Value::Object(value))? })
     }
 }
 
-/// A specification after a merge patch (RFC 7396).
-pub(super) fn patched<T: Serialize + DeserializeOwned>(spec: &T, body: &[u8]) -> Result<T, Problem> {
+/// A parse_spec after a merge patch (RFC 7396).
+pub(super) fn apply_merge_patch<T: Serialize + DeserializeOwned>(spec: &T, body: &[u8]) -> Result<T, Problem> {
     let patch: Map<String, Value> = parse(body)?;
     let mut value =
         serde_json::to_value(spec).map_err(|error| Problem::new(500, "body", error.to_string()))?;
     json_patch::merge(&mut value, &Value::Object(patch));
-    specification(value)
+    parse_spec(value)
 }
 
 /// An answer whose `ETag` is a generation.
-pub(super) fn tagged(status: u16, generation: Generation, body: Value) -> Response {
+pub(super) fn with_etag(status: u16, generation: Generation, body: Value) -> Response {
     Response::json(status, body.to_string()).with("ETag", format!("\"{}\"", generation.0))
 }
 
--- a/src/admin/v1/mod.rs
+++ b/src/admin/v1/mod.rs
@@ -69,7 +69,7 @@
     pub(super) async fn v1(&self, caller: &Caller, request: &Request, route: &Route, name: &str) -> Answer {
         let context = Context { caller, request, query: Query::parse(request, route)? };
         match route.call {
-            Call::Myself => Ok(myself(caller)),
+            Call::Myself => Ok(caller_token(caller)),
             Call::ListTenants => self.list_tenants(&context).await,
             Call::GetTenant => self.tenant(caller, 200, name).await,
             Call::CreateTenant => self.create_tenant(&context).await,
@@ -106,7 +106,7 @@
 }
 
 /// What the caller's token is.
-fn myself(caller: &Caller) -> Response {
+fn caller_token(caller: &Caller) -> Response {
     let body = serde_json::json!({
         "id": caller.id, "role": caller.grant.role, "tenants": caller.grant.tenants,
     });
--- a/src/admin/v1/query.rs
+++ b/src/admin/v1/query.rs
@@ -1,4 +1,4 @@
-//! Query strings and conditions of calls.
+//! Parsing of query strings and `If-Match` fields.
 
 use crate::admin::problem::Problem;
 use crate::admin::routes::Route;
@@ -7,33 +7,33 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Entries of a page at most.
-const MAX_PAGE: usize = 1000;
-/// Entries of a page where the caller asks for no number.
-const DEFAULT_PAGE: usize = 100;
+/// Maximum number of entries per page.
+const MAX_PAGE_SIZE: usize = 1000;
+/// Number of entries per page if the caller sends no `limit`.
+const DEFAULT_PAGE_SIZE: usize = 100;
 
-/// The keys of all query strings; each route names those that it takes.
+/// The query keys of all calls. Each route lists the keys that it accepts.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct Query {
     limit: Option<usize>,
-    /// Where the page begins: the cursor of the page before.
+    /// Cursor from the previous page; `None` for the first page.
     pub cursor: Option<u64>,
     pub state: Option<State>,
     pub group: Option<String>,
     pub tenant: Option<String>,
-    /// Say what would change, and change nothing.
+    /// Report the effect of the change without applying it.
     pub dry_run: bool,
-    /// Remove what the imported document does not name.
+    /// Remove tenants and groups that the imported document does not contain.
     pub prune: bool,
-    /// Changes after this generation.
+    /// Return changes after this generation; `None` for those after the current one.
     pub after: Option<u64>,
-    /// How long to wait for changes.
+    /// Maximum wait for changes in milliseconds.
     pub wait_ms: Option<u64>,
 }
 
 impl Query {
-    /// Parses a request's query string. Each key may stand there once, and only where the route takes it.
+    /// Parses a request's query string. A key that the route does not accept, or that occurs twice, is an error.
     pub(super) fn parse(request: &Request, route: &Route) -> Result<Query, Problem> {
         let text = request.target.split_once('?').map_or("", |(_, query)| query);
         let invalid = |detail: String| Problem::new(400, "query", detail);
@@ -41,7 +41,7 @@
             serde_urlencoded::from_str(text).map_err(|error| invalid(error.to_string()))?;
         let mut keys = BTreeSet::new();
         for (key, _) in &pairs {
-            if !route.query.split_whitespace().any(|known| known == key) {
+            if !route.query_keys.split_whitespace().any(|known| known == key) {
                 return Err(invalid(format!("unknown key {key:?}")));
             }
             if !keys.insert(key) {
@@ -51,11 +51,11 @@
         serde_urlencoded::from_str(text).map_err(|error| invalid(error.to_string()))
     }
 
-    /// The number of entries on the page.
+    /// Returns the number of entries per page.
     pub(super) fn page_size(&self) -> Result<usize, Problem> {
-        match self.limit.unwrap_or(DEFAULT_PAGE) {
-            limit if (1..=MAX_PAGE).contains(&limit) => Ok(limit),
-            _ => Err(Problem::new(400, "query", format!("limit must be from 1 to {MAX_PAGE}"))),
+        match self.limit.unwrap_or(DEFAULT_PAGE_SIZE) {
+            limit if (1..=MAX_PAGE_SIZE).contains(&limit) => Ok(limit),
+            _ => Err(Problem::new(400, "query", format!("limit must be from 1 to {MAX_PAGE_SIZE}"))),
         }
     }
 }
@@ -63,11 +63,11 @@
 /// The `If-Match` field of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum IfMatch {
-    /// It has none.
+    /// The request has no such field.
     Absent,
-    /// `*`: whatever is there.
+    /// `*`: any generation matches.
     Any,
-    /// The entity tag of one generation.
+    /// An entity tag: exactly this generation matches.
     Generation(Generation),
 }
 
--- a/src/admin/v1/tenants.rs
+++ b/src/admin/v1/tenants.rs
@@ -1,6 +1,6 @@
 //! Calls on tenants, and their effective shares.
 
-use super::json::{self, Named, not_found, tagged};
+use super::json::{self, NamedSpec, not_found, with_etag};
 use super::{Answer, Context};
 use crate::admin::problem::Problem;
 use crate::admin::{Admin, Caller};
@@ -65,7 +65,7 @@
             found.iter().map(|(tenant, share)| json::tenant(tenant, *share, usage.get(&tenant.id))).collect();
         let next = found.last().filter(|_| has_next).map(|(tenant, _)| tenant.id.0.to_string());
         let body = json!({ "tenants": tenants, "next": next, "generation": generation });
-        Ok(tagged(200, generation, body))
+        Ok(with_etag(200, generation, body))
     }
 
     pub(super) async fn tenant(&self, caller: &Caller, status: u16, name: &str) -> Answer {
@@ -73,18 +73,18 @@
         let share = self.tenant_service.read(|tenants| share(tenants, tenant.id)).await;
         let usage = self.handle.usage(vec![tenant.id]).await?;
         let body = json::tenant(&tenant, share, usage.get(&tenant.id));
-        Ok(tagged(status, tenant.generation, body))
+        Ok(with_etag(status, tenant.generation, body))
     }
 
     pub(super) async fn create_tenant(&self, context: &Context<'_>) -> Answer {
         context.caller.require(Permission::Change)?;
-        let Named { name, spec } = Named::parse(&context.request.body)?;
+        let NamedSpec { name, spec } = NamedSpec::parse(&context.request.body)?;
         self.create(context, Change::CreateTenant { name, spec }).await
     }
 
     pub(super) async fn patch_tenant(&self, context: &Context<'_>, name: &str) -> Answer {
         let tenant = self.permitted_tenant(context.caller, name, Permission::RunTenant).await?;
-        let spec: TenantSpec = json::patched(&tenant.spec, &context.request.body)?;
+        let spec: TenantSpec = json::apply_merge_patch(&tenant.spec, &context.request.body)?;
         let labels_only = TenantSpec { labels: tenant.spec.labels.clone(), ..spec.clone() } == tenant.spec;
         if !labels_only {
             context.caller.require(Permission::Change)?;
@@ -116,6 +116,6 @@
             (shares, tenants.registry.generation())
         });
         let (shares, generation) = shares.await;
-        Ok(tagged(200, generation, json!({ "shares": shares, "generation": generation })))
+        Ok(with_etag(200, generation, json!({ "shares": shares, "generation": generation })))
     }
 }
--- a/src/tenants/change.rs
+++ b/src/tenants/change.rs
@@ -1,65 +1,65 @@
-//! Changes of tenants and groups.
+//! Planning and applying changes of tenants and groups.
 
-use super::{TenantService, TenantServiceError, off_thread};
+use super::{TenantService, TenantServiceError, run_blocking};
 use crate::core::{Input, TenantUpdate};
 use sanddyke_store::{Commit, Creation};
 use sanddyke_tenancy::{Change, Generation, Plan, Record, Subject};
 use std::sync::Arc;
 
-/// Updates that the core takes in one turn.
-const UPDATES_PER_TURN: usize = 256;
-/// How long an idempotency key is valid: a day.
-const KEY_VALID_MS: u64 = 86_400_000;
+/// Tenant updates per input to the core. Larger changes are split, so that the core serves requests in between.
+const MAX_UPDATES_PER_INPUT: usize = 256;
+/// Period for which an idempotency key is valid: one day.
+const IDEMPOTENCY_KEY_TTL_MS: u64 = 86_400_000;
 
-/// A change, by whom, and under which condition.
+/// A request to change tenants or groups.
 #[derive(Debug, Clone)]
 pub struct ChangeRequest {
-    /// The id of the token that requests it.
+    /// Id of the token of the caller, as recorded in the audit trail.
     pub actor: String,
-    /// The changes, made all or none.
+    /// The changes, applied atomically and in this order.
     pub changes: Vec<Change>,
-    /// Make them only where this holds.
+    /// The changes are rejected unless this holds; `None` applies them unconditionally.
     pub precondition: Option<Precondition>,
-    /// The idempotency key of a creation.
+    /// Idempotency key of a creation; `None` where the caller sent none, and for other changes.
     pub key: Option<IdempotencyKey>,
 }
 
-/// A subject that has to be of a generation.
+/// Requires that a tenant or group is at a given generation.
 #[derive(Debug, Clone)]
 pub struct Precondition {
-    /// The tenant or group.
+    /// Tenant or group to which the condition applies.
     pub subject: Subject,
-    /// The generation that the caller has seen.
+    /// Generation of the subject that the caller last read.
     pub generation: Generation,
 }
 
-/// The key of a creation, and what was requested with it.
+/// Idempotency key of a creation, with a digest that detects its reuse for another request.
 #[derive(Debug, Clone)]
 pub struct IdempotencyKey {
-    /// The key as the caller sent it.
+    /// The `Idempotency-Key` header field as the caller sent it.
     pub key: String,
-    /// A digest of the request.
+    /// Digest of the requested change.
     pub request_digest: String,
 }
 
-/// The result of a change.
+/// Result of a successful change.
 #[derive(Debug)]
 pub enum ChangeOutcome {
-    /// It was made now.
+    /// The change was stored and applied; its records.
     Applied(Vec<Record>),
-    /// It had been made before with the same key: the name that was created.
+    /// An earlier request with the same idempotency key made this change; name of the tenant or group that it created.
     AlreadyApplied(String),
 }
 
 impl TenantService {
-    /// What a change would do.
+    /// Computes the effect of a change without applying it.
     ///
     /// # Errors
-    /// The registry would reject it.
+    /// The precondition fails, or the registry would reject the change.
     pub async fn plan(&self, request: &ChangeRequest) -> Result<Plan, TenantServiceError> {
         let registry = self.read(|state| state.registry.clone()).await;
         let request = request.clone();
-        off_thread(move || {
+        run_blocking(move || {
             if let Some(Precondition { subject, generation }) = &request.precondition {
                 registry.expect(subject, Some(*generation))?;
             }
@@ -68,11 +68,12 @@
         .await
     }
 
-    /// Makes a change. It is completed also when the caller stops waiting for it: what is on the disk is always what the
-    /// core is notified of.
+    /// Applies a change. The change runs in a task of its own and completes even if the caller stops waiting for it, so
+    /// that the core is notified of every change that is on disk.
     ///
     /// # Errors
-    /// Nothing is changed.
+    /// The precondition fails, or the registry or the store rejects the change: nothing is changed. `Ended` if the
+    /// service has ended.
     pub async fn change(
         self: &Arc<Self>,
         request: ChangeRequest,
@@ -99,11 +100,11 @@
             state.registry.expect(subject, Some(*generation))?;
         }
         let ChangeRequest { actor, changes, .. } = request;
-        // Planning takes some ms where there are thousands of tenants, as long as the disk: neither runs on the thread
-        // that serves requests.
+        // With thousands of tenants, planning takes some milliseconds, as long as the write to disk. Neither runs on the
+        // thread that serves requests.
         let registry = state.registry.clone();
         let (commit_actor, commit_creation) = (actor.clone(), creation.clone());
-        let plan = off_thread(move || {
+        let plan = run_blocking(move || {
             let plan = registry.plan(&changes)?;
             let commit = Commit::of(&commit_actor, now_ms, &plan.after, plan.records.clone());
             store.commit(&match commit_creation {
@@ -131,20 +132,21 @@
         }
     }
 
-    /// Notifies the core. A change that moves the share of every tenant goes in parts, between which requests are
-    /// served.
+    /// Sends updates to the core. A change that affects the share of every tenant is sent in batches, and the core serves
+    /// requests between two batches.
     async fn notify_core(&self, updates: Vec<TenantUpdate>) -> Result<(), TenantServiceError> {
         let mut updates = updates.into_iter().peekable();
         while updates.peek().is_some() {
-            let part = updates.by_ref().take(UPDATES_PER_TURN).collect();
-            self.handle.notify(Input::Tenants(part)).await?;
+            let batch = updates.by_ref().take(MAX_UPDATES_PER_INPUT).collect();
+            self.handle.notify(Input::Tenants(batch)).await?;
             tokio::task::yield_now().await;
         }
         Ok(())
     }
 }
 
-/// The creation to be stored with a change that has an idempotency key. Each token has keys of its own.
+/// Returns the creation record to store with a change; `None` if the change has no idempotency key. Keys are scoped to
+/// the caller's token.
 fn creation(request: &ChangeRequest, now_ms: u64) -> Option<Creation> {
     let IdempotencyKey { key, request_digest } = request.key.as_ref()?;
     let change = request.changes.first()?;
@@ -152,6 +154,6 @@
         key: format!("{} {key}", request.actor),
         request_digest: request_digest.clone(),
         name: change.subject().name().to_owned(),
-        until_ms: now_ms + KEY_VALID_MS,
+        until_ms: now_ms + IDEMPOTENCY_KEY_TTL_MS,
     })
 }
--- a/src/tenants/known.rs
+++ b/src/tenants/known.rs
@@ -1,4 +1,4 @@
-//! The names of the tenants, shared with the frontends that check them at a login.
+//! Set of tenant names, shared with the frontends, which check it at each login.
 
 use sanddyke_tenancy::Change;
 use std::collections::HashSet;
@@ -10,31 +10,31 @@
 
 #[derive(Debug, Default)]
 struct Names {
-    /// Any name is accepted: no tenants are configured, and none can be added.
-    any: bool,
+    /// Every name is accepted, since no tenants are configured and none can be added.
+    accepts_any: bool,
     names: HashSet<String>,
 }
 
 impl KnownTenants {
-    /// These names; any name where there are none.
+    /// Creates a set of these names. An empty set accepts every name.
     pub fn new(names: impl IntoIterator<Item = String>) -> KnownTenants {
         let names: HashSet<String> = names.into_iter().collect();
-        KnownTenants(Arc::new(RwLock::new(Names { any: names.is_empty(), names })))
+        KnownTenants(Arc::new(RwLock::new(Names { accepts_any: names.is_empty(), names })))
     }
 
-    /// Whether there is a tenant of this name.
+    /// Returns whether a login with this tenant name is accepted.
     pub fn contains(&self, name: &str) -> bool {
         let known = self.0.read().unwrap_or_else(PoisonError::into_inner);
-        known.any || known.names.contains(name)
+        known.accepts_any || known.names.contains(name)
     }
 
-    /// Replaces all names.
+    /// Replaces all names. An empty set then accepts no name.
     pub fn replace(&self, names: impl IntoIterator<Item = String>) {
         let mut known = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        *known = Names { any: false, names: names.into_iter().collect() };
+        *known = Names { accepts_any: false, names: names.into_iter().collect() };
     }
 
-    /// Applies a change of the registry.
+    /// Applies a registry change. Only the creation and removal of tenants have an effect.
     pub fn apply(&self, change: &Change) {
         let mut known = self.0.write().unwrap_or_else(PoisonError::into_inner);
         match change {
--- a/src/tenants/mod.rs
+++ b/src/tenants/mod.rs
@@ -1,8 +1,13 @@
-//! The tenants of a hosted service while it runs.
+//! Manages the tenants of a running service.
 //!
-//! The [`TenantService`] makes each change in this order: the registry accepts it, it is on the disk, it is applied here,
-//! the core and the frontends are notified, and only then it is acknowledged. Changes are made one at a time, and none is
-//! left incomplete when its caller goes away.
+//! The [`TenantService`] processes each change in these steps:
+//! 1. The registry validates it.
+//! 2. The store writes it to disk.
+//! 3. It is applied to the state in memory, and the frontends' tenant names are updated.
+//! 4. The core is notified.
+//! 5. The caller receives the result.
+//!
+//! Changes are processed one at a time. A change completes even if its caller disconnects.
 
 mod change;
 mod error;
@@ -27,10 +32,10 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, watch};
 
-/// The actor of the first import, in the audit trail.
-pub const BY_SETTINGS: &str = "settings";
+/// Actor in the audit trail for the import of the settings' tenants into a new store.
+pub const SETTINGS_ACTOR: &str = "settings";
 
-/// Owns the tenants, and makes all changes.
+/// Owns the tenants, groups and tokens, and applies all changes of them.
 #[derive(Debug)]
 pub struct TenantService {
     state: Mutex<TenantState>,
@@ -39,16 +44,16 @@
     handle: ServiceHandle,
     known: KnownTenants,
     clock: Clock,
-    /// The generation of the last change.
+    /// Generation of the last change.
     latest: watch::Sender<Generation>,
 }
 
 impl TenantService {
-    /// A service of a store's tenants, or of the settings' tenants where there is no store: those can't be changed. A
-    /// new store begins with the settings' tenants.
+    /// Starts the service with the tenants of a store, or with those of the settings if there is no store. Without a
+    /// store the tenants can't be changed. The settings' tenants are imported into a store that has no changes yet.
     ///
     /// # Errors
-    /// The store can't be read or written, or the settings' tenants are not valid.
+    /// The store can't be read or written, the settings' tenants are invalid, or the service has ended.
     pub async fn start(
         opened: Option<(Store, Loaded)>,
         settings: &Document,
@@ -60,14 +65,14 @@
         let mut state = TenantState::default();
         let store = match opened {
             Some((store, loaded)) => {
-                let begins_empty = restore(&mut state, &store, loaded)?;
-                if begins_empty {
-                    import(&mut state, &store, settings, clock.unix_ms())?;
+                let is_unchanged = restore_state(&mut state, &store, loaded)?;
+                if is_unchanged {
+                    import_settings_tenants(&mut state, &store, settings, clock.unix_ms())?;
                 }
                 Some(Arc::new(store))
             }
             None => {
-                show_settings(&mut state, settings, clock.unix_ms());
+                load_settings_tenants(&mut state, settings, clock.unix_ms());
                 None
             }
         };
@@ -75,31 +80,32 @@
         let latest = watch::Sender::new(state.registry.generation());
         if store.is_some() {
             known.replace(state.registry.tenants().map(|tenant| tenant.name.clone()));
-            let updates = state.registry.tenants().filter_map(|tenant| state.update_of(tenant.id)).collect();
+            let updates = state.registry.tenants().filter_map(|tenant| state.tenant_update(tenant.id)).collect();
             handle.notify(Input::Tenants(updates)).await?;
         }
         let state = Mutex::new(state);
         Ok(Arc::new(TenantService { state, store, backups, handle, known, clock, latest }))
     }
 
-    /// Reads the current state.
+    /// Calls `read` with the current state. Changes wait until it returns.
     pub async fn read<T>(&self, read: impl FnOnce(&TenantState) -> T) -> T {
         read(&*self.state.lock().await)
     }
 
-    /// The token of a bearer secret, where it is valid now.
-    pub async fn check(&self, secret: &str) -> Option<Token> {
+    /// Returns the token with this bearer secret; `None` if there is none or it has expired.
+    pub async fn authenticate(&self, secret: &str) -> Option<Token> {
         self.state.lock().await.tokens.check(secret, self.clock.unix_ms()).cloned()
     }
 
-    /// Waits until there is a change after a generation, or the time is up.
-    pub async fn wait_after(&self, after: Generation, timeout: Duration) {
+    /// Waits for a change after a generation, at most for `timeout`.
+    pub async fn wait_for_change_after(&self, after: Generation, timeout: Duration) {
         let mut latest = self.latest.subscribe();
-        // That there is nothing new at the end of the time is an answer as well.
+        // The caller reads the state in either case, so a timeout is not an error.
         let _elapsed = tokio::time::timeout(timeout, latest.wait_for(|latest| *latest > after)).await;
     }
 
-    /// Entries of the audit trail before a number, the newest first: at most `limit` of those that are wanted.
+    /// Returns at most `limit` audit entries with a number below `before` for which `is_wanted` returns true, newest
+    /// first.
     ///
     /// # Errors
     /// There is no store, or it can't be read.
@@ -110,50 +116,51 @@
         is_wanted: impl Fn(&AuditEntry) -> bool + Send + 'static,
     ) -> Result<Vec<AuditEntry>, TenantServiceError> {
         let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
-        off_thread(move || Ok(store.audit(before, limit, is_wanted)?)).await
+        run_blocking(move || Ok(store.audit(before, limit, is_wanted)?)).await
     }
 
-    /// Writes a backup into the folder for backups; returns its path.
+    /// Writes a backup into the backup folder and returns its path.
     ///
     /// # Errors
-    /// There is no store or no folder, or writing failed.
+    /// No store or no backup folder is configured, or the write failed.
     pub async fn backup(&self) -> Result<PathBuf, TenantServiceError> {
         let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         let folder = self.backups.clone().ok_or(TenantServiceError::NoBackups)?;
         let generation = self.read(|state| state.registry.generation().0).await;
         let path = folder.join(format!("sanddyke-{}-{generation}.redb", self.clock.unix_ms()));
         let to = path.clone();
-        off_thread(move || Ok(store.backup(&to)?)).await?;
-        log::info!("admin: a backup is written to {}", path.display());
+        run_blocking(move || Ok(store.backup(&to)?)).await?;
+        log::info!("admin: backup written to {}", path.display());
         Ok(path)
     }
 
-    /// Writes a backup under a name that the first manager of a cluster takes; false where it was taken already.
+    /// Writes the backup of a period under a name that all managers of a cluster share. Returns false if a manager has
+    /// already written a backup of this name.
     ///
     /// # Errors
-    /// There is no store or no folder, or writing failed.
+    /// No store or no backup folder is configured, or the write failed.
     pub async fn write_periodic_backup(&self, name: &str, fencing_token: u64) -> Result<bool, TenantServiceError> {
         let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         let to = self.backups.clone().ok_or(TenantServiceError::NoBackups)?.join(name);
-        off_thread(move || Ok(store.backup_once(&to, fencing_token)?)).await
+        run_blocking(move || Ok(store.backup_once(&to, fencing_token)?)).await
     }
 }
 
-/// Restores the state from a store; true where the store has never been changed.
-fn restore(state: &mut TenantState, store: &Store, loaded: Loaded) -> Result<bool, StoreError> {
+/// Restores the state from a store. Returns true if the store has no tenant or group changes yet.
+fn restore_state(state: &mut TenantState, store: &Store, loaded: Loaded) -> Result<bool, StoreError> {
     let is_change = |entry: &AuditEntry| matches!(entry.what, AuditAction::Registry { .. });
-    state.restore_recent(store.audit(u64::MAX, state::MAX_RECENT, is_change)?);
-    let begins_empty = loaded.is_new || loaded.registry.generation() == Generation(0);
+    state.restore_recent(store.audit(u64::MAX, state::MAX_RECENT_CHANGES, is_change)?);
+    let is_unchanged = loaded.is_new || loaded.registry.generation() == Generation(0);
     state.registry = Arc::new(loaded.registry);
     state.tokens = loaded.tokens;
     for creation in loaded.creations {
         state.add_creation(creation);
     }
-    Ok(begins_empty)
+    Ok(is_unchanged)
 }
 
-/// Imports the settings' tenants into an empty store.
-fn import(
+/// Imports the settings' tenants into a store without changes.
+fn import_settings_tenants(
     state: &mut TenantState,
     store: &Store,
     settings: &Document,
@@ -163,26 +170,26 @@
         return Ok(());
     }
     let plan = state.registry.plan(&settings.changes(&state.registry, false))?;
-    store.commit(&Commit::of(BY_SETTINGS, now_ms, &plan.after, plan.records.clone()))?;
-    log::info!("the store begins with the settings' {} tenants", plan.after.len());
-    state.apply(plan, BY_SETTINGS, now_ms);
+    store.commit(&Commit::of(SETTINGS_ACTOR, now_ms, &plan.after, plan.records.clone()))?;
+    log::info!("{} tenants of the settings imported into the new store", plan.after.len());
+    state.apply(plan, SETTINGS_ACTOR, now_ms);
     Ok(())
 }
 
-/// Shows the settings' tenants in the API where there is no store.
-fn show_settings(state: &mut TenantState, settings: &Document, now_ms: u64) {
+/// Loads the settings' tenants into the state that the API shows. Used without a store.
+fn load_settings_tenants(state: &mut TenantState, settings: &Document, now_ms: u64) {
     if settings.tenants.is_empty() {
         return;
     }
     match state.registry.plan(&settings.changes(&state.registry, false)) {
-        Ok(plan) => drop(state.apply(plan, BY_SETTINGS, now_ms)),
-        // Requests are served as the settings have them; only the API can't show the tenants.
-        Err(error) => log::warn!("the administration API shows no tenants: {error}"),
+        Ok(plan) => drop(state.apply(plan, SETTINGS_ACTOR, now_ms)),
+        // The core uses the settings directly, so requests are still served. Only the API can't show the tenants.
+        Err(error) => log::warn!("administration API shows no tenants: the registry rejected those of the settings: {error}"),
     }
 }
 
-/// Runs what takes long, or waits for the disk, on a thread of its own: the service goes on meanwhile.
-async fn off_thread<T: Send + 'static>(
+/// Runs a function that computes for long or waits for the disk on a blocking thread, so that the service keeps running.
+async fn run_blocking<T: Send + 'static>(
     run: impl FnOnce() -> Result<T, TenantServiceError> + Send + 'static,
 ) -> Result<T, TenantServiceError> {
     let result = tokio::task::spawn_blocking(run).await;
--- a/src/tenants/state.rs
+++ b/src/tenants/state.rs
@@ -1,4 +1,4 @@
-//! The state of the tenant service: tenants, groups, tokens, and recent changes.
+//! In-memory state of the tenant service: tenants, groups, tokens, idempotency keys and recent changes.
 
 use crate::core::TenantUpdate;
 use sanddyke_authorization::Tokens;
@@ -7,33 +7,33 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Recent changes in memory: a watcher can resume from these without listing anew.
-pub(super) const MAX_RECENT: usize = 4096;
+/// Number of recent changes in memory. A watcher that is further behind has to list the tenants again.
+pub(super) const MAX_RECENT_CHANGES: usize = 4096;
 
-/// A change as watchers see it.
+/// A change, as reported to watchers.
 #[derive(Debug, Clone)]
 pub struct ChangeEvent {
-    /// When it was made (Unix time, ms).
+    /// Time of the change (Unix time, ms).
     pub at_ms: u64,
-    /// The id of the token by which it was made.
+    /// Id of the token of the caller, or [`SETTINGS_ACTOR`](super::SETTINGS_ACTOR).
     pub actor: String,
-    /// The change.
+    /// What was changed, with its generation.
     pub record: Record,
 }
 
-/// The state; see [`TenantService::read`](super::TenantService::read).
+/// The state of the tenant service. Read with [`TenantService::read`](super::TenantService::read).
 #[derive(Debug, Default)]
 pub struct TenantState {
-    /// Tenants and groups.
+    /// Tenants and groups, with the generation of the last change.
     pub registry: Arc<Registry>,
-    /// Tokens.
+    /// API tokens, without the root operator's, which is configured as a file.
     pub tokens: Tokens,
-    /// The effective share of each tenant.
+    /// Effective share of each tenant.
     pub shares: BTreeMap<TenantId, f64>,
     creations: HashMap<String, Creation>,
-    /// Keys of creations, the oldest first.
+    /// Idempotency keys of `creations`, oldest first. The oldest is evicted first.
     creation_order: VecDeque<String>,
-    /// Recent changes, the oldest first.
+    /// The last [`MAX_RECENT_CHANGES`] changes, oldest first.
     recent: VecDeque<ChangeEvent>,
 }
 
@@ -43,8 +43,8 @@
         self.registry.group(name).map(|group| group.id)
     }
 
-    /// The update that sets a tenant in the core; `None` where it does not exist.
-    pub(super) fn update_of(&self, id: TenantId) -> Option<TenantUpdate> {
+    /// Returns the update that sets a tenant in the core; `None` if the tenant does not exist.
+    pub(super) fn tenant_update(&self, id: TenantId) -> Option<TenantUpdate> {
         let tenant = self.registry.by_id(id)?;
         Some(TenantUpdate::Set {
             tenant: Box::new(tenant.clone()),
@@ -53,33 +53,33 @@
         })
     }
 
-    /// Applies a planned change. Returns the updates for the core, removals first: a name that the same change removes
-    /// and adds is the new tenant's.
+    /// Applies a planned change and returns the updates for the core. Removals come first, so that a name which one change
+    /// removes and creates again refers to the new tenant.
     pub(super) fn apply(&mut self, plan: Plan, actor: &str, at_ms: u64) -> Vec<TenantUpdate> {
         let old_registry = std::mem::replace(&mut self.registry, Arc::new(plan.after));
         let old_shares = std::mem::replace(&mut self.shares, plan.shares);
-        // Freeing some thousand tenants takes a while.
+        // Freeing thousands of tenants is slow, so it happens on a blocking thread.
         tokio::task::spawn_blocking(move || drop((old_registry, old_shares)));
         let mut changed: Vec<TenantId> = plan.records.iter().filter_map(|record| record.tenant).collect();
         changed.sort_unstable();
         changed.dedup();
         let removed = changed.iter().filter(|id| self.registry.by_id(**id).is_none());
         let mut updates: Vec<TenantUpdate> = removed.map(|id| TenantUpdate::Removed(*id)).collect();
-        updates.extend(changed.iter().filter_map(|id| self.update_of(*id)));
+        updates.extend(changed.iter().filter_map(|id| self.tenant_update(*id)));
         let moved = plan.moved.into_iter().filter(|(id, _)| changed.binary_search(id).is_err());
         updates.extend(moved.map(|(id, (_, share))| TenantUpdate::Share { id, share }));
-        self.add_recent(plan.records, actor, at_ms);
+        self.record_recent(plan.records, actor, at_ms);
         updates
     }
 
-    fn add_recent(&mut self, records: Vec<Record>, actor: &str, at_ms: u64) {
+    fn record_recent(&mut self, records: Vec<Record>, actor: &str, at_ms: u64) {
         let event = |record| ChangeEvent { at_ms, actor: actor.to_owned(), record };
         self.recent.extend(records.into_iter().map(event));
-        let excess = self.recent.len().saturating_sub(MAX_RECENT);
+        let excess = self.recent.len().saturating_sub(MAX_RECENT_CHANGES);
         self.recent.drain(..excess);
     }
 
-    /// Restores recent changes from the audit trail, the newest first: watchers resume across a restart.
+    /// Restores the recent changes from audit entries, newest first, so that watchers can resume after a restart.
     pub(super) fn restore_recent(&mut self, entries: Vec<AuditEntry>) {
         for entry in entries {
             if let AuditAction::Registry { record } = entry.what {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The creation with an idempotency key that has not expired.
+    /// Returns the creation with an idempotency key; `None` if there is none or the key has expired.
     pub(super) fn creation(&self, key: &str, now_ms: u64) -> Option<&Creation> {
         self.creations.get(key).filter(|creation| now_ms < creation.until_ms)
     }
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Changes after a generation, the oldest first; `None` where some of them are no longer in memory.
-    pub fn since(&self, after: Generation) -> Option<impl Iterator<Item = &ChangeEvent>> {
+    /// Returns the changes after a generation, oldest first; `None` if some of them are no longer in memory or the
+    /// generation does not exist yet.
+    pub fn changes_after(&self, after: Generation) -> Option<impl Iterator<Item = &ChangeEvent>> {
         let next = self.registry.generation().0 + 1;
         let first = self.recent.front().map_or(next, |event| event.record.generation.0);
         let is_covered = after.0 + 1 >= first && after <= self.registry.generation();
--- a/src/tenants/tokens.rs
+++ b/src/tenants/tokens.rs
@@ -1,16 +1,16 @@
-//! Changes of tokens.
+//! Issuing, rotating and revoking tokens.
 
-use super::{TenantService, TenantServiceError, off_thread};
+use super::{TenantService, TenantServiceError, run_blocking};
 use sanddyke_authorization::{Grant, Token, Tokens};
 use sanddyke_store::Commit;
 use std::sync::Arc;
 
-/// A token with its new secret, which is shown only now.
+/// A token with its new secret. The secret is not stored and can't be read again.
 #[derive(Debug)]
 pub struct IssuedToken {
-    /// The token.
+    /// The token as stored, with a hash of the secret.
     pub token: Token,
-    /// Its secret.
+    /// The bearer secret in plain text.
     pub secret: String,
 }
 
@@ -18,7 +18,7 @@
     /// Creates a token.
     ///
     /// # Errors
-    /// The grant is not valid, or there is no store.
+    /// The grant is invalid, there are too many tokens, there is no store, or it can't be written.
     pub async fn issue(
         self: &Arc<Self>,
         actor: &str,
@@ -27,14 +27,14 @@
         let now_ms = self.clock.unix_ms();
         grant.check(now_ms)?;
         let (token, secret) = Tokens::issue(grant, now_ms, random_bytes());
-        self.store_token(actor, &token.id.clone(), Some(token.clone()), "created").await?;
+        self.commit_token(actor, &token.id.clone(), Some(token.clone()), "created").await?;
         Ok(IssuedToken { token, secret })
     }
 
-    /// Replaces the secret of a token; the old one stays valid for the overlap.
+    /// Replaces the secret of a token. The old secret stays valid for `overlap_ms`.
     ///
     /// # Errors
-    /// There is no such token, or no store.
+    /// There is no such token, there is no store, or it can't be written.
     pub async fn rotate(
         self: &Arc<Self>,
         actor: &str,
@@ -44,29 +44,30 @@
         let old = self.read(|state| state.tokens.get(id).cloned()).await;
         let old = old.ok_or(TenantServiceError::UnknownToken)?;
         let (token, secret) = Tokens::rotate(&old, self.clock.unix_ms(), overlap_ms, random_bytes());
-        self.store_token(actor, id, Some(token.clone()), "rotated").await?;
+        self.commit_token(actor, id, Some(token.clone()), "rotated").await?;
         Ok(IssuedToken { token, secret })
     }
 
-    /// Removes a token.
+    /// Removes a token. Its secret is invalid immediately.
     ///
     /// # Errors
-    /// There is no such token, or no store.
+    /// There is no such token, there is no store, or it can't be written.
     pub async fn revoke(self: &Arc<Self>, actor: &str, id: &str) -> Result<(), TenantServiceError> {
         let known = self.read(|state| state.tokens.get(id).is_some()).await;
         if !known {
             return Err(TenantServiceError::UnknownToken);
         }
-        self.store_token(actor, id, None, "removed").await
+        self.commit_token(actor, id, None, "removed").await
     }
 
-    /// Stores a token (`Some`) or its removal, and then applies it. It is completed also when the caller stops waiting.
-    async fn store_token(
+    /// Stores a token or, if `token` is `None`, its removal, and then applies it to the state. Runs in a task of its own and
+    /// completes even if the caller stops waiting. `action` is recorded in the audit trail.
+    async fn commit_token(
         self: &Arc<Self>,
         actor: &str,
         id: &str,
         token: Option<Token>,
-        how: &'static str,
+        action: &'static str,
     ) -> Result<(), TenantServiceError> {
         let (service, actor, id) = (self.clone(), actor.to_owned(), id.to_owned());
         let stored = tokio::spawn(async move {
@@ -78,9 +79,9 @@
                 None => drop(tokens.remove(&id)),
             }
             let now_ms = service.clock.unix_ms();
-            let commit = Commit::token(&actor, now_ms, &state.registry, &id, token, how);
-            off_thread(move || Ok(store.commit(&commit)?)).await?;
-            log::info!(who = actor.as_str(), token = id.as_str(); "admin: a token was {how}");
+            let commit = Commit::token(&actor, now_ms, &state.registry, &id, token, action);
+            run_blocking(move || Ok(store.commit(&commit)?)).await?;
+            log::info!(who = actor.as_str(), token = id.as_str(); "admin: token {action}");
             state.tokens = tokens;
             Ok(())
         });
@@ -88,10 +89,10 @@
     }
 }
 
-/// Random bytes for a secret.
+/// Returns random bytes for a secret.
 fn random_bytes() -> [u8; 32] {
     let mut bytes = [0; 32];
-    // Without a source of random numbers there is no secret worth issuing.
-    getrandom::fill(&mut bytes).expect("the system has random numbers");
+    // A secret that is not random can be guessed, so none is issued without a random source.
+    getrandom::fill(&mut bytes).expect("random bytes from the operating system");
     bytes
 }
