--- a/src/admin/bodies.rs
+++ b/src/admin/bodies.rs
@@ -1,5 +1,5 @@
-//! JSON request bodies of version 1. Their doc comments are the descriptions in the OpenAPI document, which is published:
-//! a reworded comment changes the document.
+//! JSON request bodies of version 1. Their doc comments are the descriptions in the OpenAPI document: rewording one
+//! changes the document.
 
 use sanddyke_authorization::Role;
 use sanddyke_tenancy::{GroupSpec, TenantSpec};
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,6 @@
-//! The administration API: JSON over HTTP on a listener of its own, with TLS where a certificate is configured, and with
-//! bearer tokens. `docs/admin.md` lists the calls; [`routes`] has those of version 1 as a table.
+//! The administration API: JSON over HTTP on its own listener, with TLS if a certificate is configured. Every call
+//! except `/health` and `/v1/openapi.json` needs a bearer token. `docs/admin.md` describes the calls; [`routes`] is the
+//! table of those of version 1.
 
 mod bodies;
 mod metrics;
@@ -32,97 +33,110 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_rustls::rustls::ServerConfig;
 
-/// Connections at once.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 16;
-/// The longest body: a document of some thousand tenants.
+/// Maximum request body. An imported document of several thousand tenants fits.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// A TLS handshake that takes longer ends the connection.
+/// A connection is closed if its TLS handshake takes longer.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A client that takes longer to read an answer loses the connection.
+/// A connection is closed if its client takes longer to read a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Calls of one token.
+/// Rate of all calls of one token.
 const CALL_LIMIT: RateLimit = RateLimit { per_second: 100.0, burst: 200.0 };
-/// Calls of one token that read all open requests: each costs the service some time.
+/// Rate of those calls of one token that read the whole state of the core, which takes the core some time:
+/// `/v1/engines`, `/v1/requests`, `/metrics` and `/tenants`.
 const EXPENSIVE_CALL_LIMIT: RateLimit = RateLimit { per_second: 5.0, burst: 20.0 };
-/// Calls without a valid token, all together: guessing must not become fast.
+/// Rate of all calls without a valid token together. It bounds the rate at which tokens can be guessed.
 const UNAUTHORIZED_CALL_LIMIT: RateLimit = RateLimit { per_second: 10.0, burst: 50.0 };
-/// The id of the operator whose token is in the file.
+/// Token id of the root operator, whose token is read from the configured file.
 const ROOT_ID: &str = "root";
-/// The key of calls without a valid token in the table of buckets_by_caller; no token has it as its id.
+/// Key of the calls without a valid token in `buckets_by_caller`. No token has an empty id.
 const UNAUTHORIZED_ID: &str = "";
 
-/// A limit on the rate of calls.
+/// Rate and burst of a token bucket, in calls.
 #[derive(Debug, Clone, Copy)]
 struct RateLimit {
     per_second: f64,
     burst: f64,
 }
 
-/// The token buckets of one caller.
+/// Rate-limiting token buckets of one caller.
 #[derive(Debug)]
 struct CallBuckets {
-    all: TokenBucket,
-    expensive: TokenBucket,
+    all_calls: TokenBucket,
+    expensive_calls: TokenBucket,
 }
 
 impl CallBuckets {
     fn full() -> CallBuckets {
-        CallBuckets { all: TokenBucket::full(), expensive: TokenBucket::full() }
+        CallBuckets { all_calls: TokenBucket::full(), expensive_calls: TokenBucket::full() }
     }
 }
 
-/// The state that all connections of the API share.
+/// State shared by all connections of the API.
 #[derive(Debug)]
 pub struct Admin {
     handle: ServiceHandle,
     lifecycle: LifecycleHandle,
     tenant_service: Arc<TenantService>,
     clock: Clock,
-    token: String,
+    /// Bearer token of the root operator.
+    root_token: String,
+    /// `None` if no cluster is configured.
     cluster: Option<Cluster>,
+    /// Permits for callers that wait for changes.
     watchers: Arc<Semaphore>,
-    /// By the id of the caller's token.
+    /// Keyed by the id of the caller's token, or [`UNAUTHORIZED_ID`].
     buckets_by_caller: Mutex<HashMap<String, CallBuckets>>,
 }
 
-/// The caller of a call.
+/// An authenticated caller: the id and the grant of its token.
 #[derive(Debug, Clone)]
 struct Caller {
     id: String,
     grant: Grant,
 }
 
-/// TLS of the listener, which may change while connections come.
+/// TLS configuration of the listener, `None` without TLS. A new value applies to connections accepted afterwards.
 pub type Tls = watch::Receiver<Option<Arc<ServerConfig>>>;
 
-/// Accepts connections until the program shuts down.
+/// Accepts and serves connections until the program shuts down.
 pub async fn serve(listener: TcpListener, admin: Arc<Admin>, tls: Tls) {
-    let each = |stream: TcpStream, permit| {
+    let serve_stream = |stream: TcpStream, permit| {
         let (admin, tls) = (admin.clone(), tls.borrow().clone());
         async move {
             stream.set_nodelay(true)?;
             match tls {
-                None => connection(stream, &permit, &admin).await,
+                None => serve_connection(stream, &permit, &admin).await,
                 Some(config) => {
                     let handshake = TlsAcceptor::from(config).accept(stream);
                     let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
                     let encrypted = accepted.map_err(|_| std::io::ErrorKind::TimedOut)??;
-                    connection(encrypted, &permit, &admin).await
+                    serve_connection(encrypted, &permit, &admin).await
                 }
             }
         }
     };
-    frontend::accept(listener, MAX_CONNECTIONS, "admin", admin.lifecycle.wait_for_accept_stop(), each).await;
+    frontend::accept(
+        listener,
+        MAX_CONNECTIONS,
+        "admin",
+        admin.lifecycle.wait_for_accept_stop(),
+        serve_stream,
+    )
+    .await;
 }
 
-async fn connection<S>(mut stream: S, permit: &ConnectionPermit, admin: &Admin) -> std::io::Result<()>
+/// Serves the requests of one connection, one at a time. The first request must be complete by a fixed deadline, each
+/// later one within a fixed time from its first byte.
+async fn serve_connection<S>(mut stream: S, permit: &ConnectionPermit, admin: &Admin) -> std::io::Result<()>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
     let mut buffer = BytesMut::with_capacity(4096);
-    let mut by = Some(first_request_deadline());
-    while let Some(read) = read_request(&mut stream, &mut buffer, by, MAX_BODY_BYTES).await? {
-        by = None;
+    let mut deadline = Some(first_request_deadline());
+    while let Some(read) = read_request(&mut stream, &mut buffer, deadline, MAX_BODY_BYTES).await? {
+        deadline = None;
         permit.busy();
         let (response, close) = match read {
             Ok(request) => (admin.call(&request).await, request.close),
@@ -139,13 +153,13 @@
 }
 
 impl Admin {
-    /// The API of a tenant service; `token` is the root operator's.
+    /// Creates the API of a tenant service. `root_token` is the root operator's bearer token.
     pub fn new(
         handle: ServiceHandle,
         lifecycle: LifecycleHandle,
         tenant_service: Arc<TenantService>,
         clock: Clock,
-        token: String,
+        root_token: String,
         cluster: Option<Cluster>,
     ) -> Arc<Admin> {
         let buckets_by_caller = Mutex::default();
@@ -154,18 +168,20 @@
             lifecycle,
             tenant_service,
             clock,
-            token,
+            root_token,
             cluster,
             watchers: v1::watcher_permits(),
             buckets_by_caller,
         })
     }
 
+    /// Handles a request; errors become problem details.
     async fn call(&self, request: &Request) -> Response {
-        self.answer(request).await.unwrap_or_else(|problem| problem.response())
+        self.route(request).await.unwrap_or_else(|problem| problem.response())
     }
 
-    async fn answer(&self, request: &Request) -> Result<Response, Problem> {
+    /// Authenticates the caller, limits its rate and routes the request.
+    async fn route(&self, request: &Request) -> Result<Response, Problem> {
         match (request.method.as_str(), request.target.as_str()) {
             ("GET", "/health") => return Ok(self.health()),
             ("GET", "/v1/openapi.json") => {
@@ -191,35 +207,41 @@
         }
     }
 
+    /// Status 200 if the service is ready, otherwise 503.
     fn health(&self) -> Response {
         let is_ready = self.lifecycle.is_ready();
         Response::json(if is_ready { 200 } else { 503 }, json!({ "ready": is_ready }).to_string())
     }
 
-    /// The caller, by the bearer token.
+    /// Returns the caller with the request's bearer token.
+    ///
+    /// # Errors
+    /// 401 without a valid token; 429 if there are too many such calls.
     async fn caller(&self, request: &Request) -> Result<Caller, Problem> {
         let secret = request.field("Authorization").and_then(|value| value.strip_prefix("Bearer "));
         if let Some(secret) = secret {
-            if same(secret, &self.token) {
+            if same(secret, &self.root_token) {
                 return Ok(root());
             }
             if let Some(token) = self.tenant_service.authenticate(secret).await {
                 return Ok(Caller { id: token.id, grant: token.grant });
             }
         }
-        self.take(UNAUTHORIZED_ID, UNAUTHORIZED_CALL_LIMIT, |buckets| &mut buckets.all)?;
+        self.take_call(UNAUTHORIZED_ID, UNAUTHORIZED_CALL_LIMIT, |buckets| &mut buckets.all_calls)?;
         Err(Problem::new(401, "unauthorized", "a valid bearer token is needed"))
     }
 
+    /// Rejects a call with 429 if its caller exceeds a rate limit.
     fn limit_rate(&self, caller: &str, is_expensive: bool) -> Result<(), Problem> {
-        self.take(caller, CALL_LIMIT, |buckets| &mut buckets.all)?;
+        self.take_call(caller, CALL_LIMIT, |buckets| &mut buckets.all_calls)?;
         if is_expensive {
-            self.take(caller, EXPENSIVE_CALL_LIMIT, |buckets| &mut buckets.expensive)?;
+            self.take_call(caller, EXPENSIVE_CALL_LIMIT, |buckets| &mut buckets.expensive_calls)?;
         }
         Ok(())
     }
 
-    fn take(
+    /// Takes a call from one of a caller's buckets.
+    fn take_call(
         &self,
         caller: &str,
         limit: RateLimit,
@@ -227,7 +249,8 @@
     ) -> Result<(), Problem> {
         let mut buckets_by_caller = self.buckets_by_caller.lock().unwrap_or_else(PoisonError::into_inner);
         if buckets_by_caller.len() > 2 * sanddyke_authorization::MOST_TOKENS {
-            // Tokens come and go: those that are still in use begin with full buckets.
+            // The table also has entries of removed tokens. It is cleared when it grows too large; the callers that are
+            // still active then start with full buckets.
             buckets_by_caller.clear();
         }
         let buckets = buckets_by_caller.entry(caller.to_owned()).or_insert_with(CallBuckets::full);
@@ -238,7 +261,7 @@
         })
     }
 
-    /// Calls that version 1 has in another form.
+    /// Handles the calls without a version, `/metrics` and `/tenants`. Version 1 has the tenants in another form.
     async fn unversioned(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
         if !caller.grant.allows(sanddyke_authorization::Permission::See) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
@@ -250,19 +273,19 @@
                     self.cluster.as_ref().map_or(String::new(), |cluster| metrics::fleet(&cluster.view()));
                 Response::text(200, metrics::service(&report) + &fleet)
             }
-            _ => Response::json(200, json!({ "tenants": tenants(&report) }).to_string()),
+            _ => Response::json(200, json!({ "tenants": tenants_json(&report) }).to_string()),
         })
     }
 }
 
-/// The root operator, whose token is in the configured file.
+/// The caller with the root operator's token: an operator without expiry.
 fn root() -> Caller {
     let grant =
         Grant { role: Role::Operator, tenants: BTreeSet::new(), note: String::new(), expires_ms: None };
     Caller { id: ROOT_ID.to_owned(), grant }
 }
 
-/// The path of version 1 for the first calls of the API, which had none.
+/// Returns the version 1 path for the API's oldest calls, which had no version in their path.
 fn versioned(path: &str) -> Cow<'_, str> {
     if path == "/engines" || path == "/requests" || path.starts_with("/requests/") {
         return Cow::Owned(format!("/v1{path}"));
@@ -270,15 +293,16 @@
     Cow::Borrowed(path)
 }
 
-fn tenants(report: &Report) -> Vec<serde_json::Value> {
+/// The unversioned tenant list: shares, open requests and answers by class.
+fn tenants_json(report: &Report) -> Vec<serde_json::Value> {
     let mut answers: HashMap<&str, Vec<&AnswerCounts>> = HashMap::new();
     report.answers.iter().for_each(|counts| answers.entry(&counts.tenant).or_default().push(counts));
-    let of = |name: &str| answers.get(name).cloned().unwrap_or_default();
+    let counts_of = |name: &str| answers.get(name).cloned().unwrap_or_default();
     let tenants = report.tenants.iter();
     tenants
         .map(|tenant| {
             let (name, share, open) = (&tenant.name, tenant.share, tenant.open_requests);
-            json!({ "name": name, "share": share, "open": open, "classes": of(name) })
+            json!({ "name": name, "share": share, "open": open, "classes": counts_of(name) })
         })
         .collect()
 }
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -97,7 +97,7 @@
 const READ_TENANT_ROLES: &str = "operator, viewer; tenant_admin: its own";
 /// Calls on the requests of a tenant.
 const RUN_TENANT_ROLES: &str = "operator; tenant_admin: its own";
-/// Calls that change the service.
+/// Calls that change the service, and those that read tokens or export all tenants.
 const OPERATOR_ROLE: &str = "operator";
 /// Calls that read data of the whole service.
 const READ_ROLES: &str = "operator, viewer";
@@ -118,7 +118,7 @@
     };
 }
 
-/// The routes of version 1, in the order of the OpenAPI document.
+/// The routes of version 1: one row for each method of a path.
 #[rustfmt::skip]
 pub const ROUTES: &[Route] = &[
     route!("GET" "/v1/self" Myself 200, "any", None, "", "", "Who the caller is, and what its token is for."),
--- a/src/admin/v1/audit.rs
+++ b/src/admin/v1/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail, and the watch for changes.
+//! Calls that list the audit trail and watch for changes.
 
 use super::{Answer, Context, json};
 use crate::admin::Admin;
@@ -14,23 +14,24 @@
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 
-/// Callers that may wait for changes at once: the other connections are for calls that are answered at once.
+/// Maximum number of callers that wait for changes. The remaining connections stay available for calls that are
+/// answered immediately.
 const MAX_WATCHERS: usize = 6;
-/// Changes in one answer to a watch.
+/// Maximum number of changes in one response to a watch.
 const MAX_CHANGES: usize = 1000;
-/// The longest wait for a change.
+/// Maximum wait for a change.
 const MAX_WAIT_MS: u64 = 25_000;
-/// The wait where the caller asks for none.
+/// Wait for a change if the caller sends no `wait_ms`.
 const DEFAULT_WAIT_MS: u64 = 10_000;
-/// When a caller for whom there is no permit should come back.
+/// Retry delay for a caller rejected because [`MAX_WATCHERS`] others are waiting.
 const WATCHER_RETRY_AFTER_MS: i64 = 1000;
 
-/// Permits for callers that wait for changes.
+/// Returns the permits for callers that wait for changes.
 pub(in crate::admin) fn watcher_permits() -> Arc<Semaphore> {
     Arc::new(Semaphore::new(MAX_WATCHERS))
 }
 
-/// Whether a token may see changes of a tenant; `None` stands for changes of groups.
+/// Returns whether a token is allowed to see changes of a tenant, or with `None` those of groups.
 fn may_see(grant: &Grant, tenant: Option<TenantId>) -> bool {
     match tenant {
         Some(id) => grant.allows(Permission::SeeTenant(id)),
@@ -39,6 +40,8 @@
 }
 
 impl Admin {
+    /// Lists the audit entries that the caller is allowed to see, newest first. `cursor` is the number of the last
+    /// entry of the previous page.
     pub(super) async fn audit(&self, context: &Context<'_>) -> Answer {
         let limit = context.query.page_size()?;
         let wanted = match &context.query.tenant {
@@ -58,7 +61,8 @@
         Ok(Response::json(200, json!({ "entries": entries, "next": next }).to_string()))
     }
 
-    /// Answers with the changes after a generation: at once where there are any, else when one comes or the time is up.
+    /// Returns the changes after a generation: immediately if there are any, otherwise after the next visible change,
+    /// at the end of the wait, or when the program shuts down.
     pub(super) async fn watch(&self, context: &Context<'_>) -> Answer {
         let _permit = self.watchers.clone().try_acquire_owned().map_err(|_| Problem {
             retry_after_ms: Some(WATCHER_RETRY_AFTER_MS),
@@ -75,13 +79,16 @@
                 let next = next_generation(&changes, latest);
                 return Ok(Response::json(200, json!({ "changes": changes, "next": next }).to_string()));
             }
-            // What came was not the caller's to see: the wait goes on from there.
+            // The caller is not allowed to see any of the changes so far, so the wait continues after them.
             after = latest;
             self.tenant_service.wait_for_change_after(latest, remaining).await;
         }
     }
 
-    /// The changes after a generation that a token may see, and the latest generation.
+    /// Returns the changes after a generation that a token is allowed to see, and the latest generation.
+    ///
+    /// # Errors
+    /// 410 if some of these changes are no longer in memory.
     async fn changes_after(
         &self,
         grant: &Grant,
@@ -89,15 +96,18 @@
     ) -> Result<(Vec<Value>, Generation), Problem> {
         let found = self.tenant_service.read(|tenants| {
             let is_visible = |event: &&ChangeEvent| may_see(grant, event.record.tenant);
-            let changes = tenants.changes_after(after)?.filter(is_visible).take(MAX_CHANGES).map(json::change);
+            let changes =
+                tenants.changes_after(after)?.filter(is_visible).take(MAX_CHANGES).map(json::change);
             Some((changes.collect(), tenants.registry.generation()))
         });
-        let gone = || Problem::new(410, "gone", "changes after that generation are not at hand: list anew");
-        found.await.ok_or_else(gone)
+        let too_old =
+            || Problem::new(410, "gone", "changes after that generation are not at hand: list anew");
+        found.await.ok_or_else(too_old)
     }
 }
 
-/// The generation after which the next watch goes on: the last change's where there may be more, else the latest.
+/// Returns the generation after which the caller's next watch continues: that of the last change if the response is
+/// full and there may be more changes, otherwise the latest.
 fn next_generation(changes: &[Value], latest: Generation) -> u64 {
     let is_full = changes.len() == MAX_CHANGES;
     let last = changes.last().and_then(|change| change["record"]["generation"].as_u64());
--- a/src/admin/v1/changes.rs
+++ b/src/admin/v1/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of tenants and groups have in common: preconditions, idempotency keys and dry runs.
+//! Shared parts of the calls that change tenants and groups: preconditions, idempotency keys and dry runs.
 
 use super::query::IfMatch;
 use super::{Answer, Context};
@@ -10,15 +10,17 @@
 use sanddyke_tenancy::{Change, Generation, Plan, Subject, TenantId};
 use serde_json::{Value, json};
 
-/// Changed shares that the answer to a dry run lists at most.
+/// Maximum number of changed shares in the response to a dry run.
 const MAX_LISTED_SHARES: usize = 1000;
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, as stated in the text of the problem.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
 impl Admin {
-    /// Creates a tenant or group.
+    /// Creates a tenant or group. A repeated request with the same idempotency key returns the tenant or group as it is
+    /// now, with the header field `Idempotent-Replayed`.
     pub(super) async fn create(&self, context: &Context<'_>, change: Change) -> Answer {
-        // The digest is stored with the key: its form must stay.
+        // The digest is stored with the key, so it must stay the same in later releases. It depends on the `Debug`
+        // form of `Change`.
         let key = idempotency_key(context.request)?
             .map(|key| IdempotencyKey { key, request_digest: digest(&format!("{change:?}")) });
         let subject = change.subject();
@@ -40,8 +42,8 @@
         }
     }
 
-    /// Changes or removes a tenant or group. `based_on` is the generation that the change was worked out from: where
-    /// the caller names none, no other change may come in between.
+    /// Changes or removes a tenant or group. `based_on` is the generation from which the change was computed. It is the
+    /// precondition if the caller sent no generation in `If-Match`, so that a concurrent change is not overwritten.
     pub(super) async fn change(
         &self,
         context: &Context<'_>,
@@ -72,6 +74,7 @@
         self.subject(context.caller, 200, &subject).await
     }
 
+    /// Returns a tenant or group in its current state.
     async fn subject(&self, caller: &Caller, status: u16, subject: &Subject) -> Answer {
         match subject {
             Subject::Tenant(name) => self.tenant(caller, status, name).await,
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Answers with the effective shares that a change would move.
+    /// Plans a change without applying it. The response lists the effective shares that it would change.
     pub(super) async fn dry_run(&self, request: &ChangeRequest) -> Answer {
         let plan = self.tenant_service.plan(request).await?;
         let shares = self.moved_shares(&plan).await;
@@ -90,6 +93,7 @@
         Ok(Response::json(200, body.to_string()))
     }
 
+    /// Lists the tenants whose share a plan changes, with the share before and after.
     async fn moved_shares(&self, plan: &Plan) -> Vec<Value> {
         let listed = self.tenant_service.read(|tenants| {
             let name = |id: TenantId| {
@@ -106,7 +110,7 @@
     }
 }
 
-/// Whether a change must name the generation that its caller has seen.
+/// Returns whether a change needs an `If-Match` field with the generation that its caller last read.
 fn needs_precondition(change: &Change) -> bool {
     matches!(
         change,
@@ -117,6 +121,7 @@
     )
 }
 
+/// Returns the request's idempotency key, `None` without one.
 fn idempotency_key(request: &Request) -> Result<Option<String>, Problem> {
     let Some(key) = request.field("Idempotency-Key") else { return Ok(None) };
     let is_plain = key.chars().all(|c| c.is_ascii_graphic());
--- a/src/admin/v1/fleet.rs
+++ b/src/admin/v1/fleet.rs
@@ -9,16 +9,19 @@
 use sanddyke_authorization::Permission;
 use serde_json::json;
 
+/// Problem for a command that the fleet rejected.
 fn fleet_conflict(detail: impl ToString) -> Problem {
     Problem::new(409, "fleet", detail.to_string())
 }
 
 impl Admin {
+    /// Returns the cluster; a problem if none is configured.
     fn fleet(&self) -> Result<&Cluster, Problem> {
         let no_fleet = || Problem::new(409, "no_fleet", "no fleet is set up (cluster)");
         self.cluster.as_ref().ok_or_else(no_fleet)
     }
 
+    /// Returns this manager's view of the fleet.
     pub(super) fn show_fleet(&self, caller: &Caller) -> Answer {
         caller.require(Permission::See)?;
         let view = serde_json::to_string(&*self.fleet()?.view());
@@ -40,6 +43,7 @@
         Ok(accepted(caller, route, voter))
     }
 
+    /// Starts a rolling restart. Rejected by builds without the feature `cluster`, which have no fleet.
     pub(super) async fn start_rolling_restart(&self, context: &Context<'_>) -> Answer {
         context.caller.require(Permission::Govern)?;
         #[cfg(feature = "cluster")]
@@ -96,11 +100,13 @@
     }
 }
 
+/// Logs and acknowledges a command on a lease or voter.
 fn accepted(caller: &Caller, route: &Route, name: &str) -> Response {
     log::info!(who = caller.id.as_str(); "admin: fleet command accepted: {} for {name}", route.path);
     Response::json(202, json!({ "accepted": name }).to_string())
 }
 
+/// Logs and acknowledges a command on a rolling restart.
 fn accepted_call(context: &Context<'_>) -> Response {
     let target = &context.request.target;
     log::info!(who = context.caller.id.as_str(); "admin: fleet command accepted: {target}");
--- a/src/admin/v1/groups.rs
+++ b/src/admin/v1/groups.rs
@@ -1,4 +1,4 @@
-//! Calls on groups of tenants.
+//! Calls that read and change groups of tenants.
 
 use super::json::{self, NamedSpec, not_found, with_etag};
 use super::{Answer, Context};
@@ -18,6 +18,7 @@
         Ok(with_etag(200, generation, json!({ "groups": groups, "generation": generation })))
     }
 
+    /// Returns a group, with the number of its members and the sum of their shares.
     pub(super) async fn group(&self, caller: &Caller, status: u16, name: &str) -> Answer {
         caller.require(Permission::See)?;
         let found = self.tenant_service.read(|tenants| {
--- a/src/admin/v1/json.rs
+++ b/src/admin/v1/json.rs
@@ -1,4 +1,4 @@
-//! JSON of requests and answers.
+//! Parsing of JSON bodies and rendering of JSON responses.
 
 use crate::admin::problem::Problem;
 use crate::core::TenantReport;
@@ -10,18 +10,19 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
 
-/// A body; an empty one counts as `{}`.
+/// Parses a JSON body. An empty body is parsed as `{}`.
 pub(super) fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Problem> {
     let body = if body.is_empty() { b"{}" } else { body };
     serde_json::from_slice(body).map_err(|error| Problem::new(400, "body", error.to_string()))
 }
 
-/// A parse_spec from a value, or the problem with one of its values.
+/// Parses a tenant or group specification.
 fn parse_spec<T: DeserializeOwned>(value: Value) -> Result<T, Problem> {
     serde_json::from_value(value).map_err(|error| Problem::new(422, "invalid", error.to_string()))
 }
 
-/// A parse_spec and the name that its body has beside it.
+/// Body of a creation: a name, with the keys of a specification beside it. Parsed in two steps, so that the
+/// specification rejects unknown keys.
 pub(super) struct NamedSpec<T> {
     pub name: String,
     pub spec: T,
@@ -37,8 +38,11 @@
     }
 }
 
-/// A parse_spec after a merge patch (RFC 7396).
-pub(super) fn apply_merge_patch<T: Serialize + DeserializeOwned>(spec: &T, body: &[u8]) -> Result<T, Problem> {
+/// Applies a merge patch (RFC 7396) to a specification.
+pub(super) fn apply_merge_patch<T: Serialize + DeserializeOwned>(
+    spec: &T,
+    body: &[u8],
+) -> Result<T, Problem> {
     let patch: Map<String, Value> = parse(body)?;
     let mut value =
         serde_json::to_value(spec).map_err(|error| Problem::new(500, "body", error.to_string()))?;
@@ -46,15 +50,17 @@
     parse_spec(value)
 }
 
-/// An answer whose `ETag` is a generation.
+/// Returns a JSON response with a generation as its `ETag`.
 pub(super) fn with_etag(status: u16, generation: Generation, body: Value) -> Response {
     Response::json(status, body.to_string()).with("ETag", format!("\"{}\"", generation.0))
 }
 
+/// Problem for a name or id that does not exist, or that the caller is not allowed to see.
 pub(super) fn not_found(what: &str) -> Problem {
     Problem::new(404, "not_found", format!("no {what} of this name"))
 }
 
+/// A token without its hash and secret.
 pub(super) fn token(token: &Token) -> Value {
     json!({
         "id": token.id, "role": token.grant.role, "tenants": token.grant.tenants, "note": token.grant.note,
@@ -63,19 +69,21 @@
     })
 }
 
-/// The answer that shows a new secret, the only time that it is shown.
+/// Returns the response with a new secret, which must not be cached. No other response contains the secret.
 pub(super) fn issued_token(status: u16, issued: &IssuedToken) -> Response {
     let mut body = token(&issued.token);
     body["secret"] = json!(issued.secret);
     Response::json(status, body.to_string()).with("Cache-Control", "no-store".to_owned())
 }
 
+/// A change as listed by a watch.
 pub(super) fn change(event: &ChangeEvent) -> Value {
     json!({ "at_ms": event.at_ms, "who": event.actor, "record": event.record })
 }
 
+/// A tenant with its effective share and its usage; the usage is `null` if the core does not know the tenant.
 pub(super) fn tenant(tenant: &Tenant, share: f64, usage: Option<&TenantReport>) -> Value {
-    // A tenant always has a JSON form.
+    // Serializing a tenant can't fail.
     let mut value = serde_json::to_value(tenant).unwrap_or_default();
     value["share"] = json!(share);
     value["usage"] = match usage {
--- a/src/admin/v1/mod.rs
+++ b/src/admin/v1/mod.rs
@@ -1,10 +1,10 @@
-//! The calls of version 1. Each checks what it needs of the caller's token, then does its work.
+//! Handlers of the calls of version 1. Each handler checks the permissions of the caller's token.
 //!
 //! | module | calls |
 //! | --- | --- |
 //! | `tenants`, `groups`, `tokens` | list, get, create, change, remove |
-//! | `changes` | what tenants and groups have in common: preconditions, idempotency keys, dry runs |
-//! | `audit` | the audit trail, and the watch for changes |
+//! | `changes` | shared by tenants and groups: preconditions, idempotency keys, dry runs |
+//! | `audit` | audit trail, watch for changes |
 //! | `service` | engines, open requests, backup, export and import |
 //! | `fleet` | leases, voters, rolling restarts |
 //! | `query`, `json` | query strings, preconditions, bodies |
@@ -29,10 +29,10 @@
 use sanddyke_authorization::Permission;
 use sanddyke_tenancy::{State, TenantId};
 
-/// The answer to a call.
+/// Result of a call: the response, or the problem that is returned instead.
 type Answer = Result<Response, Problem>;
 
-/// A call: who makes it, and with what.
+/// Caller, request and parsed query string of a call.
 struct Context<'a> {
     caller: &'a Caller,
     request: &'a Request,
@@ -40,6 +40,7 @@
 }
 
 impl Caller {
+    /// Returns a 403 problem if the caller lacks a permission.
     fn require(&self, permission: Permission) -> Result<(), Problem> {
         match self.grant.allows(permission) {
             true => Ok(()),
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Requires a permission on a tenant. The tenant counts as not found where the caller may not see it: a token of
-    /// one tenant learns nothing of others, not even their names.
+    /// Returns a problem if the caller lacks a permission on a tenant: 404 if the caller is not allowed to see the
+    /// tenant, otherwise 403. The 404 keeps a tenant administrator's token from revealing which other tenants exist.
     fn require_on_tenant(
         &self,
         permission: fn(TenantId) -> Permission,
@@ -65,7 +66,7 @@
 }
 
 impl Admin {
-    /// Answers a call; `name` is the parameter in its path.
+    /// Handles a call. `name` is the parameter in its path, empty without one.
     pub(super) async fn v1(&self, caller: &Caller, request: &Request, route: &Route, name: &str) -> Answer {
         let context = Context { caller, request, query: Query::parse(request, route)? };
         match route.call {
@@ -105,7 +106,7 @@
     }
 }
 
-/// What the caller's token is.
+/// Returns id, role and tenants of the caller's token.
 fn caller_token(caller: &Caller) -> Response {
     let body = serde_json::json!({
         "id": caller.id, "role": caller.grant.role, "tenants": caller.grant.tenants,
--- a/src/admin/v1/service.rs
+++ b/src/admin/v1/service.rs
@@ -1,4 +1,4 @@
-//! Calls on the running service: engines, open requests, backup, export and import.
+//! Calls on the running service: engines, open requests, backup, export and import of tenants.
 
 use super::json::not_found;
 use super::{Answer, Context};
@@ -18,7 +18,7 @@
         Ok(Response::json(200, json!({ "engines": report.engines }).to_string()))
     }
 
-    /// The open requests of the tenants that the caller sees.
+    /// Lists the open requests of the tenants that the caller is allowed to see.
     pub(super) async fn requests(&self, caller: &Caller) -> Answer {
         let visible = self.visible_tenants(caller).await;
         let mut report = self.handle.inspect().await?;
@@ -30,33 +30,39 @@
         Ok(Response::json(200, json!({ "requests": report.requests }).to_string()))
     }
 
-    /// Ends an open request: its client is answered at once.
-    pub(super) async fn cancel_request(&self, caller: &Caller, name: &str) -> Answer {
+    /// Cancels an open request by its client request id. Its client receives the answer immediately. The request
+    /// counts as not found if the caller is not allowed to see its tenant.
+    pub(super) async fn cancel_request(&self, caller: &Caller, client_request_id: &str) -> Answer {
         let report = self.handle.inspect().await?;
         let missing = || not_found("open request");
-        let open = report.requests.iter().find(|open| open.client_request_id == name).ok_or_else(missing)?;
+        let open = report
+            .requests
+            .iter()
+            .find(|open| open.client_request_id == client_request_id)
+            .ok_or_else(missing)?;
         match self.tenant_id(open.tenant.as_deref().unwrap_or_default()).await {
             Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
             Some(id) => caller.require(Permission::RunTenant(id))?,
             None => caller.require(Permission::Change)?,
         }
         self.handle.notify(Input::CancelRequested(open.id)).await?;
-        log::info!(who = caller.id.as_str(); "admin: request {name} cancelled");
-        Ok(Response::json(200, json!({ "cancelled": name }).to_string()))
+        log::info!(who = caller.id.as_str(); "admin: request {client_request_id} cancelled");
+        Ok(Response::json(200, json!({ "cancelled": client_request_id }).to_string()))
     }
 
+    /// Returns the id of the tenant with this name.
     pub(super) async fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenant_service.read(|tenants| tenants.registry.tenant(name).map(|tenant| tenant.id)).await
     }
 
-    /// Writes a backup of the store.
+    /// Writes a backup of the store and returns its path.
     pub(super) async fn backup(&self, caller: &Caller) -> Answer {
         caller.require(Permission::Govern)?;
         let path = self.tenant_service.backup().await?;
         Ok(Response::json(201, json!({ "path": path }).to_string()))
     }
 
-    /// All tenants and groups, as TOML.
+    /// Exports all tenants and groups as TOML.
     pub(super) async fn export(&self, caller: &Caller) -> Answer {
         caller.require(Permission::Govern)?;
         let document = self.tenant_service.read(|tenants| Document::of(&tenants.registry)).await;
@@ -65,12 +71,14 @@
         Ok(Response::of(200, "application/toml", text))
     }
 
-    /// Makes tenants and groups agree with a TOML document, all at once.
+    /// Changes tenants and groups to match a TOML document, atomically. With `prune`, those that the document does not
+    /// contain are removed.
     pub(super) async fn import(&self, context: &Context<'_>) -> Answer {
         context.caller.require(Permission::Govern)?;
         let document = document(&context.request.body)?;
         let prune = context.query.prune;
-        // Worked out from what is there now: where another change comes in between, some would not fit.
+        // The changes are computed from the current state. If another change is applied before them, the registry may
+        // reject some of them, and then none is applied.
         let changes = self.tenant_service.read(|tenants| document.changes(&tenants.registry, prune)).await;
         let count = changes.len();
         let request =
@@ -85,6 +93,7 @@
     }
 }
 
+/// Parses a TOML document and checks its format version.
 fn document(body: &[u8]) -> Result<Document, Problem> {
     let invalid = |detail: String| Problem::new(422, "invalid", detail);
     let text = std::str::from_utf8(body).map_err(|error| invalid(error.to_string()))?;
--- a/src/admin/v1/tenants.rs
+++ b/src/admin/v1/tenants.rs
@@ -1,4 +1,4 @@
-//! Calls on tenants, and their effective shares.
+//! Calls that read and change tenants, and list their effective shares.
 
 use super::json::{self, NamedSpec, not_found, with_etag};
 use super::{Answer, Context};
@@ -10,12 +10,13 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Returns the effective share of a tenant, 0 if it has none.
 fn share(tenants: &TenantState, id: TenantId) -> f64 {
     tenants.shares.get(&id).copied().unwrap_or(0.0)
 }
 
 impl Admin {
-    /// The names of the tenants that the caller sees; `None` for all.
+    /// Returns the names of the tenants that the caller is allowed to see; `None` if all.
     pub(super) async fn visible_tenants(&self, caller: &Caller) -> Option<BTreeSet<String>> {
         if caller.grant.role != Role::TenantAdmin {
             return None;
@@ -28,7 +29,7 @@
         Some(self.tenant_service.read(names).await)
     }
 
-    /// A tenant on which the caller has a permission.
+    /// Returns a tenant if the caller has a permission on it, otherwise a problem.
     pub(super) async fn permitted_tenant(
         &self,
         caller: &Caller,
@@ -41,6 +42,8 @@
         Ok(tenant)
     }
 
+    /// Lists the tenants that the caller is allowed to see, in the order of their creation. `cursor` is the id of the
+    /// last tenant of the previous page.
     pub(super) async fn list_tenants(&self, context: &Context<'_>) -> Answer {
         let query = &context.query;
         let limit = query.page_size()?;
@@ -51,7 +54,7 @@
                 && query.group.as_ref().is_none_or(|group| tenant.spec.group.as_ref() == Some(group))
         };
         let page = self.tenant_service.read(|tenants| {
-            // One more than the page has, to see whether there is a next one.
+            // One more than the page holds, to detect whether there is a next page.
             let wanted = tenants.registry.tenants_after(after).filter(is_wanted).take(limit + 1);
             let wanted: Vec<(Tenant, f64)> =
                 wanted.map(|tenant| (tenant.clone(), share(tenants, tenant.id))).collect();
@@ -82,6 +85,7 @@
         self.create(context, Change::CreateTenant { name, spec }).await
     }
 
+    /// Changes a tenant by a merge patch. A tenant administrator is allowed to change only labels.
     pub(super) async fn patch_tenant(&self, context: &Context<'_>, name: &str) -> Answer {
         let tenant = self.permitted_tenant(context.caller, name, Permission::RunTenant).await?;
         let spec: TenantSpec = json::apply_merge_patch(&tenant.spec, &context.request.body)?;
@@ -106,7 +110,7 @@
         self.change(context, change, None).await
     }
 
-    /// The effective share of each tenant.
+    /// Lists the effective share of each tenant.
     pub(super) async fn shares(&self, caller: &Caller) -> Answer {
         caller.require(Permission::See)?;
         let shares = self.tenant_service.read(|tenants| {
--- a/src/admin/v1/tokens.rs
+++ b/src/admin/v1/tokens.rs
@@ -1,4 +1,4 @@
-//! Calls on tokens.
+//! Calls that list, create, rotate and remove tokens.
 
 use super::json::{self, not_found, parse};
 use super::{Answer, Context};
--- a/src/tenants/change.rs
+++ b/src/tenants/change.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The precondition fails, or the registry or the store rejects the change: nothing is changed. `Ended` if the
-    /// service has ended.
+    /// service has ended; the change may be stored then.
     pub async fn change(
         self: &Arc<Self>,
         request: ChangeRequest,
@@ -100,8 +100,8 @@
             state.registry.expect(subject, Some(*generation))?;
         }
         let ChangeRequest { actor, changes, .. } = request;
-        // With thousands of tenants, planning takes some milliseconds, as long as the write to disk. Neither runs on the
-        // thread that serves requests.
+        // With thousands of tenants, planning takes some milliseconds, as long as the write to disk. Neither runs on
+        // the thread that serves requests.
         let registry = state.registry.clone();
         let (commit_actor, commit_creation) = (actor.clone(), creation.clone());
         let plan = run_blocking(move || {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Sends updates to the core. A change that affects the share of every tenant is sent in batches, and the core serves
-    /// requests between two batches.
+    /// Sends updates to the core. A change that affects the share of every tenant is sent in batches, and the core
+    /// serves requests between two batches.
     async fn notify_core(&self, updates: Vec<TenantUpdate>) -> Result<(), TenantServiceError> {
         let mut updates = updates.into_iter().peekable();
         while updates.peek().is_some() {
--- a/src/tenants/mod.rs
+++ b/src/tenants/mod.rs
@@ -80,7 +80,8 @@
         let latest = watch::Sender::new(state.registry.generation());
         if store.is_some() {
             known.replace(state.registry.tenants().map(|tenant| tenant.name.clone()));
-            let updates = state.registry.tenants().filter_map(|tenant| state.tenant_update(tenant.id)).collect();
+            let updates =
+                state.registry.tenants().filter_map(|tenant| state.tenant_update(tenant.id)).collect();
             handle.notify(Input::Tenants(updates)).await?;
         }
         let state = Mutex::new(state);
@@ -139,7 +140,11 @@
     ///
     /// # Errors
     /// No store or no backup folder is configured, or the write failed.
-    pub async fn write_periodic_backup(&self, name: &str, fencing_token: u64) -> Result<bool, TenantServiceError> {
+    pub async fn write_periodic_backup(
+        &self,
+        name: &str,
+        fencing_token: u64,
+    ) -> Result<bool, TenantServiceError> {
         let store = self.store.clone().ok_or(TenantServiceError::NoStore)?;
         let to = self.backups.clone().ok_or(TenantServiceError::NoBackups)?.join(name);
         run_blocking(move || Ok(store.backup_once(&to, fencing_token)?)).await
@@ -184,11 +189,13 @@
     match state.registry.plan(&settings.changes(&state.registry, false)) {
         Ok(plan) => drop(state.apply(plan, SETTINGS_ACTOR, now_ms)),
         // The core uses the settings directly, so requests are still served. Only the API can't show the tenants.
-        Err(error) => log::warn!("administration API shows no tenants: the registry rejected those of the settings: {error}"),
+        Err(error) => log::warn!(
+            "administration API shows no tenants: the registry rejected those of the settings: {error}"
+        ),
     }
 }
 
-/// Runs a function that computes for long or waits for the disk on a blocking thread, so that the service keeps running.
+/// Runs a function that computes for long, or waits for the disk, on a blocking thread. Other tasks keep running.
 async fn run_blocking<T: Send + 'static>(
     run: impl FnOnce() -> Result<T, TenantServiceError> + Send + 'static,
 ) -> Result<T, TenantServiceError> {
--- a/src/tenants/state.rs
+++ b/src/tenants/state.rs
@@ -53,8 +53,8 @@
         })
     }
 
-    /// Applies a planned change and returns the updates for the core. Removals come first, so that a name which one change
-    /// removes and creates again refers to the new tenant.
+    /// Applies a planned change and returns the updates for the core. Removals come first, so that a name which one
+    /// change removes and creates again refers to the new tenant.
     pub(super) fn apply(&mut self, plan: Plan, actor: &str, at_ms: u64) -> Vec<TenantUpdate> {
         let old_registry = std::mem::replace(&mut self.registry, Arc::new(plan.after));
         let old_shares = std::mem::replace(&mut self.shares, plan.shares);
--- a/src/tenants/tokens.rs
+++ b/src/tenants/tokens.rs
@@ -60,8 +60,8 @@
         self.commit_token(actor, id, None, "removed").await
     }
 
-    /// Stores a token or, if `token` is `None`, its removal, and then applies it to the state. Runs in a task of its own and
-    /// completes even if the caller stops waiting. `action` is recorded in the audit trail.
+    /// Stores a token or, if `token` is `None`, its removal, and then applies it to the state. Runs in a task of its
+    /// own and completes even if the caller stops waiting. `action` is recorded in the audit trail.
     async fn commit_token(
         self: &Arc<Self>,
         actor: &str,
