--- a/src/admin/v1/tenants.rs
+++ b/src/admin/v1/tenants.rs
@@ -1,6 +1,6 @@
-//! Calls on tenants, and their effective shares.
+//! Calls that read and change tenants, and list their effective shares.
 
-use super::json::{self, Named, not_found, tagged};
+use super::json::{self, NamedSpec, not_found, with_etag};
 use super::{Answer, Context};
 use crate::admin::problem::Problem;
 use crate::admin::{Admin, Caller};
@@ -10,12 +10,13 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Returns the effective share of a tenant, 0 if it has none.
 fn share(tenants: &TenantState, id: TenantId) -> f64 {
     tenants.shares.get(&id).copied().unwrap_or(0.0)
 }
 
 impl Admin {
-    /// The names of the tenants that the caller sees; `None` for all.
+    /// Returns the names of the tenants that the caller is allowed to see; `None` if all.
     pub(super) async fn visible_tenants(&self, caller: &Caller) -> Option<BTreeSet<String>> {
         if caller.grant.role != Role::TenantAdmin {
             return None;
@@ -28,7 +29,7 @@
         Some(self.tenant_service.read(names).await)
     }
 
-    /// A tenant on which the caller has a permission.
+    /// Returns a tenant if the caller has a permission on it, otherwise a problem.
     pub(super) async fn permitted_tenant(
         &self,
         caller: &Caller,
@@ -41,6 +42,8 @@
         Ok(tenant)
     }
 
+    /// Lists the tenants that the caller is allowed to see, in the order of their creation. `cursor` is the id of the
+    /// last tenant of the previous page.
     pub(super) async fn list_tenants(&self, context: &Context<'_>) -> Answer {
         let query = &context.query;
         let limit = query.page_size()?;
@@ -51,7 +54,7 @@
                 && query.group.as_ref().is_none_or(|group| tenant.spec.group.as_ref() == Some(group))
         };
         let page = self.tenant_service.read(|tenants| {
-            // One more than the page has, to see whether there is a next one.
+            // One more than the page holds, to detect whether there is a next page.
             let wanted = tenants.registry.tenants_after(after).filter(is_wanted).take(limit + 1);
             let wanted: Vec<(Tenant, f64)> =
                 wanted.map(|tenant| (tenant.clone(), share(tenants, tenant.id))).collect();
@@ -65,7 +68,7 @@
             found.iter().map(|(tenant, share)| json::tenant(tenant, *share, usage.get(&tenant.id))).collect();
         let next = found.last().filter(|_| has_next).map(|(tenant, _)| tenant.id.0.to_string());
         let body = json!({ "tenants": tenants, "next": next, "generation": generation });
-        Ok(tagged(200, generation, body))
+        Ok(with_etag(200, generation, body))
     }
 
     pub(super) async fn tenant(&self, caller: &Caller, status: u16, name: &str) -> Answer {
@@ -73,18 +76,19 @@
         let share = self.tenant_service.read(|tenants| share(tenants, tenant.id)).await;
         let usage = self.handle.usage(vec![tenant.id]).await?;
         let body = json::tenant(&tenant, share, usage.get(&tenant.id));
-        Ok(tagged(status, tenant.generation, body))
+        Ok(with_etag(status, tenant.generation, body))
     }
 
     pub(super) async fn create_tenant(&self, context: &Context<'_>) -> Answer {
         context.caller.require(Permission::Change)?;
-        let Named { name, spec } = Named::parse(&context.request.body)?;
+        let NamedSpec { name, spec } = NamedSpec::parse(&context.request.body)?;
         self.create(context, Change::CreateTenant { name, spec }).await
     }
 
+    /// Changes a tenant by a merge patch. A tenant administrator is allowed to change only labels.
     pub(super) async fn patch_tenant(&self, context: &Context<'_>, name: &str) -> Answer {
         let tenant = self.permitted_tenant(context.caller, name, Permission::RunTenant).await?;
-        let spec: TenantSpec = json::patched(&tenant.spec, &context.request.body)?;
+        let spec: TenantSpec = json::apply_merge_patch(&tenant.spec, &context.request.body)?;
         let labels_only = TenantSpec { labels: tenant.spec.labels.clone(), ..spec.clone() } == tenant.spec;
         if !labels_only {
             context.caller.require(Permission::Change)?;
@@ -106,7 +110,7 @@
         self.change(context, change, None).await
     }
 
-    /// The effective share of each tenant.
+    /// Lists the effective share of each tenant.
     pub(super) async fn shares(&self, caller: &Caller) -> Answer {
         caller.require(Permission::See)?;
         let shares = self.tenant_service.read(|tenants| {
@@ -116,6 +120,6 @@
             (shares, tenants.registry.generation())
         });
         let (shares, generation) = shares.await;
-        Ok(tagged(200, generation, json!({ "shares": shares, "generation": generation })))
+        Ok(with_etag(200, generation, json!({ "shares": shares, "generation": generation })))
     }
 }
