--- a/crates/testbed/src/faults/sequence.rs
+++ b/crates/testbed/src/faults/sequence.rs
@@ -89,18 +89,18 @@
     let step = format!("seed {seed}");
     let history = fleet.history()?;
     history.check().map_err(|violation| TestbedError::step(&step, violation.to_string()))?;
-    let products = history.products();
+    let applied_operations = history.applied_operations();
     let backups = fleet.backups()?;
     // A manager that was killed between an act and its log line has made a backup that is not in its log.
-    if backups.len() < products.len() {
-        let reason = format!("{} backups of {} are there", backups.len(), products.len());
+    if backups.len() < applied_operations.len() {
+        let reason = format!("{} backups of {} are there", backups.len(), applied_operations.len());
         return Err(TestbedError::step(&step, reason));
     }
     Ok(SequenceSummary {
         managers: fleet.size(),
         faults,
-        grants: history.tenures().len(),
-        acts: products.len(),
+        grants: history.lease_terms().len(),
+        acts: applied_operations.len(),
         longest_gap_ms: history.gaps_us(LEASE).into_iter().max().unwrap_or(0) / 1000,
     })
 }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -47,7 +47,7 @@
 
 /// A time in which a manager held a lease under one fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tenure {
+pub struct LeaseTerm {
     /// Name of the lease.
     pub lease: String,
     /// The holder.
@@ -71,15 +71,15 @@
     )]
     TwoHolders {
         /// The earlier holder.
-        first: Tenure,
+        first: LeaseTerm,
         /// The later holder.
-        second: Tenure,
+        second: LeaseTerm,
     },
     /// A holder's fencing token is not above those before.
-    #[error("{}: m{} acquired it under {} after {previous}", tenure.lease, tenure.manager, tenure.fencing_token)]
+    #[error("{}: m{} acquired it under {} after {previous}", lease_term.lease, lease_term.manager, lease_term.fencing_token)]
     TokenNotIncreasing {
         /// The holder.
-        tenure: Tenure,
+        lease_term: LeaseTerm,
         /// The fencing token before.
         previous: u64,
     },
@@ -143,48 +143,49 @@
     }
 
     /// When each lease was held, by which manager and under which fencing token, in order of the start.
-    pub fn tenures(&self) -> Vec<Tenure> {
-        let mut current: BTreeMap<(String, Manager), Tenure> = BTreeMap::new();
-        let mut tenures = Vec::new();
+    pub fn lease_terms(&self) -> Vec<LeaseTerm> {
+        let mut current: BTreeMap<(String, Manager), LeaseTerm> = BTreeMap::new();
+        let mut lease_terms = Vec::new();
         for Entry { at_us, manager, event } in self.in_order_of_time() {
-            let end = |tenure: Tenure| Tenure { until_us: tenure.until_us.min(at_us), ..tenure };
+            let end =
+                |lease_term: LeaseTerm| LeaseTerm { until_us: lease_term.until_us.min(at_us), ..lease_term };
             match event {
                 Event::Held { lease, fencing_token, expires_at_us } => {
-                    let new = Tenure {
+                    let new = LeaseTerm {
                         lease: lease.clone(),
                         manager,
                         fencing_token,
                         from_us: at_us,
                         until_us: expires_at_us,
                     };
-                    let tenure = current.entry((lease, manager)).or_insert_with(|| new.clone());
+                    let lease_term = current.entry((lease, manager)).or_insert_with(|| new.clone());
                     // A lease that expired and is acquired anew is held twice.
-                    if fencing_token != tenure.fencing_token || at_us > tenure.until_us {
-                        tenures.push(std::mem::replace(tenure, new));
+                    if fencing_token != lease_term.fencing_token || at_us > lease_term.until_us {
+                        lease_terms.push(std::mem::replace(lease_term, new));
                     }
-                    tenure.until_us = tenure.until_us.max(expires_at_us);
+                    lease_term.until_us = lease_term.until_us.max(expires_at_us);
                 }
-                Event::Ended { lease, .. } => tenures.extend(current.remove(&(lease, manager)).map(end)),
-                Event::Killed => current.retain(|(_, holder), tenure| {
+                Event::Ended { lease, .. } => lease_terms.extend(current.remove(&(lease, manager)).map(end)),
+                Event::Killed => current.retain(|(_, holder), lease_term| {
                     let is_killed = *holder == manager;
                     if is_killed {
-                        tenures.push(end(tenure.clone()));
+                        lease_terms.push(end(lease_term.clone()));
                     }
                     !is_killed
                 }),
                 Event::Acted { .. } => {}
             }
         }
-        tenures.extend(current.into_values());
-        tenures.sort_by_key(|tenure| tenure.from_us);
-        tenures
+        lease_terms.extend(current.into_values());
+        lease_terms.sort_by_key(|lease_term| lease_term.from_us);
+        lease_terms
     }
 
     /// Two managers never held a lease at the same moment.
     pub fn check_single_holder(&self) -> Result<(), HistoryViolation> {
-        let tenures = self.tenures();
-        for (position, first) in tenures.iter().enumerate() {
-            let second = tenures[position + 1..].iter().find(|second| {
+        let lease_terms = self.lease_terms();
+        for (position, first) in lease_terms.iter().enumerate() {
+            let second = lease_terms[position + 1..].iter().find(|second| {
                 second.lease == first.lease
                     && second.manager != first.manager
                     && (first.from_us..first.until_us).contains(&second.from_us)
@@ -199,22 +200,22 @@
     /// Each holder's fencing token is above those of all before.
     pub fn check_tokens_increase(&self) -> Result<(), HistoryViolation> {
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
-        for tenure in self.tenures() {
-            let previous = last.get(&tenure.lease).copied().unwrap_or(0);
-            if tenure.fencing_token <= previous {
-                return Err(HistoryViolation::TokenNotIncreasing { tenure, previous });
+        for lease_term in self.lease_terms() {
+            let previous = last.get(&lease_term.lease).copied().unwrap_or(0);
+            if lease_term.fencing_token <= previous {
+                return Err(HistoryViolation::TokenNotIncreasing { lease_term, previous });
             }
-            last.insert(tenure.lease, tenure.fencing_token);
+            last.insert(lease_term.lease, lease_term.fencing_token);
         }
         Ok(())
     }
 
     /// Nothing was made twice.
     pub fn check_made_once(&self) -> Result<(), HistoryViolation> {
-        let mut products = BTreeSet::new();
+        let mut applied_operations = BTreeSet::new();
         for Entry { manager, event, .. } in self.in_order_of_time() {
             if let Event::Acted { product, fencing_token } = event
-                && !products.insert(product.clone())
+                && !applied_operations.insert(product.clone())
             {
                 return Err(HistoryViolation::MadeTwice { product, manager, fencing_token });
             }
@@ -223,7 +224,7 @@
     }
 
     /// What was made.
-    pub fn products(&self) -> BTreeSet<String> {
+    pub fn applied_operations(&self) -> BTreeSet<String> {
         let product = |entry: &Entry| match &entry.event {
             Event::Acted { product, .. } => Some(product.clone()),
             _ => None,
@@ -240,8 +241,9 @@
 
     /// How long a lease had no holder between two that held it, in microseconds.
     pub fn gaps_us(&self, lease: &str) -> Vec<u64> {
-        let tenures = self.tenures();
-        let of_lease: Vec<&Tenure> = tenures.iter().filter(|tenure| tenure.lease == lease).collect();
+        let lease_terms = self.lease_terms();
+        let of_lease: Vec<&LeaseTerm> =
+            lease_terms.iter().filter(|lease_term| lease_term.lease == lease).collect();
         of_lease.windows(2).map(|pair| pair[1].from_us.saturating_sub(pair[0].until_us)).collect()
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,16 +18,16 @@
 async fn check_history(fleet: &Fleet, min_backups: usize) {
     let mut history = fleet.history().unwrap();
     for _ in 0..600 {
-        if history.products().len() >= min_backups {
+        if history.applied_operations().len() >= min_backups {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         history = fleet.history().unwrap();
     }
     history.check().unwrap();
-    assert!(history.products().len() >= min_backups, "{:?}", history.products());
+    assert!(history.applied_operations().len() >= min_backups, "{:?}", history.applied_operations());
     let backups = fleet.backups().unwrap();
-    for product in history.products() {
+    for product in history.applied_operations() {
         let period = product.trim_start_matches("backup ");
         assert!(backups.contains(&format!("period-{period}.redb")), "{product} is not among {backups:?}");
     }
@@ -47,7 +47,7 @@
         .unwrap();
     tokio::time::sleep(A_WHILE / 2).await;
     check_history(&fleet, 3).await;
-    assert!(fleet.history().unwrap().tenures().iter().any(|tenure| tenure.manager == second));
+    assert!(fleet.history().unwrap().lease_terms().iter().any(|lease_term| lease_term.manager == second));
 }
 
 /// Guards against a wait for the lease's expiry where its holder leaves by plan, and against work that is interrupted.
