--- a/crates/testbed/src/bin/sanddyke-testbed/demo.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/demo.rs
@@ -1,4 +1,4 @@
-//! The sub-command `demo`: a fleet on loopback to try out by hand.
+//! The sub-command `demo`: a fleet on loopback for manual experiments.
 
 use crate::CommandOutcome;
 use sanddyke_testbed::TestbedError;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The lease whose holder is shown.
+/// The lease whose holder is printed.
 const LEASE: &str = "backup";
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -21,7 +21,7 @@
     let fleet = Fleet::start(program, plan).await?;
     let mut holder = fleet.wait_for_holder(LEASE, None).await?;
     fleet.create_tenant().await?;
-    // Both signals end the function, so that the managers end with the fleet.
+    // Both signals return from this function, so that dropping the fleet kills the managers.
     let mut terminated = signal(SignalKind::terminate())?;
     print_instructions(&fleet, holder);
     loop {
--- a/crates/testbed/src/bin/sanddyke-testbed/experiment.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/experiment.rs
@@ -1,4 +1,4 @@
-//! The sub-command `run`: an experiment from a file.
+//! The sub-command `run`: runs an experiment from a file.
 
 use crate::CommandOutcome;
 use sanddyke_testbed::TestbedError;
@@ -6,10 +6,10 @@
 use sanddyke_testbed::report::Report;
 use std::path::{Path, PathBuf};
 
-/// Maximum number of tenants in the printed table; the CSV file has all.
+/// Maximum number of tenants in the printed table. The CSV file contains all tenants.
 const MAX_PRINTED_ROWS: usize = 40;
 
-/// Runs the experiment, writes its results to the folder, if any, and prints them.
+/// Runs the experiment, writes the results to the folder `out`, if any, and prints them.
 pub async fn run(
     file: &Path,
     program: &Path,
--- a/crates/testbed/src/bin/sanddyke-testbed/main.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/main.rs
@@ -12,17 +12,17 @@
 use sanddyke_testbed::TestbedError;
 use std::process::ExitCode;
 
-/// Exit code where a measured result is outside its bound.
+/// Exit code if a measured result is outside its bound.
 const OUT_OF_BOUNDS: u8 = 3;
 
-/// How a sub-command ended, if it could be run.
+/// Result of a sub-command that could be run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CommandOutcome {
-    /// It is done, and every result is within its bound.
+    /// All runs completed, and every result is within its bound.
     Passed,
     /// A measured result is outside its bound.
     OutOfBounds,
-    /// One of several runs has failed, and its error was printed.
+    /// At least one run failed, and its error was printed.
     RunFailed,
 }
 
--- a/crates/testbed/src/bin/sanddyke-testbed/measurements.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/measurements.rs
@@ -1,10 +1,10 @@
-//! The sub-commands that measure: `duties` and `second`.
+//! The measuring sub-commands `duties` and `second`.
 
 use crate::CommandOutcome;
 use sanddyke_testbed::{TestbedError, faults, operations_endpoint};
 use std::path::{Path, PathBuf};
 
-/// Measures how long a lease has no holder, and writes the table and the chart to the folder, if any.
+/// Measures how long a lease has no holder, and writes the table and the chart to the folder `out`, if any.
 pub async fn lease_gaps(
     program: &Path,
     times: usize,
@@ -22,7 +22,8 @@
     Ok(CommandOutcome::Passed)
 }
 
-/// Measures the response times of the operations endpoint, and writes the table and the chart to the folder, if any.
+/// Measures the response times of the operations endpoint, and writes the table and the chart to the folder `out`, if
+/// any. The result is out of bounds if any call was late.
 pub async fn operations_endpoint(
     program: &Path,
     seconds: u64,
--- a/crates/testbed/src/bin/sanddyke-testbed/seeds.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/seeds.rs
@@ -9,25 +9,25 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Number of simulations, and of fault sequences, without variables.
+/// Number of simulations, and of fault sequences, if no environment variable is set.
 const DEFAULT_SIMULATIONS: u64 = 300;
 const DEFAULT_FAULT_SEQUENCES: u64 = 6;
 
-/// A seed whose run failed. The order is that of the seeds.
+/// A seed whose run failed. Values are ordered by seed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct FailedSeed {
     seed: u64,
     reason: String,
 }
 
-/// The number in an environment variable.
+/// The number in an environment variable; `None` if it is not set or not a number.
 pub fn variable(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// The seeds by two environment variables: the first seed, and the number of runs from it.
+/// The range of seeds from two environment variables, which contain the first seed and the number of runs.
 ///
-/// Where only the first seed is set, it alone is run.
+/// If only the first seed is set, the range consists of that seed.
 pub fn seeds(first_variable: &str, runs_variable: &str, default_runs: u64) -> Range<u64> {
     let first = variable(first_variable);
     let default_runs = if first.is_some() { 1 } else { default_runs };
@@ -35,7 +35,7 @@
     first..first + variable(runs_variable).unwrap_or(default_runs)
 }
 
-/// Prints the failed seeds and the counts as test runners do.
+/// Prints the failed seeds and the numbers of passed and failed runs.
 fn print_failures(failed: &[FailedSeed], runs: u64) -> CommandOutcome {
     for FailedSeed { seed, reason } in failed {
         println!("seed {seed}: {reason}");
@@ -44,7 +44,7 @@
     if failed.is_empty() { CommandOutcome::Passed } else { CommandOutcome::RunFailed }
 }
 
-/// Simulates fleets on virtual time, on all cores.
+/// Simulates fleets on virtual time, with one thread per core.
 pub fn simulate() -> CommandOutcome {
     let seeds = seeds("SANDDYKE_SIM_SEED", "SANDDYKE_SIM_RUNS", DEFAULT_SIMULATIONS);
     let next_seed = AtomicU64::new(seeds.start);
@@ -81,18 +81,18 @@
 }
 
 fn print_summaries(summaries: &[SimulationSummary]) {
-    let acts: u64 = summaries.iter().map(|summary| summary.operations).sum();
+    let operations: u64 = summaries.iter().map(|summary| summary.operations).sum();
     let fenced: u64 = summaries.iter().map(|summary| summary.fenced_operations).sum();
     let grants: u64 = summaries.iter().map(|summary| summary.grants).sum();
     println!(
-        "{acts} acts, {fenced} kept out by their number, {grants} grants; after the last fault a holder within:"
+        "{operations} acts, {fenced} kept out by their number, {grants} grants; after the last fault a holder within:"
     );
-    let mut settled_after_ms: Vec<u64> =
+    let mut recovery_times_ms: Vec<u64> =
         summaries.iter().map(|summary| summary.recovery_time_us / 1000).collect();
-    settled_after_ms.sort_unstable();
+    recovery_times_ms.sort_unstable();
     let quantile_ms = |quantile: f64| {
-        let position = (settled_after_ms.len() as f64 * quantile) as usize;
-        settled_after_ms.get(position.min(settled_after_ms.len().saturating_sub(1))).copied()
+        let position = (recovery_times_ms.len() as f64 * quantile) as usize;
+        recovery_times_ms.get(position.min(recovery_times_ms.len().saturating_sub(1))).copied()
     };
     println!(
         "half {:?} ms, nine in ten {:?} ms, all {:?} ms",
@@ -102,7 +102,7 @@
     );
 }
 
-/// Runs sequences of faults between processes, one after another.
+/// Runs fault sequences on fleets of processes, one after another.
 pub async fn run_fault_sequences(program: &Path, seconds: u64) -> CommandOutcome {
     let seeds = seeds("SANDDYKE_FAULT_SEED", "SANDDYKE_FAULT_RUNS", DEFAULT_FAULT_SEQUENCES);
     let runs = seeds.end - seeds.start;
@@ -115,7 +115,7 @@
         match faults::run_sequence(program, seed, Duration::from_secs(seconds)).await {
             Ok(summary) => println!(
                 "{seed:>6} {:>9} {:>7} {:>7} {:>6} {:>15}",
-                summary.managers, summary.faults, summary.grants, summary.acts, summary.longest_gap_ms
+                summary.managers, summary.faults, summary.grants, summary.operations, summary.longest_gap_ms
             ),
             Err(error) => {
                 println!("{seed:>6} {error}");
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Open-loop clients: requests are sent at their times, whether or not earlier ones have been answered.
+//! Open-loop clients: each request is sent at its arrival time, whether or not earlier ones have been answered.
 
 use crate::experiment::{Class, Experiment, Tenant};
 use oorandom::Rand64;
@@ -10,63 +10,63 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Maximum number of requests in flight of one tenant. It bounds the sockets; requests past it are reported as unsent.
+/// Maximum number of concurrent requests of one tenant, which bounds the sockets. Further requests count as unsent.
 const MAX_IN_FLIGHT: usize = 250;
-/// Wait before a retry where the response advises none.
+/// Wait before a retry if the response advises none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Minimum work of a request (ms), and maximum as a multiple of its class's mean.
+/// Minimum work of a request (ms), and maximum work as a multiple of its class's mean.
 const MIN_WORK_MS: f64 = 0.5;
 const MAX_WORK_FACTOR: f64 = 5.0;
-/// Maximum length of a response that is read (bytes).
+/// Maximum number of bytes that are read of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
-/// How a request ended for its client.
+/// How a request ended, as seen by its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// It was served.
+pub enum RequestStatus {
+    /// The last attempt has a result.
     Served,
-    /// Its last attempt was rejected.
+    /// The last attempt was rejected.
     Rejected,
-    /// It failed, or its response is malformed.
+    /// The connection failed, or the response is an error or malformed.
     Failed,
-    /// It had no response within its deadline.
+    /// There was no response within the deadline.
     TimedOut,
-    /// It was not sent, because `MAX_IN_FLIGHT` others were in flight.
+    /// The request was not sent, because `MAX_IN_FLIGHT` others of the tenant were open.
     Unsent,
 }
 
 /// The outcome of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Outcome {
-    /// The tenant, by its position in [`Experiment::named`].
+    /// Index of the tenant in [`Experiment::named_tenants`].
     pub tenant: usize,
-    /// The class, by its position in [`Experiment::classes`].
+    /// Index of the class in [`Experiment::classes`].
     pub class: usize,
-    /// Time of the first attempt (s since the start).
+    /// Arrival time, at which the first attempt is sent (s since the start).
     pub sent_s: f64,
-    /// Time of the end (s since the start).
+    /// Time of the response, error or timeout (s since the start).
     pub ended_s: f64,
     /// Work, as single-thread time (ms).
     pub work_ms: f64,
-    /// Number of attempts.
+    /// Number of attempts; 0 if the request was not sent.
     pub attempts: u32,
-    /// How it ended.
-    pub end: End,
+    /// How the request ended.
+    pub status: RequestStatus,
 }
 
-/// Sends one tenant's requests until the experiment's time is up, and each outcome to `sender`.
-pub async fn tenant(
+/// Sends the requests of the tenant with this index until the experiment ends, and each outcome to `sender`.
+pub async fn run_tenant(
     experiment: Arc<Experiment>,
     index: usize,
     address: SocketAddr,
     start: Instant,
     sender: mpsc::UnboundedSender<Outcome>,
 ) {
-    let named = experiment.named();
-    let name = named[index].0.clone();
-    let tenant = named[index].1.clone();
-    let rate = experiment.rate(&tenant);
-    if rate <= 0.0 {
+    let named_tenants = experiment.named_tenants();
+    let name = named_tenants[index].0.clone();
+    let tenant = named_tenants[index].1.clone();
+    let arrival_rate = experiment.arrival_rate(&tenant);
+    if arrival_rate <= 0.0 {
         return;
     }
     let mut rng = Rand64::new(u128::from(experiment.seed) << 32 | index as u128);
@@ -74,9 +74,9 @@
     let mut sent_s = 0.0;
     let mut number = 0u64;
     loop {
-        // Thinning: arrivals are drawn at the maximum rate, and those beyond the current rate are skipped.
+        // Thinning: arrivals are sampled at the maximum rate, and those in excess of the current rate are skipped.
         let max_factor = tenant.bursts.iter().fold(1.0, |max: f64, burst| max.max(burst.factor));
-        sent_s += -(1.0 - rng.rand_float()).ln() / (rate * max_factor);
+        sent_s += -(1.0 - rng.rand_float()).ln() / (arrival_rate * max_factor);
         if sent_s >= experiment.seconds {
             return;
         }
@@ -84,16 +84,23 @@
         if rng.rand_float() * max_factor > burst.map_or(1.0, |burst| burst.factor) {
             continue;
         }
-        let class = draw_class(&experiment, &tenant, &mut rng);
+        let class = sample_class(&experiment, &tenant, &mut rng);
         let mean_work_ms = experiment.classes[class].work_ms;
         let work_ms = -(1.0 - rng.rand_float()).ln() * mean_work_ms;
         let work_ms = work_ms.clamp(MIN_WORK_MS, MAX_WORK_FACTOR * mean_work_ms);
         number += 1;
         tokio::time::sleep_until(start + Duration::from_secs_f64(sent_s)).await;
-        let unsent =
-            Outcome { tenant: index, class, sent_s, ended_s: sent_s, work_ms, attempts: 0, end: End::Unsent };
+        let unsent = Outcome {
+            tenant: index,
+            class,
+            sent_s,
+            ended_s: sent_s,
+            work_ms,
+            attempts: 0,
+            status: RequestStatus::Unsent,
+        };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            // The receiver ends with the experiment.
+            // The receiver is dropped when the experiment ends.
             let _ = sender.send(unsent);
             continue;
         };
@@ -107,34 +114,34 @@
         };
         let sender = sender.clone();
         tokio::spawn(async move {
-            let (attempts, end) = request.run().await;
+            let (attempts, status) = request.run().await;
             let ended_s = start.elapsed().as_secs_f64();
-            let _ = sender.send(Outcome { ended_s, attempts, end, ..unsent });
+            let _ = sender.send(Outcome { ended_s, attempts, status, ..unsent });
             drop(permit);
         });
     }
 }
 
-fn draw_class(experiment: &Experiment, tenant: &Tenant, rng: &mut Rand64) -> usize {
+fn sample_class(experiment: &Experiment, tenant: &Tenant, rng: &mut Rand64) -> usize {
     let total: f64 = tenant.mix.values().sum();
-    let mut draw = rng.rand_float() * total;
+    let mut sample = rng.rand_float() * total;
     let mut class = 0;
     for (name, fraction) in &tenant.mix {
         class = experiment.classes.iter().position(|class| class.name == *name).unwrap_or(0);
-        if draw < *fraction {
+        if sample < *fraction {
             break;
         }
-        draw -= fraction;
+        sample -= fraction;
     }
     class
 }
 
-/// A request with its retries.
+/// A request, including its retries.
 struct Request {
     class: Class,
     tenant: Tenant,
     tenant_name: String,
-    /// Its number, whose lowest four bits are those of the attempt.
+    /// Number of the request. The lowest four bits are 0 and hold the attempt's number in the transaction number.
     id: u64,
     work_ms: f64,
     address: SocketAddr,
@@ -142,32 +149,32 @@
 
 /// The response to one attempt.
 struct AttemptResponse {
-    end: End,
-    /// Advised wait before a retry.
+    status: RequestStatus,
+    /// Wait before a retry that the response advises, if any.
     retry_after: Option<Duration>,
 }
 
 impl Request {
-    /// Sends attempts until one ends the request; gives their number and the end.
-    async fn run(&self) -> (u32, End) {
+    /// Sends attempts until one ends the request, and returns their number and the request's status.
+    async fn run(&self) -> (u32, RequestStatus) {
         let deadline = Instant::now() + Duration::from_secs_f64(self.class.deadline_ms / 1000.0);
         let mut attempts = 0;
         loop {
             attempts += 1;
             let left = deadline.saturating_duration_since(Instant::now());
-            let AttemptResponse { end, retry_after } =
+            let AttemptResponse { status, retry_after } =
                 match tokio::time::timeout(left, self.attempt(attempts, left)).await {
                     Ok(Ok(response)) => response,
-                    Ok(Err(_)) => AttemptResponse { end: End::Failed, retry_after: None },
-                    Err(_) => AttemptResponse { end: End::TimedOut, retry_after: None },
+                    Ok(Err(_)) => AttemptResponse { status: RequestStatus::Failed, retry_after: None },
+                    Err(_) => AttemptResponse { status: RequestStatus::TimedOut, retry_after: None },
                 };
             let wait = match self.tenant.patient {
                 true => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
                 false => Duration::ZERO,
             };
-            let may_retry = end == End::Rejected && attempts < self.tenant.max_attempts;
+            let may_retry = status == RequestStatus::Rejected && attempts < self.tenant.max_attempts;
             if !may_retry || Instant::now() + wait >= deadline {
-                return (attempts, end);
+                return (attempts, status);
             }
             tokio::time::sleep(wait).await;
         }
@@ -205,10 +212,11 @@
     let retry_after = text.lines().find_map(|line| line.strip_prefix("X-Throttle-Ms: "));
     let retry_after_ms = retry_after.and_then(|value| value.trim().parse::<u64>().ok());
     match text.get(9..12) {
-        Some("200") => AttemptResponse { end: End::Served, retry_after: None },
-        Some("503" | "429" | "403") => {
-            AttemptResponse { end: End::Rejected, retry_after: retry_after_ms.map(Duration::from_millis) }
-        }
-        _ => AttemptResponse { end: End::Failed, retry_after: None },
+        Some("200") => AttemptResponse { status: RequestStatus::Served, retry_after: None },
+        Some("503" | "429" | "403") => AttemptResponse {
+            status: RequestStatus::Rejected,
+            retry_after: retry_after_ms.map(Duration::from_millis),
+        },
+        _ => AttemptResponse { status: RequestStatus::Failed, retry_after: None },
     }
 }
--- a/crates/testbed/src/engine/connection.rs
+++ b/crates/testbed/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an emulated engine.
+//! A client connection of an emulated engine.
 
 use super::MAX_QUEUED_MESSAGES;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -6,17 +6,17 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 
-/// What a connection asks of the engine; `messages` leads back to it.
+/// A command from a connection to the engine. `messages` is the connection's queue of outgoing messages.
 pub(super) enum Command {
     /// Execute a query.
     Execute { id: String, statement: String, messages: mpsc::Sender<String> },
-    /// Cancel a query, if it runs.
+    /// Cancel a query, if it is running.
     Cancel { id: String },
-    /// Report the load under a tag.
+    /// Send a load report with this tag.
     ReportLoad { tag: String, messages: mpsc::Sender<String> },
 }
 
-/// Serves a connection to its end, and then cancels its queries.
+/// Reads commands until the connection is closed, then cancels its queries.
 pub(super) async fn serve(stream: TcpStream, commands: mpsc::Sender<Command>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (input, output) = stream.into_split();
@@ -33,7 +33,7 @@
         let parts: Vec<&str> = line.trim_end().split(' ').collect();
         let command = match parts[..] {
             ["REQ", id, _, length] => {
-                // A line end follows the statement.
+                // The statement is followed by a two-byte line end.
                 let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
                 input.read_exact(&mut body).await?;
                 query_ids.push(id.to_owned());
@@ -49,7 +49,7 @@
         }
     }
     for id in query_ids {
-        // Fails only where the engine has ended, and its queries with it.
+        // Fails only if the engine has stopped, and its queries with it.
         let _ = commands.send(Command::Cancel { id }).await;
     }
     Ok(())
--- a/crates/testbed/src/engine/tests.rs
+++ b/crates/testbed/src/engine/tests.rs
@@ -1,10 +1,10 @@
-//! The emulated cores, over the engine protocol.
+//! Tests of the emulated engine over the engine protocol.
 
 use super::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// Two queries on one core take twice as long as one.
+/// Two concurrent queries of 100 ms each on one core take at least 190 ms; without sharing they would take 100 ms.
 #[tokio::test(flavor = "current_thread")]
 async fn concurrent_queries_share_the_cores() {
     let engine = start(Spec { cores: 1.0, memory_mb: 100.0 }).await.unwrap();
@@ -17,5 +17,5 @@
     lines.read_line(&mut line).await.unwrap();
     assert!(line.contains(" 200 sheets=1,toil=100.0"), "{line}");
     assert!(began.elapsed() >= Duration::from_millis(190), "{:?}", began.elapsed());
-    assert_eq!(engine.received.load(Ordering::Relaxed), 2);
+    assert_eq!(engine.requests_received.load(Ordering::Relaxed), 2);
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -5,69 +5,70 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Maximum load of an experiment (requests per second).
+/// Maximum load of an experiment (requests per second), with all tenants at their highest burst.
 const MAX_REQUESTS_PER_S: f64 = 5000.0;
 
-/// An experiment.
+/// An experiment, as read from its file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Title of the report.
+    /// Title of the report and the chart.
     pub title: String,
-    /// Seed of all random draws.
+    /// Seed of the clients' random numbers and of the program.
     pub seed: u64,
     /// Time for which requests are sent (s).
     pub seconds: f64,
-    /// Start of the measured time (s); before it the queues fill.
+    /// Start of the measured time (s since the start). The time before it lets the queues fill.
     #[serde(default)]
     pub from_s: f64,
-    /// The engines.
+    /// Number and resources of the engines.
     pub engines: Engines,
-    /// Query classes.
+    /// Query classes, which [`Tenant::mix`] names.
     pub classes: Vec<Class>,
-    /// Tenants.
+    /// Tenants and their load.
     pub tenants: Vec<Tenant>,
-    /// Calls of the administration API and changes of engines meanwhile.
+    /// Calls of the administration API and changes of engines during the experiment.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// Maximum difference between a tenant's fraction of the service and its quota (percentage points), if bounded.
+    /// Maximum difference between a tenant's fraction of the service and its quota (percentage points); unbounded if
+    /// `None`.
     pub within_points: Option<f64>,
 }
 
-/// The engines, which are all equal.
+/// The engines, which all have the same resources.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
     /// Number of engines.
     pub count: usize,
-    /// Cores of each.
+    /// Cores of each engine.
     pub cores: f64,
-    /// Memory of each (MB).
+    /// Memory of each engine (MB).
     pub memory_mb: f64,
 }
 
-/// A class.
+/// A query class.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name, which is part of the request path.
     pub name: String,
     /// Latency objective (ms).
     pub target_ms: f64,
     /// Deadline of a request (ms).
     pub deadline_ms: f64,
-    /// `repeatable` or `by_key`.
+    /// `repeatable` or `by_key`; with `by_key` requests carry an idempotency key.
     #[serde(default = "repeatable")]
     pub idempotency: String,
     /// Mean work of a request, as single-thread time (ms); it is exponentially distributed, up to five times the mean.
     pub work_ms: f64,
-    /// Threads of a request.
+    /// Threads that a request uses.
     #[serde(default = "one")]
     pub threads: f64,
-    /// Memory of a request (MB).
+    /// Memory that a request uses (MB).
     #[serde(default)]
     pub memory_mb: f64,
-    /// Priority weight of a request.
+    /// Priority weight of a request (the class setting `worth` of the program).
     #[serde(default = "one")]
     pub worth: f64,
 }
@@ -76,39 +77,39 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name, which is a prefix if `count` is above 1.
     pub name: String,
-    /// Number of equal tenants; where there are several, their names are numbered.
+    /// Number of equal tenants. If there are several, a number is appended to each name.
     #[serde(default = "one_tenant")]
     pub count: usize,
-    /// Its weight.
+    /// Weight among the ungrouped tenants and groups, or within the group.
     pub weight: f64,
-    /// Its group, which is created with weight 1.
+    /// Group, if any; groups are created with weight 1.
     pub group: Option<String>,
-    /// Work of its requests, as a fraction of the capacity of the engines.
+    /// Work of the tenant's requests, as a fraction of the capacity of the engines.
     pub load: f64,
-    /// Relative frequency of each class among its requests.
+    /// Relative frequency of each class among the tenant's requests.
     pub mix: std::collections::BTreeMap<String, f64>,
-    /// Times of more or less load.
+    /// Periods of higher or lower load.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// Maximum number of attempts of a request that is rejected.
+    /// Maximum number of attempts of a request whose attempts are rejected.
     #[serde(rename = "tries", default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Whether its clients wait as advised before a retry, or retry at once.
+    /// Whether clients wait as advised before a retry; otherwise they retry immediately.
     #[serde(default = "yes")]
     pub patient: bool,
 }
 
-/// A time of more or less load.
+/// A period of higher or lower load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// Start (s).
+    /// Start (s since the start of the experiment).
     pub from_s: f64,
-    /// End (s).
+    /// End (s since the start of the experiment), exclusive.
     pub to_s: f64,
-    /// Factor of the load.
+    /// Factor by which the load is multiplied.
     pub factor: f64,
 }
 
@@ -116,18 +117,18 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Time (s since the start).
+    /// Time of the step (s since the start).
     pub at_s: f64,
     /// HTTP method of the call.
     #[serde(default)]
     pub method: String,
-    /// HTTP target of the call.
+    /// HTTP request target of the call.
     #[serde(default)]
     pub target: String,
     /// Body of the call.
     #[serde(default)]
     pub body: String,
-    /// The change of an engine, which replaces the call.
+    /// Change of an engine; if it is set, no call is made.
     pub engine: Option<EngineChange>,
 }
 
@@ -135,12 +136,12 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineChange {
-    /// Its number, from 0.
+    /// Index of the engine, from 0.
     pub number: usize,
-    /// State in which the name server lists it from now on.
+    /// New state in the name server; unchanged if `None`.
     #[serde(rename = "listed")]
     pub state: Option<EndpointState>,
-    /// Speed from now on, relative to the initial one; at 0 it is suspended and reads nothing.
+    /// New speed relative to the initial one; unchanged if `None`. At 0 the engine is suspended and reads nothing.
     pub speed: Option<f64>,
 }
 
@@ -165,10 +166,10 @@
 }
 
 impl Experiment {
-    /// Reads and checks an experiment.
+    /// Reads and validates an experiment file.
     ///
     /// # Errors
-    /// [`TestbedError::Experiment`] where the file cannot be read or is invalid.
+    /// [`TestbedError::Experiment`] if the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
         let invalid = |reason: String| TestbedError::Experiment { path: path.to_owned(), reason };
         let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
@@ -179,47 +180,57 @@
 
     fn check(&self) -> Result<(), String> {
         if !(1.0..=900.0).contains(&self.seconds) || self.from_s >= self.seconds {
-            return Err("seconds must be from 1 to 900, and from_s before their end".to_owned());
+            return Err("seconds must be from 1 to 900, and from_s less than seconds".to_owned());
         }
         if self.engines.count == 0 || self.engines.count > 64 || self.engines.cores <= 0.0 {
-            return Err("engines: from 1 to 64, with cores".to_owned());
+            return Err("engines: count must be from 1 to 64, and cores above 0".to_owned());
         }
         for tenant in &self.tenants {
             let known = |name: &String| self.classes.iter().any(|class| class.name == *name);
             if tenant.mix.is_empty() || !tenant.mix.keys().all(known) {
-                return Err(format!("tenant {}: mix must name classes", tenant.name));
+                return Err(format!(
+                    "tenant {}: mix must contain at least one class, and defined classes only",
+                    tenant.name
+                ));
             }
         }
-        // The testbed bounds its load in number as well as in time.
+        // The duration is bounded above; this bounds the rate.
         match self.requests_per_s() <= MAX_REQUESTS_PER_S {
             true => Ok(()),
-            false => Err(format!("{:.0} requests a second are too many", self.requests_per_s())),
+            false => Err(format!(
+                "load of {:.0} requests/s exceeds the maximum of {MAX_REQUESTS_PER_S:.0}",
+                self.requests_per_s()
+            )),
         }
     }
 
-    /// Work that all engines can do in a second, as single-thread time (ms).
-    pub fn capacity(&self) -> f64 {
+    /// Work that all engines together can do per second, as single-thread time (ms).
+    pub fn capacity_ms_per_s(&self) -> f64 {
         self.engines.count as f64 * self.engines.cores * 1000.0
     }
 
-    /// Requests per second of one such tenant outside of its bursts.
-    pub fn rate(&self, tenant: &Tenant) -> f64 {
-        let parts: f64 = tenant.mix.values().sum();
-        let work = |name: &String| {
-            self.classes.iter().find(|class| class.name == *name).map_or(0.0, |of| of.work_ms)
+    /// Arrival rate of one tenant outside its bursts (requests per second).
+    pub fn arrival_rate(&self, tenant: &Tenant) -> f64 {
+        let total_frequency: f64 = tenant.mix.values().sum();
+        let mean_work_ms = |name: &String| {
+            self.classes.iter().find(|class| class.name == *name).map_or(0.0, |class| class.work_ms)
         };
-        let mean: f64 = tenant.mix.iter().map(|(name, part)| part / parts * work(name)).sum();
-        tenant.load * self.capacity() / mean.max(0.1)
+        let mean: f64 =
+            tenant.mix.iter().map(|(name, frequency)| frequency / total_frequency * mean_work_ms(name)).sum();
+        tenant.load * self.capacity_ms_per_s() / mean.max(0.1)
     }
 
     fn requests_per_s(&self) -> f64 {
-        let most =
-            |tenant: &Tenant| tenant.bursts.iter().fold(1.0, |most: f64, burst| most.max(burst.factor));
-        self.tenants.iter().map(|tenant| tenant.count as f64 * self.rate(tenant) * most(tenant)).sum()
+        let max_factor =
+            |tenant: &Tenant| tenant.bursts.iter().fold(1.0, |max: f64, burst| max.max(burst.factor));
+        self.tenants
+            .iter()
+            .map(|tenant| tenant.count as f64 * self.arrival_rate(tenant) * max_factor(tenant))
+            .sum()
     }
 
-    /// All tenants with their names.
-    pub fn named(&self) -> Vec<(String, &Tenant)> {
+    /// All tenants with their full names, with one entry for each of a tenant's `count`.
+    pub fn named_tenants(&self) -> Vec<(String, &Tenant)> {
         let rows = self.tenants.iter().flat_map(|row| (0..row.count).map(move |number| (number, row)));
         rows.map(|(number, row)| match row.count {
             1 => (row.name.clone(), row),
@@ -228,21 +239,22 @@
         .collect()
     }
 
-    /// The quota of each tenant by weights and groups, as a fraction of all service.
-    pub fn shares(&self) -> Vec<f64> {
-        let named = self.named();
+    /// Quota of each tenant according to weights and groups, as a fraction of all service, in the order of
+    /// [`Experiment::named_tenants`].
+    pub fn quotas(&self) -> Vec<f64> {
+        let named_tenants = self.named_tenants();
         let groups: std::collections::BTreeSet<&String> =
             self.tenants.iter().filter_map(|row| row.group.as_ref()).collect();
-        let single: f64 =
-            named.iter().filter(|(_, row)| row.group.is_none()).map(|(_, row)| row.weight).sum();
-        let whole = single + groups.len() as f64;
-        let share = |row: &Tenant| match &row.group {
-            None => row.weight / whole,
+        let ungrouped_weight: f64 =
+            named_tenants.iter().filter(|(_, row)| row.group.is_none()).map(|(_, row)| row.weight).sum();
+        let total_weight = ungrouped_weight + groups.len() as f64;
+        let quota = |row: &Tenant| match &row.group {
+            None => row.weight / total_weight,
             Some(group) => {
-                let members = named.iter().filter(|(_, other)| other.group.as_ref() == Some(group));
-                row.weight / members.map(|(_, other)| other.weight).sum::<f64>() / whole
+                let members = named_tenants.iter().filter(|(_, other)| other.group.as_ref() == Some(group));
+                row.weight / members.map(|(_, other)| other.weight).sum::<f64>() / total_weight
             }
         };
-        named.iter().map(|(_, row)| share(row)).collect()
+        named_tenants.iter().map(|(_, row)| quota(row)).collect()
     }
 }
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,5 +1,5 @@
-//! Faults between the processes of a fleet: a random sequence from a seed that ends with a check of the invariants,
-//! or one kind at a time to measure how long a lease has no holder.
+//! Fault injection into a fleet of processes: random sequences that a seed determines, followed by a check of the
+//! invariants, and measurements of how long a lease has no holder after each kind of fault.
 
 mod kind;
 mod measurement;
@@ -9,5 +9,5 @@
 pub use measurement::{FaultGaps, chart, csv, measure};
 pub use sequence::{SequenceSummary, run_sequence};
 
-/// The lease that is observed: that of the scheduled backup.
+/// The observed lease, whose holder writes the scheduled backups.
 const LEASE: &str = "backup";
--- a/crates/testbed/src/faults/kind.rs
+++ b/crates/testbed/src/faults/kind.rs
@@ -1,32 +1,32 @@
-//! The kinds of faults, how each is injected and removed.
+//! The kinds of faults, and how each is injected and removed.
 
 use crate::TestbedError;
 use crate::fleet::{CutDirection, Fleet};
 use std::fmt;
 
-/// A kind of fault of one manager, usually the one that holds the lease.
+/// A kind of fault that is injected into one manager, usually the lease holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Its process is killed.
+    /// The process is killed.
     Killed,
-    /// Its process is suspended for longer than its lease, and resumes.
+    /// The process is suspended, and resumed when the fault is removed.
     Suspended,
-    /// What it sends is lost.
+    /// Messages from the manager are lost.
     OutgoingCut,
-    /// What is sent to it is lost.
+    /// Messages to the manager are lost.
     IncomingCut,
-    /// Both.
+    /// Messages in both directions are lost.
     CutOff,
-    /// It shuts down gracefully.
+    /// The manager shuts down gracefully.
     Terminated,
-    /// It is drained, and resumed.
+    /// The manager is drained, and resumed when the fault is removed.
     Drained,
-    /// An operator hands its lease over.
+    /// The lease is handed over with a call of the administration API.
     HandedOver,
 }
 
 impl FaultKind {
-    /// All kinds, in the order of the random draws and of the table.
+    /// All kinds. The order determines which kind a random number selects, and the order of the table.
     pub const ALL: [FaultKind; 8] = [
         FaultKind::Killed,
         FaultKind::Suspended,
@@ -38,7 +38,7 @@
         FaultKind::HandedOver,
     ];
 
-    /// Whether the holder can hand its lease over itself.
+    /// Whether the lease holder can hand its lease over itself, without waiting for its expiry.
     pub fn is_planned(self) -> bool {
         matches!(self, FaultKind::Terminated | FaultKind::Drained | FaultKind::HandedOver)
     }
@@ -57,7 +57,7 @@
                 fleet.call_operations_endpoint(manager, "POST", "/admin/quiesce").await?;
             }
             FaultKind::HandedOver => {
-                // Rejected where another manager holds the lease by now.
+                // The call is rejected if another manager holds the lease by now.
                 let _ = fleet.call(manager, "POST", "/v1/fleet/duties/backup/hand-over").await;
             }
         }
@@ -81,7 +81,7 @@
     }
 }
 
-/// The name in tables and charts.
+/// Formats the name in tables and charts.
 impl fmt::Display for FaultKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
--- a/crates/testbed/src/faults/measurement.rs
+++ b/crates/testbed/src/faults/measurement.rs
@@ -1,4 +1,4 @@
-//! How long a lease has no holder, by the kind of fault of its holder.
+//! Measures how long a lease has no holder after each kind of fault of its holder.
 
 use super::{FaultKind, LEASE};
 use crate::TestbedError;
@@ -13,39 +13,43 @@
 pub struct FaultGaps {
     /// The kind of fault.
     pub kind: FaultKind,
-    /// The times without a holder (ms), ascending.
+    /// Times without a holder (ms), ascending.
     pub gaps_ms: Vec<f64>,
 }
 
 impl FaultGaps {
-    /// The shortest time (ms); not a number where there are none.
+    /// The shortest time (ms); NaN without any.
     pub fn shortest_ms(&self) -> f64 {
         self.gaps_ms.first().copied().unwrap_or(f64::NAN)
     }
 
-    /// The median time (ms); not a number where there are none.
+    /// The median time (ms), the upper one of two; NaN without any.
     pub fn median_ms(&self) -> f64 {
         self.gaps_ms.get(self.gaps_ms.len() / 2).copied().unwrap_or(f64::NAN)
     }
 
-    /// The longest time (ms); not a number where there are none.
+    /// The longest time (ms); NaN without any.
     pub fn longest_ms(&self) -> f64 {
         self.gaps_ms.last().copied().unwrap_or(f64::NAN)
     }
 }
 
-/// Injects each kind of fault `times` times into the holder's manager, on one fleet of three, and measures the times
-/// without a holder.
+/// Injects each kind of fault `repetitions` times into the lease holder of a fleet of three managers, and measures the
+/// times without a holder.
 ///
 /// # Errors
-/// The invariant that does not hold, or what could not be run.
-pub async fn measure(binary: &Path, times: usize, lease_ms: u64) -> Result<Vec<FaultGaps>, TestbedError> {
+/// Fails if an invariant is violated, or the fleet cannot be started or called.
+pub async fn measure(
+    binary: &Path,
+    repetitions: usize,
+    lease_ms: u64,
+) -> Result<Vec<FaultGaps>, TestbedError> {
     let plan = Plan { lease_ms, ..Plan::default() };
     let mut fleet = Fleet::start(binary, plan).await?;
     let mut rows = Vec::new();
     for kind in FaultKind::ALL {
         let mut gaps_ms = Vec::new();
-        for _ in 0..times {
+        for _ in 0..repetitions {
             gaps_ms.extend(measure_fault(&mut fleet, kind, lease_ms).await?);
         }
         gaps_ms.sort_by(f64::total_cmp);
@@ -56,10 +60,10 @@
     Ok(rows)
 }
 
-/// Injects one fault and waits for another holder; gives the times without a holder (ms).
+/// Injects one fault, waits for another holder, and returns the times without a holder (ms).
 async fn measure_fault(fleet: &mut Fleet, kind: FaultKind, lease_ms: u64) -> Result<Vec<f64>, TestbedError> {
     let holder = fleet.wait_for_holder(LEASE, None).await?;
-    // The holder extends its lease meanwhile, so that the fault comes at any time within one.
+    // The holder extends its lease during this wait, so that the fault occurs at an arbitrary time within a lease.
     tokio::time::sleep(Duration::from_millis(lease_ms)).await;
     let gaps_before = fleet.history()?.gaps_us(LEASE).len();
     kind.inject(fleet, holder).await?;
@@ -70,7 +74,7 @@
     Ok(gaps_us[gaps_before..].iter().map(|gap_us| *gap_us as f64 / 1000.0).collect())
 }
 
-/// The measurement as CSV.
+/// Formats the measurement as CSV.
 pub fn csv(rows: &[FaultGaps], lease_ms: u64) -> String {
     let mut text = "fault,lease_ms,times,middle_ms,longest_ms\n".to_owned();
     for row in rows {
--- a/crates/testbed/src/faults/sequence.rs
+++ b/crates/testbed/src/faults/sequence.rs
@@ -1,4 +1,4 @@
-//! A random sequence of faults from a seed.
+//! Runs a random sequence of faults that a seed determines.
 
 use super::{FaultKind, LEASE};
 use crate::TestbedError;
@@ -9,37 +9,39 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Probability that a fault is that of the lease holder, not that of a random manager.
+/// Probability that a fault is injected into the lease holder, not into a random manager.
 const HOLDER_PROBABILITY: f64 = 0.7;
-/// Probability that all links lose, duplicate and delay messages during a fault, and the maximum fractions.
+/// Probability that all links lose, duplicate and delay messages during a fault, and the maximum fractions of lost and
+/// duplicated messages.
 const LINK_FAULT_PROBABILITY: f64 = 0.4;
 const MAX_LOSS: f64 = 0.2;
 const MAX_DUPLICATION: f64 = 0.2;
 /// Probability that all connections are closed at the start of a fault.
 const RESET_PROBABILITY: f64 = 0.3;
-/// How long a fault lasts, and the time to the next one (ms).
+/// Duration of a fault, and time from its removal to the next fault (ms).
 const FAULT_MS: Range<u64> = 50..4000;
 const PAUSE_MS: Range<u64> = 50..2000;
 
-/// What a sequence of faults showed.
+/// The results of a sequence of faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SequenceSummary {
     /// Number of managers.
     pub managers: usize,
     /// Number of faults.
     pub faults: usize,
-    /// Number of grants of the lease.
+    /// Number of lease terms.
     pub grants: usize,
-    /// Number of acts that took effect.
-    pub acts: usize,
+    /// Number of operations (backups) that took effect.
+    pub operations: usize,
     /// The longest time without a holder (ms).
     pub longest_gap_ms: u64,
 }
 
-/// Injects faults from a seed into a fleet of processes for a duration, then removes all and checks the invariants.
+/// Injects and removes random faults in a fleet of processes for a duration, then checks the invariants. The seed
+/// determines the faults and the number of managers.
 ///
 /// # Errors
-/// The invariant that does not hold, or what could not be run.
+/// Fails if an invariant is violated, or the fleet cannot be started or called.
 pub async fn run_sequence(
     binary: &Path,
     seed: u64,
@@ -60,7 +62,7 @@
     check(&fleet, seed, faults)
 }
 
-/// Injects and removes one fault.
+/// Injects one fault, removes it after a random time, and pauses.
 async fn run_fault(fleet: &mut Fleet, rng: &mut Rand64) -> Result<(), TestbedError> {
     let kind = FaultKind::ALL[rng.rand_range(0..FaultKind::ALL.len() as u64) as usize];
     let is_of_holder = rng.rand_float() < HOLDER_PROBABILITY;
@@ -84,23 +86,23 @@
     Ok(())
 }
 
-/// Checks the history of the fleet, and that there is a backup for each that was logged.
+/// Checks the history of the fleet, and that there are at least as many backups as were logged.
 fn check(fleet: &Fleet, seed: u64, faults: usize) -> Result<SequenceSummary, TestbedError> {
     let step = format!("seed {seed}");
     let history = fleet.history()?;
     history.check().map_err(|violation| TestbedError::step(&step, violation.to_string()))?;
     let applied_operations = history.applied_operations();
     let backups = fleet.backups()?;
-    // A manager that was killed between an act and its log line has made a backup that is not in its log.
+    // A manager that was killed between a backup and its log line leaves a backup that is not in its log.
     if backups.len() < applied_operations.len() {
-        let reason = format!("{} backups of {} are there", backups.len(), applied_operations.len());
+        let reason = format!("found {} backups, but {} were logged", backups.len(), applied_operations.len());
         return Err(TestbedError::step(&step, reason));
     }
     Ok(SequenceSummary {
         managers: fleet.size(),
         faults,
         grants: history.lease_terms().len(),
-        acts: applied_operations.len(),
+        operations: applied_operations.len(),
         longest_gap_ms: history.gaps_us(LEASE).into_iter().max().unwrap_or(0) / 1000,
     })
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program as one fleet, with faults between them: they are killed, suspended, and restarted
-//! with or without their files, and the testbed relays the links between them. Every process ends with the fleet.
+//! A fleet of managers as local processes, for fault injection. Managers can be killed, suspended, and restarted with
+//! or without their files, and the testbed relays and disturbs the links between them. All processes are killed on
+//! drop.
 
 mod configuration;
 mod manager;
@@ -21,50 +22,51 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tempfile::TempDir;
 
-/// The tenant whose queries are sent.
+/// Name of the tenant in [`Fleet::query`].
 pub const TENANT: &str = "demo";
-/// Time within which the program does what it is called for, on any machine that is not stuck.
+/// Maximum time to wait for a condition or for the exit of a process. A longer wait means that something is stuck.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// Second byte of the loopback addresses of the first fleet of this process, and the number of fleets until they repeat.
+/// Second byte of the first fleet's loopback addresses, and the number of fleets after which the addresses repeat.
 const FIRST_ADDRESS_BLOCK: u8 = 180;
 const ADDRESS_BLOCKS: u8 = 64;
 
 /// Number of fleets that this process has started.
 static FLEETS_STARTED: AtomicU8 = AtomicU8::new(0);
 
-/// The directions in which a manager is cut off from others.
+/// The directions in which the links between a manager and its peers are cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutDirection {
-    /// What it sends is lost.
+    /// Messages from the manager are lost.
     Outgoing,
-    /// What is sent to it is lost.
+    /// Messages to the manager are lost.
     Incoming,
-    /// Both.
+    /// Messages in both directions are lost.
     Both,
 }
 
-/// A running fleet.
+/// A fleet of managers. Managers are numbered from 0; a method panics if its number is not below [`Fleet::size`].
 #[derive(Debug)]
 pub struct Fleet {
     plan: Plan,
     binary: PathBuf,
     folder: TempDir,
     managers: Vec<Manager>,
-    /// The links between the managers.
+    /// The relayed links between the managers.
     pub links: Arc<Links>,
-    /// Events that are in no log: kills.
+    /// Events that no log contains, which are kills.
     history: History,
 }
 
 impl Fleet {
-    /// Starts all managers, and the relays between them.
+    /// Starts all managers and the relays between them.
     ///
     /// # Errors
-    /// Fails where the plan is invalid, or a file, an address or a process is not available.
+    /// Fails if the plan is invalid, a file cannot be written, an address cannot be bound, or a process cannot be
+    /// started.
     pub async fn start(binary: &Path, plan: Plan) -> Result<Fleet, TestbedError> {
         if plan.managers > MAX_MANAGERS || plan.voters > plan.managers {
             return Err(TestbedError::Program(format!(
-                "a fleet has at most {MAX_MANAGERS} managers, of which some vote"
+                "invalid fleet plan: at most {MAX_MANAGERS} managers, and at most as many voters as managers: {plan:?}"
             )));
         }
         let folder = tempfile::tempdir()?;
@@ -85,38 +87,38 @@
         Ok(fleet)
     }
 
-    /// Address of a manager's administration API.
+    /// Listen address of a manager's administration API.
     pub fn admin_address(&self, number: usize) -> SocketAddr {
         self.managers[number].admin_address()
     }
 
-    /// Address to which a manager's clients connect.
+    /// Listen address of a manager for clients.
     pub fn client_address(&self, number: usize) -> SocketAddr {
         self.managers[number].client_address()
     }
 
-    /// The file with the token of the administration API.
+    /// Path of the file with the administration API's bearer token.
     pub fn token_file(&self) -> PathBuf {
         self.folder.path().join("token")
     }
 
-    /// The process id of a running manager.
+    /// Process id of a manager; `None` if it is not running.
     pub fn process_id(&self, number: usize) -> Option<u32> {
         self.managers[number].process_id()
     }
 
-    /// Number of managers, running or not.
+    /// Number of managers, including those that are not running.
     pub fn size(&self) -> usize {
         self.managers.len()
     }
 
-    /// The managers that run and are not suspended.
+    /// Numbers of the managers that are running and not suspended.
     pub fn running(&self) -> Vec<usize> {
         let managers = self.managers.iter().enumerate();
         managers.filter(|(_, manager)| manager.is_running()).map(|(number, _)| number).collect()
     }
 
-    /// Starts a manager that is not running.
+    /// Writes a manager's configuration and starts its process, which must not be running.
     pub fn start_manager(&mut self, number: usize) -> Result<(), TestbedError> {
         let folder = self.folder.path();
         let config = folder.join(format!("m{number}.json"));
@@ -127,7 +129,8 @@
         manager.spawn(&self.binary, &config, log)
     }
 
-    /// Restarts the managers whose processes have exited, as a service supervisor does; gives their number.
+    /// Restarts the managers whose processes have exited, as a service supervisor does, and returns how many it
+    /// restarted.
     pub fn restart_exited(&mut self) -> Result<usize, TestbedError> {
         let mut exited = Vec::new();
         for (number, manager) in self.managers.iter_mut().enumerate() {
@@ -143,7 +146,7 @@
         Ok(exited.len())
     }
 
-    /// Kills a manager at once.
+    /// Kills a manager with SIGKILL.
     pub async fn kill(&mut self, number: usize) -> Result<(), TestbedError> {
         if let Some(mut child) = self.managers[number].child.take() {
             child.kill().await?;
@@ -152,40 +155,42 @@
         Ok(())
     }
 
-    /// Requests a manager's graceful shutdown, and waits for its end.
+    /// Shuts a manager down gracefully with SIGTERM and waits for its exit.
     ///
     /// # Errors
-    /// Fails where it does not end in time, or with an error.
+    /// Fails if the process does not exit within 60 s or exits with an error.
     pub async fn terminate(&mut self, number: usize) -> Result<(), TestbedError> {
         self.managers[number].signal("-TERM").await?;
         if let Some(mut child) = self.managers[number].child.take() {
             let exit = tokio::time::timeout(TIMEOUT, child.wait()).await;
-            let status = exit.map_err(|_| TestbedError::Program(format!("m{number} does not end")))??;
+            let status = exit.map_err(|_| {
+                TestbedError::Program(format!("m{number} did not exit within {TIMEOUT:?} after SIGTERM"))
+            })??;
             if !status.success() {
-                return Err(TestbedError::Program(format!("m{number} ended with {status}")));
+                return Err(TestbedError::Program(format!("m{number} exited with {status} after SIGTERM")));
             }
         }
         Ok(())
     }
 
-    /// Suspends a manager's process.
+    /// Suspends a manager's process with SIGSTOP.
     pub async fn suspend(&mut self, number: usize) -> Result<(), TestbedError> {
         self.managers[number].is_suspended = true;
         self.managers[number].signal("-STOP").await
     }
 
-    /// Resumes a suspended process.
+    /// Resumes a suspended process with SIGCONT.
     pub async fn resume(&mut self, number: usize) -> Result<(), TestbedError> {
         self.managers[number].is_suspended = false;
         self.managers[number].signal("-CONT").await
     }
 
-    /// Removes a file of a manager that is not running, by its extension: `votes` is the voter's state.
+    /// Removes the file of a stopped manager with this extension; `votes` is the voter's state.
     pub fn remove_file(&self, number: usize, extension: &str) -> Result<(), TestbedError> {
         Ok(std::fs::remove_file(self.manager_file(number, extension))?)
     }
 
-    /// Overwrites a file of a manager that is not running, by its extension.
+    /// Overwrites the file of a stopped manager with this extension.
     pub fn overwrite_file(&self, number: usize, extension: &str, bytes: &[u8]) -> Result<(), TestbedError> {
         Ok(std::fs::write(self.manager_file(number, extension), bytes)?)
     }
@@ -194,7 +199,7 @@
         self.folder.path().join(format!("m{number}.{extension}"))
     }
 
-    /// Cuts the links between a manager and its peers; the manager itself may be among `peers`.
+    /// Cuts the links between a manager and `peers`; the manager's own number in `peers` is ignored.
     pub fn cut(&self, number: usize, peers: &[usize], direction: CutDirection) {
         let cut = LinkFault { cut: true, ..LinkFault::default() };
         for peer in peers.iter().filter(|peer| **peer != number) {
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Sets the faults of one link.
+    /// Sets the faults of the link in one direction.
     pub fn set_link(&self, from: usize, to: usize, fault: LinkFault) {
         self.links.set(self.managers[from].address, self.managers[to].address, fault);
     }
@@ -221,7 +226,7 @@
         }
     }
 
-    /// What the managers have done so far, by their logs.
+    /// Reconstructs the history of the fleet so far from the logs and the kills.
     pub fn history(&self) -> Result<History, TestbedError> {
         let mut history = self.history.clone();
         for (number, manager) in self.managers.iter().enumerate() {
@@ -232,7 +237,7 @@
         Ok(history)
     }
 
-    /// The log of a manager's last process.
+    /// The log of a manager's latest process; empty if it was never started.
     pub fn log(&self, number: usize) -> Result<String, TestbedError> {
         match self.managers[number].logs.last() {
             Some(log) => Ok(std::fs::read_to_string(log)?),
@@ -240,7 +245,7 @@
         }
     }
 
-    /// The file names of the complete backups, sorted.
+    /// File names of the complete backups, sorted.
     pub fn backups(&self) -> Result<Vec<String>, TestbedError> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(self.folder.path().join("backups"))? {
@@ -252,7 +257,7 @@
     }
 }
 
-/// Loopback addresses that no other fleet of this process uses, nor one of another process.
+/// Loopback addresses derived from the process id and the fleet's number, so that concurrent fleets do not collide.
 fn manager_addresses(managers: usize) -> impl Iterator<Item = IpAddr> {
     let [process_low, process_high] = (std::process::id() as u16).to_le_bytes();
     let block = FIRST_ADDRESS_BLOCK + FLEETS_STARTED.fetch_add(1, Ordering::Relaxed) % ADDRESS_BLOCKS;
--- a/crates/testbed/src/fleet/configuration.rs
+++ b/crates/testbed/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a fleet's managers.
+//! Generates the configuration files of a fleet's managers.
 
 use super::manager::Manager;
 use super::plan::Plan;
@@ -9,11 +9,11 @@
 
 /// Number of zones over which the managers are spread.
 const ZONES: usize = 3;
-/// What the settings state of each engine.
+/// Resources of each engine in the settings.
 const ENGINE_CORES: f64 = 4.0;
 const ENGINE_MEMORY_MB: f64 = 4096.0;
 
-/// The configuration file of one manager, with its files in `folder`.
+/// Contents of one manager's configuration file. Its store, vote, token and backup paths are in `folder`.
 pub(super) fn configuration(plan: &Plan, managers: &[Manager], number: usize, folder: &Path) -> Value {
     let manager = &managers[number];
     let voters = &managers[..plan.voters];
--- a/crates/testbed/src/fleet/manager.rs
+++ b/crates/testbed/src/fleet/manager.rs
@@ -9,23 +9,23 @@
 const CLIENT_PORT: u16 = 8080;
 const ADMIN_PORT: u16 = 8081;
 const OPERATIONS_PORT: u16 = 9000;
-/// Port on which the manager listens to its peers.
+/// Port on which the manager accepts connections of its peers, through the relay.
 const PEER_PORT: u16 = 9100;
-/// Port that the manager advertises to its peers, on which the testbed relays.
+/// Port that the manager advertises to its peers; the testbed listens on it and relays to `PEER_PORT`.
 const RELAY_PORT: u16 = 9200;
 
-/// One manager of a fleet, running or not.
+/// One manager of a fleet and its process, if it is running.
 #[derive(Debug)]
 pub(super) struct Manager {
     pub(super) address: IpAddr,
     pub(super) child: Option<Child>,
-    /// The logs of all its processes, oldest first.
+    /// Log files of all processes of this manager, oldest first.
     pub(super) logs: Vec<PathBuf>,
     pub(super) is_suspended: bool,
 }
 
 impl Manager {
-    /// A manager that is not running yet.
+    /// Creates a manager without a process.
     pub(super) fn new(address: IpAddr) -> Manager {
         Manager { address, child: None, logs: Vec::new(), is_suspended: false }
     }
@@ -54,12 +54,12 @@
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Whether it can answer: its process was started and is not suspended.
+    /// Whether the process was started and is not suspended. A process that exited by itself counts as running.
     pub(super) fn is_running(&self) -> bool {
         self.child.is_some() && !self.is_suspended
     }
 
-    /// Starts its process with a new log; the process ends with the fleet.
+    /// Starts the process with a new log file. The process is killed on drop.
     pub(super) fn spawn(&mut self, binary: &Path, config: &Path, log: PathBuf) -> Result<(), TestbedError> {
         let mut command = Command::new(binary);
         command.arg("--config").arg(config).env("RUST_LOG", "info,sanddyke::cluster=debug");
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Sends its process a signal, such as `-TERM`; does nothing where it is not running.
+    /// Sends the process a signal, such as `-TERM`. Does nothing if there is no process.
     pub(super) async fn signal(&self, signal: &str) -> Result<(), TestbedError> {
         if let Some(id) = self.process_id() {
             Command::new("kill").args([signal, &id.to_string()]).status().await?;
--- a/crates/testbed/src/fleet/plan.rs
+++ b/crates/testbed/src/fleet/plan.rs
@@ -1,16 +1,16 @@
-//! What a fleet consists of.
+//! The parameters of a fleet.
 
 use std::net::SocketAddr;
 
 /// Maximum number of managers in a fleet.
 pub const MAX_MANAGERS: usize = 30;
 
-/// What a fleet consists of.
+/// The parameters of a fleet.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Number of managers, up to [`MAX_MANAGERS`].
     pub managers: usize,
-    /// Number of voters: the first of the managers.
+    /// Number of voters, which are the managers with the lowest numbers.
     pub voters: usize,
     /// Duration of each lease (ms).
     pub lease_ms: u64,
@@ -18,7 +18,7 @@
     pub backup_every_ms: u64,
     /// Seed of the links' faults.
     pub seed: u64,
-    /// Engines of all managers. Where there are any, there is a class `lookup`.
+    /// Addresses of the engines that all managers use. The class `lookup` is configured only if there are engines.
     pub engines: Vec<SocketAddr>,
 }
 
--- a/crates/testbed/src/fleet/requests.rs
+++ b/crates/testbed/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Queries and administration calls to a fleet's managers, and waiting for what they show.
+//! Queries and administration calls to a fleet's managers, and polling of their views of the fleet.
 
 use super::{Fleet, TENANT, TIMEOUT};
 use crate::TestbedError;
@@ -11,20 +11,20 @@
 
 /// Time between two polls of a manager's view.
 const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two attempts of a call that any manager may take.
+/// Time between two rounds of a call that any manager may accept.
 const CALL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The response to a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueryResponse {
-    /// HTTP status; 0 where there was no status line.
+    /// HTTP status; 0 if the response has no valid status line.
     pub status: u16,
-    /// Time to the end of the response.
+    /// Time from the connection attempt to the end of the response.
     pub latency: Duration,
 }
 
 impl Fleet {
-    /// Creates the tenant of [`Fleet::query`] at every running manager, each of which has a store of its own.
+    /// Creates [`TENANT`] at every running manager, since each manager has its own store.
     pub async fn create_tenant(&self) -> Result<(), TestbedError> {
         for number in self.running() {
             let body = json!({ "name": TENANT }).to_string();
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    /// Sends a manager a query with this transaction number.
+    /// Sends a query with this transaction number to a manager and waits for the response.
     pub async fn query(&self, manager: usize, transaction: u64) -> Result<QueryResponse, TestbedError> {
         let start = Instant::now();
         let body = "work=5 SELECT 1 FROM s_1.t";
@@ -46,7 +46,7 @@
         Ok(QueryResponse { status, latency: start.elapsed() })
     }
 
-    /// Calls a manager's operations endpoint; gives the HTTP status.
+    /// Calls a manager's operations endpoint and returns the HTTP status.
     pub async fn call_operations_endpoint(
         &self,
         number: usize,
@@ -57,15 +57,15 @@
         exchange(self.managers[number].operations_address(), &request).await
     }
 
-    /// Calls a manager's administration API.
+    /// Calls a manager's administration API without a body and returns the response body.
     pub async fn call(&self, number: usize, method: &str, target: &str) -> Result<Value, TestbedError> {
         call(self.admin_address(number), method, target, "").await
     }
 
-    /// Posts to the administration API of each running manager until one accepts the call; gives that manager.
+    /// Posts to the administration API of each running manager in turn until one accepts, and returns its number.
     ///
     /// # Errors
-    /// The last rejection, where none accepts in time.
+    /// The last error, if no manager accepts the call within 60 s.
     pub async fn post_to_any(&self, target: &str, body: &str) -> Result<usize, TestbedError> {
         let start = Instant::now();
         loop {
@@ -77,18 +77,19 @@
                 }
             }
             if start.elapsed() > TIMEOUT {
-                return Err(last_error.unwrap_or(TestbedError::Program("no manager runs".to_owned())));
+                return Err(last_error
+                    .unwrap_or(TestbedError::Program(format!("no manager is running for POST {target}"))));
             }
             tokio::time::sleep(CALL_RETRY_INTERVAL).await;
         }
     }
 
-    /// The fleet as one manager sees it.
+    /// One manager's view of the fleet, from `/v1/fleet`.
     pub async fn view(&self, number: usize) -> Result<Value, TestbedError> {
         self.call(number, "GET", "/v1/fleet").await
     }
 
-    /// Waits until one manager's view of the fleet meets a condition, whose description is for the error.
+    /// Waits until one manager's view of the fleet meets `condition`; `description` states it in the error message.
     pub async fn wait_for_view(
         &self,
         number: usize,
@@ -104,10 +105,12 @@
             }
             tokio::time::sleep(VIEW_POLL_INTERVAL).await;
         }
-        Err(TestbedError::Program(format!("m{number} never showed {description}")))
+        Err(TestbedError::Program(format!(
+            "the fleet view of m{number} did not show {description} within {TIMEOUT:?}"
+        )))
     }
 
-    /// The manager that holds a lease now by its own view.
+    /// The first running manager whose own view shows that it holds the lease.
     pub async fn holder(&self, lease: &str) -> Option<usize> {
         for number in self.running() {
             let Ok(view) = self.view(number).await else { continue };
@@ -122,7 +125,7 @@
     /// Waits until a manager other than `previous` holds a lease.
     ///
     /// # Errors
-    /// The views of all running managers, where there is no such holder in time.
+    /// If there is no such holder within 60 s; the message contains the views of all running managers.
     pub async fn wait_for_holder(&self, lease: &str, previous: Option<usize>) -> Result<usize, TestbedError> {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
@@ -138,11 +141,13 @@
                 Err(error) => views.push_str(&format!("; m{number}: {error}")),
             }
         }
-        Err(TestbedError::Program(format!("nobody holds {lease}{views}")))
+        Err(TestbedError::Program(format!(
+            "no new holder of lease {lease} within {TIMEOUT:?} (previous holder: {previous:?}){views}"
+        )))
     }
 }
 
-/// Sends an HTTP request and reads the response to its end; gives its status, 0 where there is none.
+/// Sends an HTTP request, reads the response to its end, and returns its status, or 0 without a valid status line.
 async fn exchange(address: SocketAddr, request: &str) -> Result<u16, TestbedError> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(request.as_bytes()).await?;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,43 +1,43 @@
-//! The history of a fleet, reconstructed from its managers' logs, and the invariants on it. Each line of a lease has the
-//! Unix time in microseconds; all managers run on one machine, so the times are of one clock.
+//! Reconstructs the history of a fleet's leases from its managers' logs and checks invariants on it. Each log line
+//! about a lease contains the Unix time in microseconds. The times are comparable because all managers run on one machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A manager by its number in the fleet.
+/// Number of a manager in the fleet.
 pub type Manager = usize;
 
-/// An event of a manager.
+/// An event in a manager's history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It acquired or extended a lease.
+    /// The manager acquired or extended a lease.
     Held {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
-        /// When the lease expires by the manager's own count, in microseconds of Unix time.
+        /// Expiry of the lease as the manager computes it, in microseconds of Unix time.
         expires_at_us: u64,
     },
-    /// Its lease ended.
+    /// The manager's lease ended.
     Ended {
         /// Name of the lease.
         lease: String,
         /// Fencing token of the grant.
         fencing_token: u64,
     },
-    /// An act under a lease took effect.
-    Acted {
-        /// What was made, by a name that is the same whichever manager makes it.
-        product: String,
-        /// Fencing token that it was made under.
+    /// An operation under a lease took effect.
+    OperationApplied {
+        /// Lease and period, which identify the operation independently of the manager.
+        operation: String,
+        /// Fencing token with which it was applied.
         fencing_token: u64,
     },
-    /// It was killed: it holds no lease from here on.
+    /// The manager was killed, which ends all its leases.
     Killed,
 }
 
-/// An event with its time and manager.
+/// An event with its manager and its time, in microseconds of Unix time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Entry {
     at_us: u64,
@@ -45,7 +45,7 @@
     event: Event,
 }
 
-/// A time in which a manager held a lease under one fencing token.
+/// A period during which a manager held a lease under one fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseTerm {
     /// Name of the lease.
@@ -60,12 +60,12 @@
     pub until_us: u64,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HistoryViolation {
-    /// Two managers held a lease at the same moment.
+    /// Two managers held a lease at the same time.
     #[error(
-        "{}: m{} held it under {} for {} us more as m{} acquired it under {}",
+        "lease {}: m{} with fencing token {} held it for another {} us after m{} acquired it with fencing token {}",
         first.lease, first.manager, first.fencing_token, first.until_us - second.from_us,
         second.manager, second.fencing_token
     )]
@@ -75,27 +75,30 @@
         /// The later holder.
         second: LeaseTerm,
     },
-    /// A holder's fencing token is not above those before.
-    #[error("{}: m{} acquired it under {} after {previous}", lease_term.lease, lease_term.manager, lease_term.fencing_token)]
+    /// A lease holder's fencing token is not greater than the previous one.
+    #[error(
+        "lease {}: m{} acquired it with fencing token {}, which is not greater than the previous one, {previous}",
+        lease_term.lease, lease_term.manager, lease_term.fencing_token
+    )]
     TokenNotIncreasing {
-        /// The holder.
+        /// The lease term with this fencing token.
         lease_term: LeaseTerm,
-        /// The fencing token before.
+        /// Fencing token of the previous lease term.
         previous: u64,
     },
-    /// Something was made twice.
-    #[error("{product} was made again by m{manager} under {fencing_token}")]
-    MadeTwice {
-        /// What was made.
-        product: String,
-        /// The manager that made it again.
+    /// An operation took effect twice.
+    #[error("operation {operation} was applied again by m{manager} with fencing token {fencing_token}")]
+    OperationAppliedTwice {
+        /// Lease and period, as in [`Event::OperationApplied`].
+        operation: String,
+        /// The manager that applied it again.
         manager: Manager,
-        /// Fencing token that it was made again under.
+        /// Fencing token with which it was applied again.
         fencing_token: u64,
     },
 }
 
-/// The events of a fleet.
+/// The events of a fleet, in any order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History(Vec<Entry>);
 
@@ -104,7 +107,8 @@
     line.split_whitespace().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// Parses a line of a manager's log. Gives the time in microseconds and the event, if it is one of a lease.
+/// Parses a line of a manager's log into the Unix time in microseconds and the event; `None` if it is not a lease
+/// event.
 pub fn parse_line(line: &str) -> Option<(u64, Event)> {
     let number = |key: &str| field(line, key)?.parse::<u64>().ok();
     let lease = || field(line, "lease").map(str::to_owned);
@@ -116,7 +120,7 @@
     } else if has_message("lease ended ") {
         Event::Ended { lease: lease()?, fencing_token }
     } else if has_message("backup written ") {
-        Event::Acted { product: format!("{} {}", lease()?, number("period")?), fencing_token }
+        Event::OperationApplied { operation: format!("{} {}", lease()?, number("period")?), fencing_token }
     } else {
         return None;
     };
@@ -136,17 +140,17 @@
         }
     }
 
-    fn in_order_of_time(&self) -> Vec<Entry> {
+    fn sorted_entries(&self) -> Vec<Entry> {
         let mut entries = self.0.clone();
         entries.sort_by_key(|entry| (entry.at_us, entry.manager));
         entries
     }
 
-    /// When each lease was held, by which manager and under which fencing token, in order of the start.
+    /// All lease terms, in order of their start.
     pub fn lease_terms(&self) -> Vec<LeaseTerm> {
         let mut current: BTreeMap<(String, Manager), LeaseTerm> = BTreeMap::new();
         let mut lease_terms = Vec::new();
-        for Entry { at_us, manager, event } in self.in_order_of_time() {
+        for Entry { at_us, manager, event } in self.sorted_entries() {
             let end =
                 |lease_term: LeaseTerm| LeaseTerm { until_us: lease_term.until_us.min(at_us), ..lease_term };
             match event {
@@ -159,7 +163,7 @@
                         until_us: expires_at_us,
                     };
                     let lease_term = current.entry((lease, manager)).or_insert_with(|| new.clone());
-                    // A lease that expired and is acquired anew is held twice.
+                    // A lease that is acquired again after its expiry starts a new lease term.
                     if fencing_token != lease_term.fencing_token || at_us > lease_term.until_us {
                         lease_terms.push(std::mem::replace(lease_term, new));
                     }
@@ -173,7 +177,7 @@
                     }
                     !is_killed
                 }),
-                Event::Acted { .. } => {}
+                Event::OperationApplied { .. } => {}
             }
         }
         lease_terms.extend(current.into_values());
@@ -181,7 +185,7 @@
         lease_terms
     }
 
-    /// Two managers never held a lease at the same moment.
+    /// Checks that no two managers held a lease at the same time.
     pub fn check_single_holder(&self) -> Result<(), HistoryViolation> {
         let lease_terms = self.lease_terms();
         for (position, first) in lease_terms.iter().enumerate() {
@@ -197,7 +201,7 @@
         Ok(())
     }
 
-    /// Each holder's fencing token is above those of all before.
+    /// Checks that the fencing tokens of each lease increase strictly from one lease term to the next.
     pub fn check_tokens_increase(&self) -> Result<(), HistoryViolation> {
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
         for lease_term in self.lease_terms() {
@@ -210,36 +214,36 @@
         Ok(())
     }
 
-    /// Nothing was made twice.
-    pub fn check_made_once(&self) -> Result<(), HistoryViolation> {
+    /// Checks that no operation took effect twice.
+    pub fn check_operations_applied_once(&self) -> Result<(), HistoryViolation> {
         let mut applied_operations = BTreeSet::new();
-        for Entry { manager, event, .. } in self.in_order_of_time() {
-            if let Event::Acted { product, fencing_token } = event
-                && !applied_operations.insert(product.clone())
+        for Entry { manager, event, .. } in self.sorted_entries() {
+            if let Event::OperationApplied { operation, fencing_token } = event
+                && !applied_operations.insert(operation.clone())
             {
-                return Err(HistoryViolation::MadeTwice { product, manager, fencing_token });
+                return Err(HistoryViolation::OperationAppliedTwice { operation, manager, fencing_token });
             }
         }
         Ok(())
     }
 
-    /// What was made.
+    /// All operations that took effect.
     pub fn applied_operations(&self) -> BTreeSet<String> {
-        let product = |entry: &Entry| match &entry.event {
-            Event::Acted { product, .. } => Some(product.clone()),
+        let operation = |entry: &Entry| match &entry.event {
+            Event::OperationApplied { operation, .. } => Some(operation.clone()),
             _ => None,
         };
-        self.0.iter().filter_map(product).collect()
+        self.0.iter().filter_map(operation).collect()
     }
 
-    /// All invariants.
+    /// Checks all invariants and returns the first violation.
     pub fn check(&self) -> Result<(), HistoryViolation> {
         self.check_single_holder()?;
         self.check_tokens_increase()?;
-        self.check_made_once()
+        self.check_operations_applied_once()
     }
 
-    /// How long a lease had no holder between two that held it, in microseconds.
+    /// Times without a holder between successive terms of a lease, in microseconds; 0 if the terms adjoin or overlap.
     pub fn gaps_us(&self, lease: &str) -> Vec<u64> {
         let lease_terms = self.lease_terms();
         let of_lease: Vec<&LeaseTerm> =
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,7 @@
-//! A testbed for experiments. It starts the program as a process on emulated engines, sends it the requests of
-//! synthetic tenants from a seed, changes tenants over the administration API meanwhile, and reports the results as
-//! tables and charts. It is not a simulator: time is real.
+//! A testbed for experiments in real time. It starts the program as a process with emulated engines, sends it
+//! requests of synthetic tenants that a seed determines, executes steps (administration calls, changes of engines) at
+//! given times, and reports the results as tables and charts. Package `sanddyke-cluster` has the simulation on
+//! virtual time.
 //!
 //! ```text
 //!   experiment (TOML) -> clients ---HTTP---> program ---engine protocol---> engines
@@ -39,10 +40,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Time for the last responses after the experiment's time is up.
+/// Maximum time to wait for responses after the experiment has ended.
 const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A program on emulated engines. All of it ends with this value and its runtime.
+/// A program with emulated engines. The process is killed on drop; the engines stop with the runtime.
 pub(crate) struct Testbed {
     pub(crate) engines: Vec<Engine>,
     pub(crate) name_server: NameServer,
@@ -63,8 +64,8 @@
         Ok(Testbed { engines, name_server, program })
     }
 
-    /// Takes a step: a change of an engine, or a call of the administration API.
-    async fn take_step(&self, step: &Step) -> Result<(), TestbedError> {
+    /// Applies a step: changes an engine or calls the administration API.
+    async fn apply_step(&self, step: &Step) -> Result<(), TestbedError> {
         if let Some(change) = &step.engine {
             return self.change_engine(change);
         }
@@ -74,7 +75,7 @@
 
     fn change_engine(&self, change: &EngineChange) -> Result<(), TestbedError> {
         let Some(engine) = self.engines.get(change.number) else {
-            return Err(TestbedError::step("engine", format!("no number {}", change.number)));
+            return Err(TestbedError::step("engine", format!("engine {} does not exist", change.number)));
         };
         if let Some(state) = change.state {
             self.name_server.set_state(change.number, state);
@@ -86,38 +87,44 @@
     }
 }
 
-/// Runs an experiment with a program that is started for it and ends with it.
+/// Runs an experiment with a program process of its own, which is killed when the experiment ends.
 ///
 /// # Errors
-/// Fails where a process cannot be started, a step fails, or requests are still open after the time for the last
-/// responses.
+/// Fails if a process cannot be started, a step fails, or requests are still open 30 s after the experiment has ended.
 pub async fn run(experiment: Experiment, binary: &Path) -> Result<Report, TestbedError> {
     let testbed = Testbed::start(&experiment, binary).await?;
     let experiment = Arc::new(experiment);
     let (sender, receiver) = mpsc::unbounded_channel();
     let start = Instant::now();
-    for index in 0..experiment.named().len() {
-        tokio::spawn(client::tenant(experiment.clone(), index, testbed.program.http, start, sender.clone()));
+    for index in 0..experiment.named_tenants().len() {
+        tokio::spawn(client::run_tenant(
+            experiment.clone(),
+            index,
+            testbed.program.client_address,
+            start,
+            sender.clone(),
+        ));
     }
     drop(sender);
     let steps = async {
         for step in &experiment.steps {
             tokio::time::sleep_until(start + Duration::from_secs_f64(step.at_s)).await;
-            testbed.take_step(step).await?;
+            testbed.apply_step(step).await?;
         }
         Ok::<(), TestbedError>(())
     };
     let timeout = Duration::from_secs_f64(experiment.seconds) + LAST_RESPONSES_TIMEOUT;
     let traffic = async { tokio::join!(collect(receiver), steps) };
-    let (outcomes, steps_result) = tokio::time::timeout(timeout, traffic)
-        .await
-        .map_err(|_| TestbedError::Program("requests were left without an end".to_owned()))?;
+    let (outcomes, steps_result) = tokio::time::timeout(timeout, traffic).await.map_err(|_| {
+        TestbedError::Program(format!("requests or steps were unfinished {timeout:?} after the start"))
+    })?;
     steps_result?;
-    let received = testbed.engines.iter().map(|engine| engine.received.load(Ordering::Relaxed));
-    Ok(Report { engines: received.collect(), ..Report::of(&experiment, &outcomes) })
+    let requests_received =
+        testbed.engines.iter().map(|engine| engine.requests_received.load(Ordering::Relaxed));
+    Ok(Report { engines: requests_received.collect(), ..Report::from_outcomes(&experiment, &outcomes) })
 }
 
-/// All outcomes until the last client has ended.
+/// Collects the outcomes until all clients have ended.
 async fn collect(mut receiver: mpsc::UnboundedReceiver<Outcome>) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     while let Some(outcome) = receiver.recv().await {
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,6 +1,7 @@
-//! The links between managers. Each manager advertises an address of the testbed, which relays what arrives there to
-//! the manager, or does not. A link is one direction between two managers; the sender is identified by its IP address.
-//! Complete messages are relayed, so that each can be lost, delayed, duplicated or reordered.
+//! Fault injection on the links between managers. Each manager advertises an address of the testbed, which relays
+//! messages from there to the manager. A link is one direction between two managers, and the sender is identified by
+//! its IP address. The unit of relaying is a complete message, so that each can be lost, delayed, duplicated or
+//! reordered.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -13,9 +14,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Maximum number of messages in transit on one connection; those past it are lost.
+/// Maximum number of messages in transit on one connection; further messages without delay are lost.
 const MAX_MESSAGES_IN_TRANSIT: usize = 4096;
-/// Maximum length of a message.
+/// Maximum length of a message; a longer one closes its connection.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// The faults of one link.
@@ -23,19 +24,19 @@
 pub struct LinkFault {
     /// Delay of each message (ms).
     pub delay_ms: u64,
-    /// Maximum random delay in addition (ms), which reorders messages.
+    /// Upper bound of the additional random delay (ms), which can reorder messages.
     pub jitter_ms: u64,
     /// Fraction of the messages that are lost.
     pub loss: f64,
     /// Fraction of the messages that are duplicated.
     pub duplication: f64,
-    /// All messages are lost, and new connections are closed at once.
+    /// Whether all messages are lost and new connections are closed immediately.
     pub cut: bool,
-    /// Nothing is read, and connections stay open.
+    /// Whether reading stops while connections stay open.
     pub stalled: bool,
 }
 
-/// A link: from one manager to another.
+/// A link from one manager to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Link {
     from: IpAddr,
@@ -44,7 +45,7 @@
 
 type LinkFaults = HashMap<Link, LinkFault>;
 
-/// All links of a fleet. Those without a fault relay every message at once.
+/// All links of a fleet. A link without faults relays every message immediately.
 #[derive(Debug)]
 pub struct Links {
     faults: watch::Sender<LinkFaults>,
@@ -54,7 +55,7 @@
 }
 
 impl Links {
-    /// Links without faults; the seed is that of losses, duplications and jitter.
+    /// Creates links without faults. The seed determines losses, duplications and jitter.
     pub fn new(seed: u64) -> Arc<Links> {
         Arc::new(Links {
             faults: watch::Sender::new(HashMap::new()),
@@ -63,27 +64,27 @@
         })
     }
 
-    /// Sets the faults of one link.
+    /// Replaces the faults of one link.
     pub fn set(&self, from: IpAddr, to: IpAddr, fault: LinkFault) {
         self.faults.send_modify(|faults| {
             faults.insert(Link { from, to }, fault);
         });
     }
 
-    /// Removes all faults.
+    /// Removes the faults of all links.
     pub fn clear_faults(&self) {
         self.faults.send_modify(HashMap::clear);
     }
 
-    /// Closes all open connections.
+    /// Closes all open relayed connections.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Relays the connections to one address to another, until the runtime ends.
+    /// Relays connections from the address `listen` to the address `to` until the runtime ends.
     ///
     /// # Errors
-    /// Fails where the address cannot be bound.
+    /// Fails if `listen` cannot be bound.
     pub async fn relay(self: &Arc<Self>, listen: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
         let links = self.clone();
@@ -126,30 +127,30 @@
         }
     }
 
-    /// Applies the faults of the link to a message and sends its copies, if any, each after its delay.
+    /// Applies the faults of the link to a message and queues each remaining copy after its delay.
     fn send(&self, message: Bytes, fault: LinkFault, sender: &mpsc::Sender<Bytes>) {
-        let copies = 1 + usize::from(self.draw() < fault.duplication);
-        if fault.cut || self.draw() < fault.loss {
+        let copies = 1 + usize::from(self.sample() < fault.duplication);
+        if fault.cut || self.sample() < fault.loss {
             return;
         }
         for _ in 0..copies {
-            let delay_ms = fault.delay_ms + (self.draw() * fault.jitter_ms as f64) as u64;
+            let delay_ms = fault.delay_ms + (self.sample() * fault.jitter_ms as f64) as u64;
             let sender = sender.clone();
             let message = message.clone();
             if delay_ms == 0 {
-                // Without room the message is lost, as on a congested link.
+                // If the queue is full, the message is lost, as on a congested link.
                 let _ = sender.try_send(message);
             } else {
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-                    // The connection may have ended meanwhile.
+                    // Fails only if the connection has been closed during the delay.
                     let _ = sender.send(message).await;
                 });
             }
         }
     }
 
-    fn draw(&self) -> f64 {
+    fn sample(&self) -> f64 {
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).rand_float()
     }
 }
--- a/crates/testbed/src/name_server.rs
+++ b/crates/testbed/src/name_server.rs
@@ -1,5 +1,5 @@
-//! A name server on loopback (RFC 1035, RFC 2782): SRV records of the engines with their addresses and TXT records,
-//! under a SOA serial that each change increases. A draining engine has priority 1, a ready one 0.
+//! A DNS server on loopback (RFC 1035, RFC 2782). It serves SRV records of the engines with their addresses and TXT
+//! records, and an SOA serial that every change increments. A draining engine has priority 1, a ready one 0.
 
 use serde::Deserialize;
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
@@ -9,22 +9,22 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::net::UdpSocket;
 
-/// The name under which the engines are listed.
+/// Service name of the engines' SRV records.
 pub const SERVICE: &str = "_api._tcp.svc.local";
-/// The zone of [`SERVICE`].
+/// The DNS zone of [`SERVICE`].
 const ZONE: &str = "svc.local";
-/// Maximum length of a query (bytes): one Ethernet frame.
+/// Maximum length of a query, which is the payload of one Ethernet frame.
 const MAX_QUERY_BYTES: usize = 1500;
 
-/// How the name server lists an engine.
+/// State in which the name server lists an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The engine accepts requests.
     Ready,
-    /// It completes its requests and accepts no others.
+    /// The engine completes its requests and accepts no new ones.
     Draining,
-    /// It is not listed.
+    /// The engine is not listed.
     #[serde(rename = "gone")]
     Removed,
 }
@@ -41,10 +41,10 @@
     endpoints: Vec<Endpoint>,
 }
 
-/// A running name server; it ends with the runtime.
+/// A running name server, which stops with the runtime.
 #[derive(Debug)]
 pub struct NameServer {
-    /// Address on which it answers, over UDP.
+    /// Listen address (UDP).
     pub address: SocketAddr,
     zone: Arc<Mutex<Zone>>,
     is_silent: Arc<AtomicBool>,
@@ -54,7 +54,7 @@
     /// Starts a name server that lists all engines as ready.
     ///
     /// # Errors
-    /// Fails where no socket can be bound.
+    /// Fails if no socket can be bound.
     pub async fn start(engines: &[SocketAddr]) -> std::io::Result<NameServer> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let address = socket.local_addr()?;
@@ -66,12 +66,12 @@
         Ok(NameServer { address, zone, is_silent })
     }
 
-    /// Answers nothing from now on, or answers again.
+    /// Sets whether queries are left unanswered.
     pub fn set_silent(&self, is_silent: bool) {
         self.is_silent.store(is_silent, Ordering::Relaxed);
     }
 
-    /// Lists an engine in another state from now on.
+    /// Sets the state of the engine with this index and increments the zone's serial.
     pub fn set_state(&self, engine: usize, state: EndpointState) {
         let mut zone = self.zone.lock().unwrap_or_else(PoisonError::into_inner);
         zone.serial += 1;
@@ -89,14 +89,14 @@
         }
         let response = zone.lock().unwrap_or_else(PoisonError::into_inner).respond(&buffer[..length]);
         if let Some(response) = response {
-            // A lost response is one that the resolver asks for again.
+            // The resolver repeats a query whose response was lost.
             let _ = socket.send_to(&response, from).await;
         }
     }
 }
 
 impl Zone {
-    /// The response to a query; `None` where it cannot be parsed.
+    /// Builds the response to a query; `None` if the query cannot be parsed or the response cannot be built.
     fn respond(&self, query: &[u8]) -> Option<Vec<u8>> {
         let query = Packet::parse(query).ok()?;
         let question: Question = query.questions.first()?.clone();
@@ -129,7 +129,7 @@
     }
 }
 
-/// Adds the SRV record of an engine, and its address and attributes.
+/// Adds the SRV record of an engine, and its A and TXT records. `None` if a record cannot be built.
 fn add_endpoint(response: &mut Packet, number: usize, ip: Ipv4Addr, endpoint: Endpoint) -> Option<()> {
     let host = format!("e{number}.a.hosts");
     let service = SRV {
--- a/crates/testbed/src/operations_endpoint.rs
+++ b/crates/testbed/src/operations_endpoint.rs
@@ -1,5 +1,5 @@
-//! The response time of the operations endpoint: idle, under load, beside silent connections, and with a fraction of a
-//! core.
+//! Measures the response time of the operations endpoint: idle, under load, with silent connections, and with a
+//! fraction of a core.
 
 use crate::experiment::Experiment;
 use crate::report::{BarGroup, bars};
@@ -16,17 +16,17 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Time within which a call must be answered; a later answer counts as late.
+/// Response time above which a call counts as late.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a call is given up; until then its time is measured.
+/// Socket timeout of a call. It exceeds [`CALL_TIMEOUT`] so that the times of late calls are measured, too.
 const MAX_CALL_TIME: Duration = Duration::from_secs(5);
-/// Time from one call to the next.
+/// Time from the start of one call to the start of the next.
 const CALL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for which a silent connection is open.
+/// Time after which a silent connection is closed and replaced.
 const SILENT_CONNECTION_LIFETIME: Duration = Duration::from_secs(4);
-/// Time before the measurement where there are no silent connections.
+/// Time before the measurement under conditions without silent connections.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// The core of the program and of the processes that compete for it.
+/// Index of the core that the program and its competing processes share.
 const CORE: &str = "0";
 
 /// Unit, range and precision (decimal digits) of the histogram of response times: from 10 us to an hour.
@@ -35,15 +35,15 @@
 const MAX_TICKS: u64 = 360_000_000;
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// A condition of the measurement.
+/// A condition under which the response times are measured.
 #[derive(Debug, Clone, Copy)]
 struct Condition {
     name: &'static str,
     /// Whether clients send 110 requests a second.
     has_load: bool,
-    /// Number of connections to the operations endpoint without a complete request.
+    /// Number of connections to the operations endpoint that never send a complete request.
     silent_connections: usize,
-    /// Number of processes that compete for the core of the program.
+    /// Number of busy processes that share the program's core.
     competing_processes: usize,
 }
 
@@ -69,7 +69,7 @@
     },
 ];
 
-/// The load: 12 cores, of which it uses 55 %.
+/// The load: 55 % of the capacity of 12 cores, which is 110 requests per second of 60 ms each.
 const TRAFFIC: &str = r#"
 title = "The second address"
 seed = 20
@@ -93,17 +93,17 @@
 /// The response times under one condition.
 #[derive(Debug, Clone)]
 pub struct ResponseTimes {
-    /// The condition.
+    /// Name of the condition.
     pub condition: &'static str,
     /// Number of calls.
     pub calls: u64,
     /// Number of calls that failed or were not answered within [`CALL_TIMEOUT`].
     pub late: u64,
-    /// Median (ms).
+    /// Median response time (ms).
     pub p50_ms: f64,
-    /// 99th percentile (ms).
+    /// 99th percentile of the response time (ms).
     pub p99_ms: f64,
-    /// Maximum (ms).
+    /// Maximum response time (ms).
     pub max_ms: f64,
 }
 
@@ -112,7 +112,7 @@
 
 impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has exited by itself.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -124,10 +124,10 @@
     child.map_err(|error| TestbedError::Program(format!("taskset: {error}")))
 }
 
-/// Measures each condition for this many seconds, each with a program that is started for it.
+/// Measures the response times under each condition for `seconds`, with a new program process for each condition.
 ///
 /// # Errors
-/// Fails where a process cannot be started. Calls that fail are counted.
+/// Fails if a process cannot be started. Failed calls are counted in [`ResponseTimes::late`].
 pub async fn run(binary: &Path, seconds: u64) -> Result<Vec<ResponseTimes>, TestbedError> {
     let invalid = |error: toml::de::Error| TestbedError::Experiment {
         path: "the traffic".into(),
@@ -153,10 +153,10 @@
     let (sender, mut outcomes) = mpsc::unbounded_channel();
     let load = condition.has_load.then(|| {
         let start = tokio::time::Instant::now();
-        tokio::spawn(client::tenant(experiment.clone(), 0, program.http, start, sender))
+        tokio::spawn(client::run_tenant(experiment.clone(), 0, program.client_address, start, sender))
     });
     let discard = tokio::spawn(async move { while outcomes.recv().await.is_some() {} });
-    let address = program.ops;
+    let address = program.operations_address;
     let measured = tokio::task::spawn_blocking(move || measure(condition, address, seconds)).await;
     let row = measured.map_err(|error| TestbedError::Program(error.to_string()))?;
     if let Some(load) = load {
@@ -166,7 +166,7 @@
     Ok(row)
 }
 
-/// Binds the program to a core and starts the processes that compete for it, if any.
+/// Pins the program to a core and starts the processes that compete for it. Does nothing if the condition has none.
 fn start_competitors(condition: Condition, program: u32) -> Result<Vec<KillOnDrop>, TestbedError> {
     let mut competitors = Vec::new();
     if condition.competing_processes > 0 {
@@ -179,11 +179,13 @@
 }
 
 fn measure(condition: Condition, address: SocketAddr, seconds: u64) -> ResponseTimes {
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_finished = Arc::new(AtomicBool::new(false));
     let has_silent_connections = condition.silent_connections > 0;
     let silent_connections = has_silent_connections.then(|| {
-        let is_over = is_over.clone();
-        std::thread::spawn(move || hold_silent_connections(address, condition.silent_connections, &is_over))
+        let is_finished = is_finished.clone();
+        std::thread::spawn(move || {
+            hold_silent_connections(address, condition.silent_connections, &is_finished)
+        })
     });
     std::thread::sleep(if has_silent_connections { SILENT_CONNECTION_LIFETIME } else { SETTLE_TIME });
     let mut times =
@@ -200,9 +202,9 @@
         times.saturating_record((time.as_micros() / TICK_US) as u64);
         std::thread::sleep(CALL_INTERVAL.saturating_sub(time));
     }
-    is_over.store(true, Ordering::Relaxed);
+    is_finished.store(true, Ordering::Relaxed);
     if let Some(thread) = silent_connections {
-        // A panic there has been printed, and leaves the calls as they were measured.
+        // A panic of the thread has already been printed and does not affect the measured calls.
         let _ = thread.join();
     }
     let quantile_ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / TICKS_PER_MS;
@@ -216,7 +218,7 @@
     }
 }
 
-/// Calls the health check; gives whether its status is 200.
+/// Calls the health check and returns whether its status is 200.
 fn call(address: SocketAddr) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect_timeout(&address, MAX_CALL_TIME)?;
     stream.set_read_timeout(Some(MAX_CALL_TIME))?;
@@ -232,11 +234,11 @@
     _stream: TcpStream,
 }
 
-/// Keeps up to `max` silent connections open until it is over, and replaces each at the end of its lifetime.
-fn hold_silent_connections(address: SocketAddr, max: usize, is_over: &AtomicBool) {
+/// Holds up to `max` silent connections open until `is_finished`, and replaces each at the end of its lifetime.
+fn hold_silent_connections(address: SocketAddr, max: usize, is_finished: &AtomicBool) {
     let mut open: VecDeque<SilentConnection> = VecDeque::new();
     let is_expired = |connection: &SilentConnection| connection.opened.elapsed() > SILENT_CONNECTION_LIFETIME;
-    while !is_over.load(Ordering::Relaxed) {
+    while !is_finished.load(Ordering::Relaxed) {
         while open.front().is_some_and(is_expired) {
             open.pop_front();
         }
@@ -244,7 +246,8 @@
             && let Ok(mut stream) = TcpStream::connect_timeout(&address, CALL_TIMEOUT)
         {
             if open.len().is_multiple_of(3) {
-                // Some begin a request and never complete it; a closed connection is replaced later.
+                // Some connections send an incomplete request. If the peer has closed one, it is replaced at the end
+                // of its lifetime.
                 let _ = stream.write(b"GET /adm");
             }
             open.push_back(SilentConnection { opened: Instant::now(), _stream: stream });
@@ -253,7 +256,7 @@
     }
 }
 
-/// The measurement as CSV.
+/// Formats the measurement as CSV.
 pub fn csv(rows: &[ResponseTimes]) -> String {
     let mut text = "condition,calls,late,p50_ms,p99_ms,longest_ms\n".to_owned();
     for row in rows {
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process, and calls of its administration API.
+//! Runs the program as a single process and calls its administration API.
 
 use crate::TestbedError;
 use crate::experiment::{Class, Experiment};
@@ -13,37 +13,37 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-/// The administration token of every program that the testbed starts.
+/// Bearer token of the administration API in every process that the testbed starts.
 pub(crate) const TOKEN: &str = "the-rig-s-own-token-0001";
-/// Time within which the program must be ready, and the time between two checks.
+/// Maximum time until the program is ready, and time between two checks.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Maximum number of sockets of the program.
+/// Value of the program's setting `limits.sockets`.
 const MAX_SOCKETS: usize = 4096;
 const CLIENT_PORT: u16 = 8080;
 const ADMIN_PORT: u16 = 8081;
 const OPERATIONS_PORT: u16 = 19000;
-/// Second byte of the loopback address of the first program of this process, and the number of programs until it repeats.
+/// Second byte of the first program's loopback address, and the number of programs after which the addresses repeat.
 const FIRST_ADDRESS_BLOCK: u8 = 77;
 const ADDRESS_BLOCKS: u8 = 100;
 
-/// Number of programs that this process has started.
+/// Number of program processes that this process has started.
 static PROGRAMS_STARTED: AtomicU8 = AtomicU8::new(0);
 
-/// A running program; its process ends with this value.
+/// A running program process, which is killed on drop.
 #[derive(Debug)]
 pub struct Program {
     child: Child,
-    /// Address to which clients connect.
-    pub http: SocketAddr,
-    /// Address of the operations endpoint.
-    pub ops: SocketAddr,
-    admin: SocketAddr,
-    /// Its files, which are removed with this value.
+    /// Listen address for clients.
+    pub client_address: SocketAddr,
+    /// Listen address of the operations endpoint.
+    pub operations_address: SocketAddr,
+    admin_address: SocketAddr,
+    /// Folder of the configuration, the token and the store, which is removed on drop.
     _folder: TempDir,
 }
 
-/// The settings of a program with these classes, on engines with these resources.
+/// The program's `settings` for these classes and for engines with these resources.
 pub(crate) fn settings(classes: &[Class], cores: f64, memory_mb: f64) -> Value {
     let threads: Vec<f64> = classes.iter().map(|class| class.threads).collect();
     let classes = classes.iter().map(|class| {
@@ -66,10 +66,10 @@
 }
 
 impl Program {
-    /// Starts the program on engines, with the experiment's tenants in a store of its own.
+    /// Starts the program with these engines, a new store, and the experiment's tenants imported into it.
     ///
     /// # Errors
-    /// Fails where it cannot be started, is not ready in time, or rejects the tenants.
+    /// Fails if the process cannot be started, is not ready within 10 s, or rejects the tenants.
     pub async fn start(
         binary: &Path,
         experiment: &Experiment,
@@ -78,9 +78,9 @@
     ) -> Result<Program, TestbedError> {
         let folder = tempfile::tempdir()?;
         let address = unused_address();
-        let http = SocketAddr::new(address, CLIENT_PORT);
-        let admin = SocketAddr::new(address, ADMIN_PORT);
-        let ops = SocketAddr::new(address, OPERATIONS_PORT);
+        let client_address = SocketAddr::new(address, CLIENT_PORT);
+        let admin_address = SocketAddr::new(address, ADMIN_PORT);
+        let operations_address = SocketAddr::new(address, OPERATIONS_PORT);
         std::fs::write(folder.path().join("token"), TOKEN)?;
         let endpoint = |(number, address): (usize, &SocketAddr)| json!({"name": format!("e{number}"), "address": address.to_string(), "zone": "a", "type": "std"});
         let endpoints: Vec<Value> = engines.iter().enumerate().map(endpoint).collect();
@@ -88,14 +88,14 @@
         let resources = &experiment.engines;
         let config = json!({
             "name": "rig",
-            "listen": http.to_string(),
-            "ops": ops.to_string(),
+            "listen": client_address.to_string(),
+            "ops": operations_address.to_string(),
             "seed": format!("{:x}", experiment.seed),
             "limits": {"sockets": MAX_SOCKETS},
             "resolver": name_server.to_string(),
             "settings": settings(&experiment.classes, resources.cores, resources.memory_mb),
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": pool}]},
-            "admin": {"listen": admin.to_string(), "token_file": folder.path().join("token")},
+            "admin": {"listen": admin_address.to_string(), "token_file": folder.path().join("token")},
             "store": {"path": folder.path().join("state.redb")},
         });
         let path = folder.path().join("config.json");
@@ -105,32 +105,35 @@
         let child = command
             .spawn()
             .map_err(|error| TestbedError::Program(format!("{}: {error}", binary.display())))?;
-        let mut program = Program { child, http, ops, admin, _folder: folder };
+        let mut program =
+            Program { child, client_address, operations_address, admin_address, _folder: folder };
         program.wait_until_ready().await?;
         program.import_tenants(experiment).await?;
         Ok(program)
     }
 
     async fn wait_until_ready(&mut self) -> Result<(), TestbedError> {
-        let admin = self.admin;
+        let admin_address = self.admin_address;
         let ready = async {
-            while TcpStream::connect(admin).await.is_err() {
+            while TcpStream::connect(admin_address).await.is_err() {
                 tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         };
         let in_time = tokio::time::timeout(READY_TIMEOUT, ready).await.is_ok();
         if !in_time || self.child.try_wait()?.is_some() {
-            return Err(TestbedError::Program("it did not become ready".to_owned()));
+            return Err(TestbedError::Program(format!(
+                "exited, or accepted no connection at {admin_address} within {READY_TIMEOUT:?}"
+            )));
         }
         Ok(())
     }
 
-    /// The process id; 0 where the process has ended.
+    /// Process id; 0 if the process is known to have exited.
     pub fn id(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    /// Imports the tenants and their groups.
+    /// Imports the experiment's tenants and their groups over the administration API.
     async fn import_tenants(&self, experiment: &Experiment) -> Result<(), TestbedError> {
         let mut document = "format = 1\n".to_owned();
         let groups: BTreeSet<&String> =
@@ -138,7 +141,7 @@
         for group in groups {
             document.push_str(&format!("[groups.{group}]\nweight = 1.0\n"));
         }
-        for (name, tenant) in experiment.named() {
+        for (name, tenant) in experiment.named_tenants() {
             let group = tenant.group.as_ref().map_or(String::new(), |group| format!("group = \"{group}\"\n"));
             document.push_str(&format!("[tenants.{name}.spec]\nweight = {:?}\n{group}", tenant.weight));
         }
@@ -146,30 +149,30 @@
         Ok(())
     }
 
-    /// Calls the administration API; gives the body of the response.
+    /// Calls the administration API and returns the response body, or `Null` if it is not JSON.
     ///
     /// # Errors
-    /// Fails where the service cannot be reached or rejects the call.
+    /// Fails if the API cannot be reached or the status is not 2xx.
     pub async fn call(&self, method: &str, target: &str, body: &str) -> Result<Value, TestbedError> {
-        call(self.admin, method, target, body).await
+        call(self.admin_address, method, target, body).await
     }
 }
 
-/// A loopback address that no other program of this process uses, nor one of another process.
+/// A loopback address derived from the process id and the program's number, so that concurrent programs do not collide.
 fn unused_address() -> IpAddr {
     let [process_low, process_high] = (std::process::id() as u16).to_le_bytes();
     let block = FIRST_ADDRESS_BLOCK + PROGRAMS_STARTED.fetch_add(1, Ordering::Relaxed) % ADDRESS_BLOCKS;
     IpAddr::from([127, block, process_low, process_high])
 }
 
-/// Calls the administration API at an address; gives the body of the response.
+/// Calls the administration API at an address and returns the response body, or `Null` if it is not JSON.
 pub(crate) async fn call(
-    admin: SocketAddr,
+    admin_address: SocketAddr,
     method: &str,
     target: &str,
     body: &str,
 ) -> Result<Value, TestbedError> {
-    let mut stream = TcpStream::connect(admin).await?;
+    let mut stream = TcpStream::connect(admin_address).await?;
     let request = format!(
         "{method} {target} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\nAuthorization: Bearer {TOKEN}\r\n\
          If-Match: *\r\nContent-Length: {}\r\n\r\n{body}",
