--- a/crates/testbed/src/bin/sanddyke-testbed/soak.rs
+++ b/crates/testbed/src/bin/sanddyke-testbed/soak.rs
@@ -1,4 +1,4 @@
-//! The sub-command `soak`: many seeds of faults between processes, clients and engines.
+//! The subcommand `soak`. It runs the randomized fault soak for a range of seeds and prints the violations.
 
 use crate::CommandOutcome;
 use crate::seeds::{seeds, variable};
@@ -6,13 +6,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Seeds, and seconds of faults for each, without variables.
+/// Number of seeds without `SANDDYKE_SOAK_RUNS`.
 const DEFAULT_SEEDS: u64 = 2;
+/// Seconds of requests and faults for each seed, without `SANDDYKE_SOAK_SECONDS`.
 const DEFAULT_SECONDS: u64 = 20;
-/// Broken rules of one seed whose timelines are printed.
+/// At most this many violations of a seed are printed with their timelines.
 const MAX_TIMELINES: usize = 3;
 
-/// Plays seeds one after another, and prints what broke.
+/// Runs the seeds one after another, and prints their violations and summaries. Fails if any seed fails.
 pub async fn run_seeds(program: &Path) -> CommandOutcome {
     let seeds = seeds("SANDDYKE_SOAK_SEED", "SANDDYKE_SOAK_RUNS", DEFAULT_SEEDS);
     let seconds = variable("SANDDYKE_SOAK_SECONDS").unwrap_or(DEFAULT_SECONDS);
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,7 +1,7 @@
-//! Clients: those that wait, leave, send the same request again, retry with the same key, or send much at once. A
-//! client that comes again comes to the same manager.
+//! Emulated clients. They wait, disconnect, resend a request, retry with the same idempotency key, or pipeline
+//! requests. A client retries at the same manager, because the rules on repeats hold only there (see the oracle).
 
-use super::Site;
+use super::SoakEnvironment;
 use super::history::{Effect, Event};
 use super::scenario::Class;
 use oorandom::Rand64;
@@ -13,27 +13,29 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Requests of each manager in a second.
+/// Mean rate of requests to each manager.
 const REQUESTS_PER_SECOND: u64 = 12;
-/// Clients wait this much longer than they said, to see whether an answer comes late.
-const EXTRA_WAIT: Duration = Duration::from_millis(2000);
+/// Clients wait this long beyond the time limit that they sent, to see whether an answer arrives late.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(2000);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// In a hundred requests: clients that leave before their answer, and that send the next request at once.
-const LEAVE_CHANCE: u64 = 14;
-const PIPELINE_CHANCE: u64 = 6;
-/// In a hundred: clients that come again, after they have left or were sent away.
-const AGAIN_CHANCE: u64 = 60;
-/// The longest pause before a client comes again (ms).
-const MAX_AGAIN_PAUSE_MS: u64 = 250;
-/// The shortest time that a client waits, as a fraction of its class's deadline in a hundred.
+/// Share of the clients that disconnect before their answer.
+const DISCONNECT_PERCENT: u64 = 14;
+/// Share of the clients that send another request on the connection without waiting for the answer.
+const PIPELINE_PERCENT: u64 = 6;
+/// Share of the clients that retry after they disconnected or were not served.
+const RETRY_PERCENT: u64 = 60;
+/// Upper bound of the pause before a client retries.
+const MAX_RETRY_PAUSE_MS: u64 = 250;
+/// The shortest time limit of a client, in percent of its class's deadline.
 const MIN_TTL_PERCENT: u64 = 60;
 
-static CALLS: AtomicU64 = AtomicU64::new(0);
+/// The number of the next call, over all clients.
+static NEXT_CALL: AtomicU64 = AtomicU64::new(0);
 
-/// One request, as its client means it.
+/// One request of a client.
 #[derive(Debug, Clone)]
 struct Request {
-    name: String,
+    client_request_id: String,
     key: Option<String>,
     class: Class,
     ttl: Duration,
@@ -41,27 +43,27 @@
     manager: usize,
 }
 
-/// What came of a call.
+/// How a call ended for the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Outcome {
+enum CallOutcome {
     Served,
     NotServed,
-    Left,
+    Disconnected,
     NotSent,
 }
 
-/// Sends requests to all managers for some time, and waits for their ends.
-pub(super) async fn run(site: Arc<Site>, seed: u64, time: Duration) {
+/// Sends requests to random managers for `time`, then waits until every client has finished.
+pub(super) async fn run(environment: Arc<SoakEnvironment>, seed: u64, time: Duration) {
     let end = Instant::now() + time;
     let mut rng = Rand64::new(u128::from(seed) << 16);
     let mut clients = JoinSet::new();
-    let interval_us = 1_000_000 / (REQUESTS_PER_SECOND * site.managers.len() as u64);
+    let interval_us = 1_000_000 / (REQUESTS_PER_SECOND * environment.managers.len() as u64);
     while Instant::now() < end {
-        let manager = rng.rand_range(0..site.managers.len() as u64) as usize;
-        if site.managers[manager].is_open() {
-            let request = draw(&site, manager, &mut rng);
-            let behaviour = Rand64::new(u128::from(rng.rand_u64()));
-            clients.spawn(client(site.clone(), request, behaviour));
+        let manager = rng.rand_range(0..environment.managers.len() as u64) as usize;
+        if environment.managers[manager].is_open() {
+            let request = sample_request(&environment, manager, &mut rng);
+            let client_rng = Rand64::new(u128::from(rng.rand_u64()));
+            clients.spawn(client(environment.clone(), request, client_rng));
         }
         while clients.try_join_next().is_some() {}
         tokio::time::sleep(Duration::from_micros(rng.rand_range(0..2 * interval_us))).await;
@@ -69,13 +71,13 @@
     while clients.join_next().await.is_some() {}
 }
 
-fn draw(site: &Site, manager: usize, rng: &mut Rand64) -> Request {
-    let classes = &site.scenario.classes;
+fn sample_request(environment: &SoakEnvironment, manager: usize, rng: &mut Rand64) -> Request {
+    let classes = &environment.scenario.classes;
     let class = classes[rng.rand_range(0..classes.len() as u64) as usize];
     let ttl_percent = rng.rand_range(MIN_TTL_PERCENT..101);
     let key = matches!(class.effect, Effect::Keyed { .. }).then(|| format!("{:032x}", rng.rand_u64()));
     Request {
-        name: format!("{:016x}", rng.rand_u64()),
+        client_request_id: format!("{:016x}", rng.rand_u64()),
         key,
         class,
         ttl: Duration::from_millis(class.deadline_ms * ttl_percent / 100),
@@ -84,76 +86,82 @@
     }
 }
 
-/// A client with one request, which it may send again.
-async fn client(site: Arc<Site>, mut request: Request, mut rng: Rand64) {
-    let leaves = rng.rand_range(0..100) < LEAVE_CHANCE;
-    let leave_after = leaves.then(|| {
+/// Runs a client with one request, which it may retry once. The retry has a new client request id if the first call
+/// was not served or if the request has an idempotency key.
+async fn client(environment: Arc<SoakEnvironment>, mut request: Request, mut rng: Rand64) {
+    let disconnects = rng.rand_range(0..100) < DISCONNECT_PERCENT;
+    let disconnect_after = disconnects.then(|| {
         let ttl_ms = u64::try_from(request.ttl.as_millis()).unwrap_or(u64::MAX);
         Duration::from_millis(rng.rand_range(0..ttl_ms))
     });
-    let pipelines = rng.rand_range(0..100) < PIPELINE_CHANCE;
-    let outcome = call(&site, &request, leave_after, pipelines).await;
-    let comes_again = rng.rand_range(0..100) < AGAIN_CHANCE;
-    if !comes_again || !matches!(outcome, Outcome::Left | Outcome::NotServed) {
+    let pipelines = rng.rand_range(0..100) < PIPELINE_PERCENT;
+    let outcome = call(&environment, &request, disconnect_after, pipelines).await;
+    let retries = rng.rand_range(0..100) < RETRY_PERCENT;
+    if !retries || !matches!(outcome, CallOutcome::Disconnected | CallOutcome::NotServed) {
         return;
     }
-    tokio::time::sleep(Duration::from_millis(rng.rand_range(0..MAX_AGAIN_PAUSE_MS))).await;
-    if outcome == Outcome::NotServed || request.key.is_some() {
-        request.name = format!("{:016x}", rng.rand_u64());
+    tokio::time::sleep(Duration::from_millis(rng.rand_range(0..MAX_RETRY_PAUSE_MS))).await;
+    if outcome == CallOutcome::NotServed || request.key.is_some() {
+        request.client_request_id = format!("{:016x}", rng.rand_u64());
     }
-    if site.managers[request.manager].is_open() {
-        call(&site, &request, None, false).await;
+    if environment.managers[request.manager].is_open() {
+        call(&environment, &request, None, false).await;
     }
 }
 
-/// Sends a request on a new connection and waits for its answer, or leaves.
-async fn call(site: &Site, request: &Request, leave_after: Option<Duration>, pipelines: bool) -> Outcome {
-    let connecting = TcpStream::connect(site.managers[request.manager].http);
+/// Sends a request on a new connection, and waits for its answer or disconnects after `disconnect_after`.
+async fn call(
+    environment: &SoakEnvironment,
+    request: &Request,
+    disconnect_after: Option<Duration>,
+    pipelines: bool,
+) -> CallOutcome {
+    let connecting = TcpStream::connect(environment.managers[request.manager].http);
     let Ok(Ok(mut stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
-        return Outcome::NotSent;
+        return CallOutcome::NotSent;
     };
     let mut bytes = request.bytes();
     if pipelines {
         bytes.push_str("GET /check HTTP/1.1\r\nHost: soak\r\n\r\n");
     }
     if stream.write_all(bytes.as_bytes()).await.is_err() {
-        return Outcome::NotSent;
+        return CallOutcome::NotSent;
     }
-    let call = CALLS.fetch_add(1, Ordering::Relaxed);
-    site.history.push(Event::RequestSent {
+    let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
+    environment.history.push(Event::RequestSent {
         call,
-        name: request.name.clone(),
+        name: request.client_request_id.clone(),
         key: request.key.clone(),
         effect: request.class.effect,
         ttl_ms: u64::try_from(request.ttl.as_millis()).unwrap_or(u64::MAX),
         manager: request.manager,
     });
-    let wait = leave_after.unwrap_or(request.ttl + EXTRA_WAIT);
+    let wait = disconnect_after.unwrap_or(request.ttl + LATE_ANSWER_WAIT);
     match tokio::time::timeout(wait, read_result(&mut stream)).await {
         Ok(Some(Answer { status, text })) => {
-            let is_own = status != 200 || text.contains(&request.name);
-            site.history.push(Event::Answered { call, status, is_own });
-            if status == 200 { Outcome::Served } else { Outcome::NotServed }
+            let is_own = status != 200 || text.contains(&request.client_request_id);
+            environment.history.push(Event::Answered { call, status, is_own });
+            if status == 200 { CallOutcome::Served } else { CallOutcome::NotServed }
         }
         Ok(None) => {
-            site.history.push(Event::Unanswered { call });
-            Outcome::NotServed
+            environment.history.push(Event::Unanswered { call });
+            CallOutcome::NotServed
         }
         Err(_) => {
             drop(stream);
-            site.history.push(Event::ClientLeft { call });
-            Outcome::Left
+            environment.history.push(Event::ClientLeft { call });
+            CallOutcome::Disconnected
         }
     }
 }
 
 impl Request {
     fn bytes(&self) -> String {
-        let Request { name, class, work_ms, .. } = self;
+        let Request { client_request_id, class, work_ms, .. } = self;
         let statement = format!("SELECT a FROM sales_17.orders /* work={work_ms} */");
         let key = self.key.as_ref().map(|key| format!("X-Txn-Key: {key}\r\n")).unwrap_or_default();
         format!(
-            "POST /do/{} HTTP/1.1\r\nHost: soak\r\nX-Txn: {name}\r\nX-Ttl-Ms: {}\r\n{key}Content-Length: {}\r\n\r\n{statement}",
+            "POST /do/{} HTTP/1.1\r\nHost: soak\r\nX-Txn: {client_request_id}\r\nX-Ttl-Ms: {}\r\n{key}Content-Length: {}\r\n\r\n{statement}",
             class.name,
             self.ttl.as_millis(),
             statement.len(),
@@ -161,13 +169,13 @@
     }
 }
 
-/// A whole answer.
+/// A completely received answer.
 struct Answer {
     status: u16,
     text: String,
 }
 
-/// Reads an answer with all its pages; `None` where the connection ends first.
+/// Reads an answer with all its pages. Returns `None` if the connection ends first or a response is malformed.
 async fn read_result(stream: &mut TcpStream) -> Option<Answer> {
     let mut answer = read_response(stream).await?;
     while answer.status == 200
--- a/crates/testbed/src/soak/engine.rs
+++ b/crates/testbed/src/soak/engine.rs
@@ -1,7 +1,7 @@
-//! An emulated engine that records what it reads and when. Its answers go wrong in all the ways that the protocol page
-//! leaves to engines: errors, rejections, silence, answers that come twice, late, damaged or never end.
+//! An emulated engine that records what it reads, and when. Its answers fail in every way that the engine protocol
+//! allows: errors, rejections, silence, and answers that are duplicated, late, corrupted or never complete.
 
-use super::history::{Event, History, Over};
+use super::history::{AttemptEnd, Event, History};
 use oorandom::Rand64;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,54 +14,54 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
 
-/// Messages to one connection that may wait.
-const MAX_MESSAGES: usize = 4096;
-/// A repeated answer comes at most this much later (ms).
-const MAX_REPEAT_DELAY_MS: u64 = 200;
-/// The interval between the bytes of an answer that never ends.
+/// Capacity of the queue of messages to one connection.
+const MAX_QUEUED_MESSAGES: usize = 4096;
+/// A duplicate of an answer is sent less than this time after the first.
+const MAX_DUPLICATE_DELAY_MS: u64 = 200;
+/// Interval between the bytes of an answer that never completes.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Numbers the attempts of all engines.
-static ATTEMPTS: AtomicU64 = AtomicU64::new(0);
+/// The number of the next attempt, over all engines.
+static NEXT_ATTEMPT: AtomicU64 = AtomicU64::new(0);
 
-/// How an attempt goes.
+/// How an engine handles an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Conduct {
+enum EngineBehavior {
     Served,
     ServedInPages,
     Error,
-    ErrorTwice,
-    Full,
-    /// Nothing more is said of it.
+    DuplicateError,
+    EngineFull,
+    /// The engine sends no answer.
     Silent,
-    /// The answer's line can't be parsed.
-    Damaged,
-    /// The answer begins and never ends.
-    Endless,
+    /// The response line can't be parsed.
+    Corrupted,
+    /// The answer begins and never completes.
+    Unterminated,
 }
 
-impl Conduct {
-    /// Each conduct and how often it comes, in a hundred.
-    const CHANCES: [(Conduct, u64); 8] = [
-        (Conduct::Served, 68),
-        (Conduct::ServedInPages, 12),
-        (Conduct::Error, 4),
-        (Conduct::ErrorTwice, 4),
-        (Conduct::Full, 4),
-        (Conduct::Silent, 5),
-        (Conduct::Damaged, 2),
-        (Conduct::Endless, 1),
+impl EngineBehavior {
+    /// Each behavior with its share of the attempts in percent.
+    const PERCENTAGES: [(EngineBehavior, u64); 8] = [
+        (EngineBehavior::Served, 68),
+        (EngineBehavior::ServedInPages, 12),
+        (EngineBehavior::Error, 4),
+        (EngineBehavior::DuplicateError, 4),
+        (EngineBehavior::EngineFull, 4),
+        (EngineBehavior::Silent, 5),
+        (EngineBehavior::Corrupted, 2),
+        (EngineBehavior::Unterminated, 1),
     ];
 
-    fn draw(rng: &mut Rand64) -> Conduct {
-        let mut drawn = rng.rand_range(0..100);
-        for (conduct, chance) in Conduct::CHANCES {
-            match drawn.checked_sub(chance) {
-                Some(rest) => drawn = rest,
-                None => return conduct,
+    fn sample(rng: &mut Rand64) -> EngineBehavior {
+        let mut remaining = rng.rand_range(0..100);
+        for (behavior, percentage) in EngineBehavior::PERCENTAGES {
+            match remaining.checked_sub(percentage) {
+                Some(difference) => remaining = difference,
+                None => return behavior,
             }
         }
-        Conduct::Served
+        EngineBehavior::Served
     }
 }
 
@@ -73,24 +73,24 @@
     history: History,
     rng: Mutex<Rand64>,
     paused: watch::Sender<bool>,
-    /// How often its connections were reset.
+    /// The number of connection resets so far; a change resets all open connections.
     resets: watch::Sender<u64>,
 }
 
-/// What is written to a manager, and the attempt that is over with it.
+/// A message to a manager, and the attempt that ends when it is written.
 struct Message {
     text: String,
-    over: Option<(u64, Over)>,
+    ended_attempt: Option<(u64, AttemptEnd)>,
 }
 
 /// An attempt in flight on a connection.
-struct Running {
+struct RunningAttempt {
     attempt: u64,
     task: Option<AbortHandle>,
 }
 
-/// The attempts in flight on one connection, by the id of their request.
-type Attempts = Arc<Mutex<HashMap<String, Running>>>;
+/// The attempts in flight on one connection, by client request id.
+type Attempts = Arc<Mutex<HashMap<String, RunningAttempt>>>;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -122,7 +122,7 @@
         Ok(engine)
     }
 
-    /// It reads and writes nothing until it is resumed.
+    /// Stops reading and writing until the engine is resumed.
     pub(super) fn pause(&self) {
         self.paused.send_replace(true);
     }
@@ -131,14 +131,14 @@
         self.paused.send_replace(false);
     }
 
-    /// Its connections are reset: what they carry is over.
+    /// Resets all connections, which ends the attempts in flight on them.
     pub(super) fn reset_connections(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    async fn until_running(&self) {
+    async fn wait_until_running(&self) {
         let mut paused = self.paused.subscribe();
-        // An error says that the engine is gone.
+        // An error means that the engine was dropped.
         drop(paused.wait_for(|paused| !paused).await);
     }
 
@@ -146,7 +146,7 @@
         let _unset = stream.set_nodelay(true);
         let _unset = stream.set_zero_linger();
         let (input, output) = stream.into_split();
-        let (messages, queue) = mpsc::channel(MAX_MESSAGES);
+        let (messages, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let attempts = Attempts::default();
         let writer = tokio::spawn(self.clone().write(output, queue, attempts.clone()));
         let connection = Connection { engine: self.clone(), messages, attempts: attempts.clone() };
@@ -158,7 +158,7 @@
         writer.abort();
         for (_, running) in lock(&attempts).drain() {
             running.task.iter().for_each(AbortHandle::abort);
-            self.history.push(Event::AttemptOver { attempt: running.attempt, over: Over::Closed });
+            self.history.push(Event::AttemptOver { attempt: running.attempt, over: AttemptEnd::Closed });
         }
     }
 
@@ -169,8 +169,8 @@
         attempts: Attempts,
     ) -> std::io::Result<()> {
         while let Some(message) = queue.recv().await {
-            self.until_running().await;
-            if let Some((attempt, over)) = message.over {
+            self.wait_until_running().await;
+            if let Some((attempt, over)) = message.ended_attempt {
                 let mut attempts = lock(&attempts);
                 let in_flight = attempts.len();
                 attempts.retain(|_, running| running.attempt != attempt);
@@ -184,7 +184,7 @@
     }
 }
 
-/// A manager's connection.
+/// A connection from a manager.
 struct Connection {
     engine: Arc<SoakEngine>,
     messages: mpsc::Sender<Message>,
@@ -198,23 +198,27 @@
         loop {
             line.clear();
             let length = input.read_line(&mut line).await;
-            self.engine.until_running().await;
+            self.engine.wait_until_running().await;
             if length? == 0 {
                 return Ok(());
             }
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             match words[..] {
-                ["REQ", name, fields, length] => {
+                ["REQ", client_request_id, fields, length] => {
                     let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
                     let read = input.read_exact(&mut body).await;
-                    self.engine.until_running().await;
+                    self.engine.wait_until_running().await;
                     read?;
-                    self.begin(name, fields, &String::from_utf8_lossy(&body));
+                    self.begin(client_request_id, fields, &String::from_utf8_lossy(&body));
                 }
-                ["STOP", name] => self.stop(name),
-                ["FETCH", name, page] => {
+                ["STOP", client_request_id] => self.stop(client_request_id),
+                ["FETCH", client_request_id, page] => {
                     self.send(
-                        format!("{name} chunk sheet={page} {}\r\n{}\r\n", row(name).len(), row(name)),
+                        format!(
+                            "{client_request_id} chunk sheet={page} {}\r\n{}\r\n",
+                            row(client_request_id).len(),
+                            row(client_request_id)
+                        ),
                         None,
                     );
                 }
@@ -226,8 +230,8 @@
         }
     }
 
-    fn begin(&self, name: &str, fields: &str, statement: &str) {
-        let attempt = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
+    fn begin(&self, client_request_id: &str, fields: &str, statement: &str) {
+        let attempt = NEXT_ATTEMPT.fetch_add(1, Ordering::Relaxed);
         let field = |wanted: &str| {
             let mut fields = fields.split(',').filter_map(|field| field.split_once('='));
             fields.find(|(name, _)| *name == wanted).map(|(_, value)| value.to_owned())
@@ -235,120 +239,127 @@
         self.engine.history.push(Event::AttemptRead {
             attempt,
             engine: self.engine.number,
-            name: name.to_owned(),
+            name: client_request_id.to_owned(),
             key: field("op"),
             patience_ms: field("patience").and_then(|patience| patience.parse().ok()).unwrap_or(0),
         });
         let mut rng = lock(&self.engine.rng);
         let execution = Execution {
             attempt,
-            name: name.to_owned(),
+            client_request_id: client_request_id.to_owned(),
             work: Duration::from_millis(work_ms(statement)),
-            conduct: Conduct::draw(&mut rng),
-            repeat_delay: Duration::from_millis(rng.rand_range(0..MAX_REPEAT_DELAY_MS)),
+            behavior: EngineBehavior::sample(&mut rng),
+            duplicate_delay: Duration::from_millis(rng.rand_range(0..MAX_DUPLICATE_DELAY_MS)),
             progress_interval: self.engine.progress_interval,
             messages: self.messages.clone(),
         };
         drop(rng);
-        let previous = lock(&self.attempts).insert(name.to_owned(), Running { attempt, task: None });
+        let previous =
+            lock(&self.attempts).insert(client_request_id.to_owned(), RunningAttempt { attempt, task: None });
         if let Some(previous) = previous {
-            // One id twice on a connection: both run.
-            lock(&self.attempts).insert(format!("{name}/{}", previous.attempt), previous);
+            // The same client request id arrived twice on this connection: both attempts run.
+            lock(&self.attempts).insert(format!("{client_request_id}/{}", previous.attempt), previous);
         }
         let task = tokio::spawn(execution.run()).abort_handle();
-        if let Some(running) = lock(&self.attempts).get_mut(name) {
+        if let Some(running) = lock(&self.attempts).get_mut(client_request_id) {
             running.task = Some(task);
         }
     }
 
-    fn stop(&self, name: &str) {
-        if let Some(running) = lock(&self.attempts).remove(name) {
+    fn stop(&self, client_request_id: &str) {
+        if let Some(running) = lock(&self.attempts).remove(client_request_id) {
             running.task.iter().for_each(AbortHandle::abort);
             let attempt = running.attempt;
-            self.engine.history.push(Event::AttemptOver { attempt, over: Over::StopRead });
+            self.engine.history.push(Event::AttemptOver { attempt, over: AttemptEnd::StopRead });
         }
     }
 
-    /// Sends a message; lost where the manager reads nothing.
-    fn send(&self, text: String, over: Option<(u64, Over)>) {
-        let _lost = self.messages.try_send(Message { text, over });
+    /// Queues a message. It is lost if the queue is full because the manager does not read.
+    fn send(&self, text: String, ended_attempt: Option<(u64, AttemptEnd)>) {
+        let _lost = self.messages.try_send(Message { text, ended_attempt });
     }
 }
 
-/// The work that a statement asks for.
+/// The execution time that the `work=` word of a statement requests; 10 ms without it.
 fn work_ms(statement: &str) -> u64 {
     let work = statement.split_whitespace().find_map(|word| word.strip_prefix("work="));
     work.and_then(|work| work.parse().ok()).unwrap_or(10)
 }
 
 /// The only row of each page of a request's result.
-fn row(name: &str) -> String {
-    format!("{name}\tb\n")
+fn row(client_request_id: &str) -> String {
+    format!("{client_request_id}\tb\n")
 }
 
 /// One execution of an attempt.
 struct Execution {
     attempt: u64,
-    name: String,
+    client_request_id: String,
     work: Duration,
-    conduct: Conduct,
-    repeat_delay: Duration,
+    behavior: EngineBehavior,
+    duplicate_delay: Duration,
     progress_interval: Option<Duration>,
     messages: mpsc::Sender<Message>,
 }
 
 impl Execution {
     async fn run(self) {
-        if self.conduct == Conduct::Full {
-            return self.end("503 - 0\r\n\r\n".to_owned(), Over::NeverRan).await;
+        if self.behavior == EngineBehavior::EngineFull {
+            return self.end("503 - 0\r\n\r\n".to_owned(), AttemptEnd::NeverRan).await;
         }
         self.work_with_progress().await;
-        let (name, row) = (&self.name, row(&self.name));
-        match self.conduct {
-            Conduct::Served => {
-                self.end(format!("200 sheets=1,toil=10,room=8 {}\r\n{row}\r\n", row.len()), Over::EndWritten)
-                    .await;
+        let (client_request_id, row) = (&self.client_request_id, row(&self.client_request_id));
+        match self.behavior {
+            EngineBehavior::Served => {
+                self.end(
+                    format!("200 sheets=1,toil=10,room=8 {}\r\n{row}\r\n", row.len()),
+                    AttemptEnd::EndWritten,
+                )
+                .await;
             }
-            Conduct::ServedInPages => {
-                self.end(format!("200 sheets=3,toil=10,room=8 {}\r\n{row}\r\n", row.len()), Over::EndWritten)
-                    .await;
+            EngineBehavior::ServedInPages => {
+                self.end(
+                    format!("200 sheets=3,toil=10,room=8 {}\r\n{row}\r\n", row.len()),
+                    AttemptEnd::EndWritten,
+                )
+                .await;
             }
-            Conduct::Error | Conduct::ErrorTwice => {
-                self.end("500 - 0\r\n\r\n".to_owned(), Over::EndWritten).await;
-                if self.conduct == Conduct::ErrorTwice {
-                    tokio::time::sleep(self.repeat_delay).await;
-                    self.send(format!("{name} 500 - 0\r\n\r\n"), None).await;
+            EngineBehavior::Error | EngineBehavior::DuplicateError => {
+                self.end("500 - 0\r\n\r\n".to_owned(), AttemptEnd::EndWritten).await;
+                if self.behavior == EngineBehavior::DuplicateError {
+                    tokio::time::sleep(self.duplicate_delay).await;
+                    self.send(format!("{client_request_id} 500 - 0\r\n\r\n"), None).await;
                 }
             }
-            Conduct::Damaged => self.send("what is this\r\n".to_owned(), None).await,
-            Conduct::Endless => {
-                self.send(format!("{name} 200 sheets=1,toil=10,room=8 9000\r\n"), None).await;
+            EngineBehavior::Corrupted => self.send("what is this\r\n".to_owned(), None).await,
+            EngineBehavior::Unterminated => {
+                self.send(format!("{client_request_id} 200 sheets=1,toil=10,room=8 9000\r\n"), None).await;
                 loop {
                     tokio::time::sleep(TRICKLE_INTERVAL).await;
                     self.send("x".to_owned(), None).await;
                 }
             }
-            Conduct::Silent | Conduct::Full => std::future::pending().await,
+            EngineBehavior::Silent | EngineBehavior::EngineFull => std::future::pending().await,
         }
     }
 
     async fn work_with_progress(&self) {
         let Some(interval) = self.progress_interval else { return tokio::time::sleep(self.work).await };
         let mut done = Duration::ZERO;
-        self.send(format!("{} status n=held,val=1 0\r\n\r\n", self.name), None).await;
+        self.send(format!("{} status n=held,val=1 0\r\n\r\n", self.client_request_id), None).await;
         while done < self.work {
             let step = interval.min(self.work - done);
             tokio::time::sleep(step).await;
             done += step;
-            self.send(format!("{} status n=held,val=1 0\r\n\r\n", self.name), None).await;
+            self.send(format!("{} status n=held,val=1 0\r\n\r\n", self.client_request_id), None).await;
         }
     }
 
-    async fn end(&self, answer: String, over: Over) {
-        self.send(format!("{} {answer}", self.name), Some((self.attempt, over))).await;
+    async fn end(&self, answer: String, end: AttemptEnd) {
+        self.send(format!("{} {answer}", self.client_request_id), Some((self.attempt, end))).await;
     }
 
-    async fn send(&self, text: String, over: Option<(u64, Over)>) {
-        let _closed = self.messages.send(Message { text, over }).await;
+    async fn send(&self, text: String, ended_attempt: Option<(u64, AttemptEnd)>) {
+        let _closed = self.messages.send(Message { text, ended_attempt }).await;
     }
 }
--- a/crates/testbed/src/soak/history.rs
+++ b/crates/testbed/src/soak/history.rs
@@ -1,154 +1,156 @@
-//! What engines, clients and the fault schedule have seen, in the order of time. The program is never asked.
+//! The recorded history of a run: what engines, clients and the fault schedule observed, in the order of time.
+//! Nothing in it is reported by the program under test.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// What a repeated execution of a request does.
+/// The effect of executing a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// A repeat does no harm.
     Repeatable,
-    /// Engines drop repeats with its key for so many ms after the first execution.
+    /// Engines discard repeats with the same idempotency key for a window after the first execution.
     Keyed {
-        /// The deduplication window.
+        /// The deduplication window in milliseconds.
         window_ms: u64,
     },
-    /// Harm.
+    /// A repeat does harm.
     Once,
 }
 
-/// Why an attempt is no longer in flight on its engine.
+/// How an attempt ended on its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
-    /// Its end was written, and it may have been executed.
+pub enum AttemptEnd {
+    /// The engine wrote its final answer, and it was possibly executed.
     EndWritten,
-    /// Its end was written, and says that it never ran.
+    /// The engine wrote a final answer which says that it was never executed.
     NeverRan,
-    /// The engine has read its stop.
+    /// The engine read the `STOP` message for it.
     StopRead,
-    /// The engine has read the close of its connection, or has closed it.
+    /// The engine read the end of its connection, or reset it.
     Closed,
 }
 
-/// A kind of fault.
+/// A kind of injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An engine reads and writes nothing.
+    /// An engine neither reads nor writes.
     EnginePaused,
-    /// An engine's process dies and comes back.
+    /// An engine resets its connections and refuses new ones for a while, like a process that crashes and restarts.
     EngineCrashed,
     /// An engine resets its connections.
     EngineReset,
-    /// Nothing passes between managers and an engine.
+    /// No data is relayed between managers and an engine.
     LinkCut,
-    /// Nothing passes to an engine; what it sends arrives.
+    /// No data is relayed to an engine; data from it still arrives.
     LinkCutToEngine,
-    /// Nothing passes from an engine; what it is sent arrives.
+    /// No data is relayed from an engine; data to it still arrives.
     LinkCutFromEngine,
-    /// All that passes is late.
+    /// Data between managers and an engine is delayed.
     LinkDelayed,
-    /// An engine is listed as draining.
+    /// The endpoint list has an engine as draining.
     EngineDraining,
     /// The name service does not answer.
     NameServiceSilent,
-    /// A manager is stopped (SIGSTOP) and continued.
+    /// A manager is suspended (SIGSTOP) and continued (SIGCONT).
     ManagerStopped,
-    /// A manager is told to end (SIGTERM) and started again.
+    /// A manager is asked to shut down (SIGTERM) and restarted.
     ManagerTerminated,
-    /// A manager is killed (SIGKILL) and started again.
+    /// A manager is killed (SIGKILL) and restarted.
     ManagerKilled,
-    /// A manager reads its configuration again, several times in a row (SIGHUP).
+    /// A manager reloads its configuration (SIGHUP), several times in a row.
     ManagerReloaded,
-    /// Clients connect that send nothing.
+    /// Clients connect to a manager and send nothing.
     IdleClients,
 }
 
-/// Something that was seen.
+/// An observed event. The timeline of a violation prints it with `{:?}`, so the names of variants and fields are part of
+/// the report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A client has written the last byte of a request.
+    /// A client wrote the last byte of a request.
     RequestSent {
-        /// The number of the call; a resent request is another call of the same name.
+        /// The number of the call. A resent request is another call with the same client request id.
         call: u64,
-        /// The request's id.
+        /// The client request id.
         name: String,
-        /// Its idempotency key.
+        /// The idempotency key, if the request has one.
         key: Option<String>,
-        /// Its class's effect.
+        /// The effect of repeats in the request's class.
         effect: Effect,
-        /// How long the client waits.
+        /// The time limit that the client sent, in milliseconds.
         ttl_ms: u64,
-        /// The manager.
+        /// The number of the manager that it was sent to.
         manager: usize,
     },
-    /// A client has the whole final answer.
+    /// A client received the complete final answer.
     Answered {
-        /// The call.
+        /// The number of the call.
         call: u64,
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// Whether its rows are those of this request.
+        /// Whether the rows belong to this request. True for any status other than 200.
         is_own: bool,
     },
-    /// A client's connection ended without a whole answer.
+    /// A client's connection ended without a complete answer.
     Unanswered {
-        /// The call.
+        /// The number of the call.
         call: u64,
     },
-    /// A client has closed its connection without an answer.
+    /// A client closed its connection without an answer, because it cancelled or no longer waited.
     ClientLeft {
-        /// The call.
+        /// The number of the call.
         call: u64,
     },
-    /// An engine has read the last byte of a request.
+    /// An engine read the last byte of an attempt.
     AttemptRead {
         /// The number of the attempt in this history.
         attempt: u64,
-        /// The engine.
+        /// The number of the engine.
         engine: usize,
-        /// The request's id.
+        /// The client request id.
         name: String,
-        /// Its idempotency key.
+        /// The idempotency key, if the request has one.
         key: Option<String>,
-        /// The time that the manager says the client has left.
+        /// The remaining time of the client in milliseconds, as the manager reported it to the engine.
         patience_ms: u64,
     },
-    /// An attempt is no longer in flight.
+    /// An attempt ended.
     AttemptOver {
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u64,
-        /// Why.
-        over: Over,
+        /// How it ended.
+        over: AttemptEnd,
     },
-    /// A fault begins, at an engine or a manager by its kind.
+    /// A fault begins on an engine or a manager, depending on its kind.
     FaultBegun {
-        /// Its kind.
+        /// The kind of the fault.
         fault: Fault,
-        /// The engine or manager.
+        /// The number of the engine or manager.
         target: usize,
     },
-    /// A fault is over.
+    /// A fault has ended.
     FaultEnded {
-        /// Its kind.
+        /// The kind of the fault.
         fault: Fault,
-        /// The engine or manager.
+        /// The number of the engine or manager.
         target: usize,
     },
-    /// A process of a manager was started.
+    /// A manager's process was started.
     ManagerStarted {
-        /// The manager.
+        /// The number of the manager.
         manager: usize,
     },
-    /// It answers its health check with yes.
+    /// A manager's process answered a health check with status 200.
     ManagerReady {
-        /// The manager.
+        /// The number of the manager.
         manager: usize,
     },
-    /// It has ended, as it was told to or not.
+    /// A manager's process exited, on SIGTERM or by itself. A process killed by the testbed is not recorded here.
     ManagerEnded {
-        /// The manager.
+        /// The number of the manager.
         manager: usize,
-        /// Whether its exit code was 0.
+        /// Whether it exited after SIGTERM with exit code 0.
         success: bool,
     },
 }
@@ -156,13 +158,13 @@
 /// An event and its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Microseconds since the start.
+    /// Microseconds since the start of the history.
     pub at_us: u64,
-    /// What was seen.
+    /// The observed event.
     pub event: Event,
 }
 
-/// The history of a run. Clones are the same one.
+/// The history of a run. Clones share one list of records.
 #[derive(Debug, Clone)]
 pub struct History {
     start: Instant,
@@ -170,19 +172,19 @@
 }
 
 impl History {
-    /// An empty history that begins now.
+    /// Creates an empty history whose time starts now.
     pub fn start() -> History {
         History { start: Instant::now(), records: Arc::default() }
     }
 
-    /// Records what is seen now.
+    /// Appends an event with the current time.
     pub fn push(&self, event: Event) {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         let at_us = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX);
         records.push(Record { at_us, event });
     }
 
-    /// All that was recorded.
+    /// Returns a copy of all records.
     pub fn records(&self) -> Vec<Record> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/testbed/src/soak/managers.rs
+++ b/crates/testbed/src/soak/managers.rs
@@ -1,4 +1,4 @@
-//! The processes of the program, and what is done to them.
+//! The manager processes, and the operations on them: start, signal, kill and restart.
 
 use super::history::{Event, Fault, History};
 use crate::TestbedError;
@@ -13,15 +13,15 @@
 use tokio::process::{Child, Command};
 use tokio::sync::Mutex;
 
-/// Time within which a manager must be ready.
+/// A manager must be ready within this time after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-const READY_POLL: Duration = Duration::from_millis(20);
-/// Clients make new connections for so long after SIGTERM.
-const CLIENTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// SIGKILL comes this long after SIGTERM in a planned end of the run.
-const LAST_KILL_DELAY: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Clients open new connections for this long after SIGTERM.
+const CONNECT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// SIGKILL follows this long after SIGTERM when the run ends.
+const FINAL_KILL_DELAY: Duration = Duration::from_secs(10);
 
-/// One manager.
+/// A manager with its current process.
 pub(crate) struct Manager {
     number: usize,
     pub(super) http: SocketAddr,
@@ -32,12 +32,13 @@
     log_level: &'static str,
     history: History,
     child: Mutex<Option<Child>>,
-    /// Clients connect to it.
+    /// Whether clients may connect.
     is_open: AtomicBool,
 }
 
 impl Manager {
-    /// Starts its process.
+    /// Writes the configuration file and starts the process. With `SANDDYKE_SOAK_LOGS`, logs go to that folder
+    /// at level `debug`.
     pub(super) fn start(
         program: &Path,
         number: usize,
@@ -51,7 +52,11 @@
         let listen = config["listen"].as_str().unwrap_or_default().parse();
         let manager = Manager {
             number,
-            http: listen.map_err(|_| TestbedError::Program("no address".to_owned()))?,
+            http: listen.map_err(|_| {
+                TestbedError::Program(format!(
+                    "manager {number}: its configuration has no valid listen address"
+                ))
+            })?,
             program: program.to_owned(),
             config,
             config_path,
@@ -61,8 +66,9 @@
             child: Mutex::new(None),
             is_open: AtomicBool::new(false),
         };
-        *manager.child.try_lock().map_err(|_| TestbedError::Program("busy".to_owned()))? =
-            Some(manager.spawn()?);
+        *manager.child.try_lock().map_err(|_| {
+            TestbedError::Program("the lock of a new manager process is already taken".to_owned())
+        })? = Some(manager.spawn()?);
         Ok(std::sync::Arc::new(manager))
     }
 
@@ -75,16 +81,19 @@
         Ok(child)
     }
 
-    /// Waits until it is ready, and opens it for clients.
+    /// Waits until the manager is ready, and then lets clients connect.
     pub(super) async fn wait_until_ready(&self) -> Result<(), TestbedError> {
         let ready = async {
             while !self.is_healthy().await {
-                tokio::time::sleep(READY_POLL).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         };
-        let in_time = tokio::time::timeout(READY_TIMEOUT, ready).await.is_ok();
-        if !in_time {
-            return Err(TestbedError::Program(format!("manager {} is not ready in time", self.number)));
+        let is_ready_in_time = tokio::time::timeout(READY_TIMEOUT, ready).await.is_ok();
+        if !is_ready_in_time {
+            return Err(TestbedError::Program(format!(
+                "manager {} was not ready within {READY_TIMEOUT:?}",
+                self.number
+            )));
         }
         self.history.push(Event::ManagerReady { manager: self.number });
         self.is_open.store(true, Ordering::Relaxed);
@@ -104,7 +113,7 @@
             .is_ok_and(|checked| checked.unwrap_or(false))
     }
 
-    /// Whether clients connect to it.
+    /// Whether clients may connect.
     pub(super) fn is_open(&self) -> bool {
         self.is_open.load(Ordering::Relaxed)
     }
@@ -115,7 +124,7 @@
         }
     }
 
-    /// Stops it for a moment.
+    /// Suspends the process (SIGSTOP) for `time`, then continues it (SIGCONT).
     pub(super) async fn stop_for(&self, time: Duration) {
         self.signal("-STOP").await;
         tokio::time::sleep(time).await;
@@ -126,46 +135,49 @@
         self.signal("-CONT").await;
     }
 
-    /// Has it read its configuration again, several times in a row.
+    /// Requests `times` configuration reloads in a row (SIGHUP).
     pub(super) async fn reload(&self, times: u64) {
         for _ in 0..times {
             self.signal("-HUP").await;
         }
     }
 
-    /// Kills it, and starts it again.
-    pub(super) async fn kill_and_restart(&self, known: impl Fn() -> Value) -> Result<(), TestbedError> {
+    /// Kills the process (SIGKILL) and restarts it.
+    pub(super) async fn kill_and_restart(
+        &self,
+        endpoint_list: impl Fn() -> Value,
+    ) -> Result<(), TestbedError> {
         self.is_open.store(false, Ordering::Relaxed);
-        self.note_if_ended().await;
+        self.record_crash().await;
         if let Some(child) = self.child.lock().await.as_mut() {
             self.history.push(Event::FaultBegun { fault: Fault::ManagerKilled, target: self.number });
             child.kill().await?;
         }
-        self.restart(known()).await
+        self.restart(endpoint_list()).await
     }
 
-    /// Tells it to end, kills it at the earliest time, and starts it again.
+    /// Sends SIGTERM, kills the process if it still runs after `kill_delay`, and restarts it.
     pub(super) async fn terminate_and_restart(
         &self,
         kill_delay: Duration,
-        known: impl Fn() -> Value,
+        endpoint_list: impl Fn() -> Value,
     ) -> Result<(), TestbedError> {
-        self.note_if_ended().await;
+        self.record_crash().await;
         self.history.push(Event::FaultBegun { fault: Fault::ManagerTerminated, target: self.number });
         self.signal("-TERM").await;
-        tokio::time::sleep(CLIENTS_AFTER_SIGTERM).await;
+        tokio::time::sleep(CONNECT_TIME_AFTER_SIGTERM).await;
         self.is_open.store(false, Ordering::Relaxed);
-        self.wait_or_kill(kill_delay - CLIENTS_AFTER_SIGTERM).await;
+        self.wait_or_kill(kill_delay - CONNECT_TIME_AFTER_SIGTERM).await;
         self.history.push(Event::FaultEnded { fault: Fault::ManagerTerminated, target: self.number });
-        self.restart(known()).await
+        self.restart(endpoint_list()).await
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM, and kills the process if it does not end in time.
     pub(super) async fn terminate(&self) {
         self.is_open.store(false, Ordering::Relaxed);
-        self.note_if_ended().await;
+        self.record_crash().await;
         self.signal("-TERM").await;
-        self.wait_or_kill(LAST_KILL_DELAY).await;
+        self.wait_or_kill(FINAL_KILL_DELAY).await;
     }
 
     async fn wait_or_kill(&self, delay: Duration) {
@@ -181,8 +193,8 @@
         *child = None;
     }
 
-    /// A process that has ended by itself has crashed.
-    async fn note_if_ended(&self) {
+    /// Records a failed process if it ended without a signal from the testbed.
+    async fn record_crash(&self) {
         let mut child = self.child.lock().await;
         if child.as_mut().is_some_and(|process| matches!(process.try_wait(), Ok(Some(_)))) {
             self.history.push(Event::ManagerEnded { manager: self.number, success: false });
@@ -190,10 +202,10 @@
         }
     }
 
-    /// Starts it again, with the endpoint list as it is by now.
-    async fn restart(&self, known: Value) -> Result<(), TestbedError> {
+    /// Restarts the process with the current endpoint list in its configuration.
+    async fn restart(&self, endpoint_list: Value) -> Result<(), TestbedError> {
         let mut config = self.config.clone();
-        config["known"] = known;
+        config["known"] = endpoint_list;
         std::fs::write(&self.config_path, config.to_string())?;
         *self.child.lock().await = Some(self.spawn()?);
         self.wait_until_ready().await
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A randomized fault soak: real processes of the program between emulated engines and clients, faults that overlap in
-//! time, and an oracle over what engines and clients have recorded.
+//! A randomized fault soak. Real manager processes run between emulated engines and clients while overlapping faults
+//! are injected. An oracle then checks what the engines and clients recorded.
 //!
 //! ```text
 //!   clients ──> managers (processes) ──> proxies ──> engines
@@ -9,7 +9,8 @@
 //!                         oracle
 //! ```
 //!
-//! A seed decides the scenario, the clients and the faults. Time is real, so a seed repeats its plan, not each byte.
+//! The seed determines the scenario, the clients and the faults. The run uses real time, so the same seed repeats the
+//! same schedule, but not every byte.
 
 mod clients;
 mod engine;
@@ -20,7 +21,7 @@
 mod proxy;
 mod scenario;
 
-pub use history::{Effect, Event, Fault, History, Over, Record};
+pub use history::{AttemptEnd, Effect, Event, Fault, History, Record};
 
 use crate::TestbedError;
 use crate::name_server::NameServer;
@@ -34,27 +35,27 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Time after the last request in which everything has to come to its end.
+/// Time after the last client call and the last fault in which all attempts have to end.
 const SETTLE_TIME: Duration = Duration::from_secs(7);
 
-/// What a soak is run on.
-pub(crate) struct Site {
+/// The processes, emulated engines and proxies of one soak run.
+pub(crate) struct SoakEnvironment {
     pub(crate) scenario: Scenario,
     pub(crate) history: History,
     pub(crate) engines: Vec<Arc<SoakEngine>>,
     pub(crate) proxies: Vec<Arc<Proxy>>,
     pub(crate) name_server: NameServer,
     pub(crate) managers: Vec<Arc<Manager>>,
-    /// The numbers of the engines that drain.
+    /// The numbers of the draining engines.
     draining: Mutex<Vec<usize>>,
 }
 
-/// What a soak has played, and which rules were broken.
+/// What a soak run has done, and which rules were broken.
 #[derive(Debug)]
 pub struct SoakSummary {
-    /// Processes of the program that were started.
+    /// Manager processes that were started, restarts included.
     pub processes: usize,
-    /// Requests that clients have sent.
+    /// Requests that clients have sent, retries included.
     pub requests: usize,
     /// Attempts that engines have read.
     pub attempts: usize,
@@ -62,14 +63,14 @@
     pub faults: usize,
     /// Broken rules.
     pub violations: Vec<Violation>,
-    /// Everything that was recorded.
+    /// The whole recorded history, in the order of time.
     pub records: Vec<Record>,
 }
 
-/// Plays one seed for some time.
+/// Runs the soak of one seed, with requests and faults for `time`.
 ///
 /// # Errors
-/// A process or a socket cannot be started.
+/// Fails if a process or a socket cannot be started, or a manager is not ready in time at the start.
 pub async fn run(program: &Path, seed: u64, time: Duration) -> Result<SoakSummary, TestbedError> {
     let scenario = Scenario::from_seed(seed);
     let history = History::start();
@@ -89,24 +90,25 @@
         managers.push(Manager::start(program, number, config, folder.path(), history.clone())?);
     }
     let draining = Mutex::default();
-    let site = Arc::new(Site { scenario, history, engines, proxies, name_server, managers, draining });
-    for manager in &site.managers {
+    let environment =
+        Arc::new(SoakEnvironment { scenario, history, engines, proxies, name_server, managers, draining });
+    for manager in &environment.managers {
         manager.wait_until_ready().await?;
     }
-    let clients = tokio::spawn(clients::run(site.clone(), seed, time));
-    faults::run(&site, seed, time).await;
-    site.end_faults();
+    let clients = tokio::spawn(clients::run(environment.clone(), seed, time));
+    faults::run(&environment, seed, time).await;
+    environment.end_faults();
     let _ended = clients.await;
     tokio::time::sleep(SETTLE_TIME).await;
-    site.stop_managers().await;
-    Ok(site.summary())
+    environment.stop_managers().await;
+    Ok(environment.summary())
 }
 
-impl Site {
-    /// The endpoint list as it is now.
-    fn known(&self) -> Value {
+impl SoakEnvironment {
+    /// The current endpoint list.
+    fn endpoint_list(&self) -> Value {
         let addresses: Vec<_> = self.proxies.iter().map(|proxy| proxy.address).collect();
-        scenario::known(&addresses, &self.draining.lock().unwrap_or_else(PoisonError::into_inner))
+        scenario::endpoint_list(&addresses, &self.draining.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     fn set_draining(&self, engine: usize, is_draining: bool) {
@@ -117,7 +119,7 @@
 
     fn end_faults(&self) {
         self.engines.iter().for_each(|engine| engine.resume());
-        self.proxies.iter().for_each(|proxy| proxy.heal());
+        self.proxies.iter().for_each(|proxy| proxy.clear_faults());
         self.name_server.set_silent(false);
     }
 
@@ -130,8 +132,9 @@
 
     fn summary(&self) -> SoakSummary {
         let records = self.history.records();
-        let count =
-            |is_counted: fn(&Event) -> bool| records.iter().filter(|one| is_counted(&one.event)).count();
+        let count = |is_counted: fn(&Event) -> bool| {
+            records.iter().filter(|record| is_counted(&record.event)).count()
+        };
         SoakSummary {
             processes: count(|event| matches!(event, Event::ManagerStarted { .. })),
             requests: count(|event| matches!(event, Event::RequestSent { .. })),
--- a/crates/testbed/src/soak/proxy.rs
+++ b/crates/testbed/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between managers and one engine, with the faults of the network.
+//! A TCP proxy between managers and one engine that injects network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,20 +8,20 @@
 use tokio::sync::watch;
 
 const BUFFER_BYTES: usize = 16 * 1024;
-/// How often a proxy that refuses connections looks whether it accepts them again.
-const REFUSAL_POLL: Duration = Duration::from_millis(10);
+/// Interval at which the proxy checks whether it has to refuse connections.
+const REFUSAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The state of the network between managers and one engine.
+/// The injected network state between managers and one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Link {
-    /// Nothing passes to the engine.
+    /// No data is relayed to the engine.
     pub(super) cut_to_engine: bool,
-    /// Nothing passes from the engine.
+    /// No data is relayed from the engine.
     pub(super) cut_from_engine: bool,
-    /// All that passes, and each new connection, is this late.
+    /// Delay of each relayed read and each new connection.
     pub(super) delay: Duration,
-    /// New connections are refused.
-    pub(super) refuses: bool,
+    /// New connections are refused, because the listening socket is closed.
+    pub(super) refuses_connections: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     }
 }
 
-/// A proxy between managers and one engine; it ends with the runtime.
+/// A proxy between managers and one engine. Its tasks run until the runtime shuts down.
 pub(crate) struct Proxy {
     pub(super) address: SocketAddr,
     link: watch::Sender<Link>,
@@ -53,29 +53,29 @@
         Ok(proxy)
     }
 
-    /// Changes the state of the network.
+    /// Replaces the network state.
     pub(super) fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
 
-    /// Ends all faults.
-    pub(super) fn heal(&self) {
+    /// Ends all network faults of this link.
+    pub(super) fn clear_faults(&self) {
         self.set(Link::default());
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener, engine: SocketAddr) {
         let mut listener = Some(listener);
         loop {
-            if self.link.borrow().refuses {
+            if self.link.borrow().refuses_connections {
                 listener = None;
-                tokio::time::sleep(REFUSAL_POLL).await;
+                tokio::time::sleep(REFUSAL_POLL_INTERVAL).await;
                 continue;
             }
             let Some(open) = &listener else {
                 listener = TcpListener::bind(self.address).await.ok();
                 continue;
             };
-            let accepted = tokio::time::timeout(REFUSAL_POLL, open.accept()).await;
+            let accepted = tokio::time::timeout(REFUSAL_POLL_INTERVAL, open.accept()).await;
             if let Ok(Ok((stream, _))) = accepted {
                 tokio::spawn(self.clone().relay(stream, engine));
             }
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Copies one direction until its sender closes the connection, and holds data back while the direction is cut.
     async fn pump(
         &self,
         from: &mut (impl AsyncRead + Unpin),
--- a/crates/testbed/src/soak/scenario.rs
+++ b/crates/testbed/src/soak/scenario.rs
@@ -1,4 +1,4 @@
-//! What a seed decides before the first request: how many managers and engines there are, and their settings.
+//! The scenario of a seed: the numbers of managers and engines, and their settings.
 
 use super::history::Effect;
 use oorandom::Rand64;
@@ -7,23 +7,24 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// Second byte of the loopback addresses of managers.
+/// Second byte of the managers' loopback addresses.
 const ADDRESS_BLOCK: u8 = 79;
 const CLIENT_PORT: u16 = 8080;
 const OPERATIONS_PORT: u16 = 19000;
-/// Managers of a run: from the first number on, and below the second.
-const MANAGERS: [u64; 2] = [10, 15];
-/// Addresses that are set aside for each scenario.
-const MAX_MANAGERS: u8 = 16;
-const ENGINES: [u64; 2] = [5, 9];
-/// Intervals at which engines report progress (ms); 0 where they do not.
+/// The number of managers: at least the first value, below the second.
+const MANAGER_COUNT_RANGE: [u64; 2] = [10, 15];
+/// Number of loopback addresses reserved for each scenario.
+const ADDRESSES_PER_SCENARIO: u8 = 16;
+/// The number of engines: at least the first value, below the second.
+const ENGINE_COUNT_RANGE: [u64; 2] = [5, 9];
+/// Intervals of progress notes; with 0, engines send none.
 const PROGRESS_INTERVALS_MS: [u64; 4] = [300, 500, 500, 0];
-/// Deadlines of classes: short, usual or long, by a factor.
+/// Factors on the deadlines of all classes, one of which is sampled for each scenario.
 const DEADLINE_FACTORS: [u64; 3] = [1, 2, 3];
 const DEDUPLICATION_WINDOW_MS: u64 = 4000;
 
-/// The number of scenarios that this process has drawn: each has addresses of its own.
-static SCENARIOS: AtomicU8 = AtomicU8::new(0);
+/// The number of the next scenario of this process. Each scenario has its own addresses.
+static NEXT_SCENARIO: AtomicU8 = AtomicU8::new(0);
 
 /// A class of requests.
 #[derive(Debug, Clone, Copy)]
@@ -31,11 +32,11 @@
     pub(super) name: &'static str,
     pub(super) effect: Effect,
     pub(super) deadline_ms: u64,
-    /// The longest work of a request (ms).
+    /// Upper bound of a request's execution time on the engine.
     pub(super) max_work_ms: u64,
 }
 
-/// What a seed decides before the first request.
+/// The numbers of managers and engines, and the classes of requests, as sampled from a seed.
 #[derive(Debug, Clone)]
 pub(crate) struct Scenario {
     pub(super) managers: usize,
@@ -46,8 +47,8 @@
     scenario_number: u8,
 }
 
-/// The endpoint list as a manager finds it at its start, with the numbers of the engines that drain.
-pub(super) fn known(engines: &[SocketAddr], draining: &[usize]) -> Value {
+/// The endpoint list in the configuration of a starting manager. `draining` has the numbers of the draining engines.
+pub(super) fn endpoint_list(engines: &[SocketAddr], draining: &[usize]) -> Value {
     let endpoints = engines.iter().enumerate().map(|(number, address)| {
         let status = if draining.contains(&number) { "draining" } else { "ready" };
         json!({"name": format!("e{number}"), "address": address.to_string(), "zone": "a", "type": "std",
@@ -71,8 +72,8 @@
             max_work_ms,
         };
         Scenario {
-            managers: rng.rand_range(MANAGERS[0]..MANAGERS[1]) as usize,
-            engines: rng.rand_range(ENGINES[0]..ENGINES[1]) as usize,
+            managers: rng.rand_range(MANAGER_COUNT_RANGE[0]..MANAGER_COUNT_RANGE[1]) as usize,
+            engines: rng.rand_range(ENGINE_COUNT_RANGE[0]..ENGINE_COUNT_RANGE[1]) as usize,
             progress_interval: (interval_ms > 0).then(|| Duration::from_millis(interval_ms)),
             classes: [
                 class("lookup", Effect::Repeatable, 1200, 150),
@@ -81,23 +82,24 @@
                 class("post", Effect::Once, 1200, 300),
             ],
             seed,
-            scenario_number: SCENARIOS.fetch_add(1, Ordering::Relaxed),
+            scenario_number: NEXT_SCENARIO.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    /// The longest time that a manager has between SIGTERM and SIGKILL.
+    /// The time between SIGTERM and SIGKILL of a manager: the longest deadline of a class, of which at most 3 s
+    /// count, and a margin.
     pub(super) fn kill_delay(&self) -> Duration {
-        const LONGEST_COUNTED_MS: u64 = 3000;
+        const MAX_COUNTED_DEADLINE_MS: u64 = 3000;
         const MARGIN_MS: u64 = 700;
         let longest_ms = self.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0);
-        Duration::from_millis(longest_ms.min(LONGEST_COUNTED_MS) + MARGIN_MS)
+        Duration::from_millis(longest_ms.min(MAX_COUNTED_DEADLINE_MS) + MARGIN_MS)
     }
 
-    /// The configuration of a manager, as the platform gives it.
+    /// The configuration file of a manager, in the format of the platform.
     pub(super) fn configuration(&self, number: usize, engines: &[SocketAddr], resolver: SocketAddr) -> Value {
-        let [process, _] = (std::process::id() as u16).to_le_bytes();
-        let block = self.scenario_number.wrapping_mul(MAX_MANAGERS).wrapping_add(number as u8 + 1);
-        let address = IpAddr::from([127, ADDRESS_BLOCK, process, block]);
+        let [process_byte, _] = (std::process::id() as u16).to_le_bytes();
+        let block = self.scenario_number.wrapping_mul(ADDRESSES_PER_SCENARIO).wrapping_add(number as u8 + 1);
+        let address = IpAddr::from([127, ADDRESS_BLOCK, process_byte, block]);
         json!({
             "name": format!("m{number}"),
             "listen": SocketAddr::new(address, CLIENT_PORT).to_string(),
@@ -105,7 +107,7 @@
             "seed": format!("{:016x}", self.seed.wrapping_add(number as u64)),
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
             "resolver": resolver.to_string(),
-            "known": known(engines, &[]),
+            "known": endpoint_list(engines, &[]),
             "settings": self.settings(),
         })
     }
