--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The rules of the decision module at their edges, without a simulator.
+//! Unit tests of the decision module at the boundaries of its rules, without a simulator.
 
 mod below_minimum_cap;
 mod data_sets;
@@ -12,10 +12,10 @@
     EngineEntry { id: EngineId(id), state: EngineState::Ready, weight: 1.0, ..EngineEntry::default() }
 }
 
-fn gateway(settings: Settings, engines: &[EngineEntry]) -> Scheduler {
-    let mut gateway = Scheduler::new(settings, 1, 0.0);
-    gateway.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.to_vec())), &mut Vec::new());
-    gateway
+fn scheduler(settings: Settings, engines: &[EngineEntry]) -> Scheduler {
+    let mut scheduler = Scheduler::new(settings, 1, 0.0);
+    scheduler.handle(0.0, Event::EngineList(EngineListEvent::Restored(engines.to_vec())), &mut Vec::new());
+    scheduler
 }
 
 fn settings(class: ClassSettings) -> Settings {
@@ -26,14 +26,14 @@
     }
 }
 
-fn arrive(gateway: &mut Scheduler, now: f64, request: Request) -> Vec<Action> {
+fn arrive(scheduler: &mut Scheduler, now: f64, request: Request) -> Vec<Action> {
     let mut out = Vec::new();
-    gateway.handle(now, Event::Request(request), &mut out);
+    scheduler.handle(now, Event::Request(request), &mut out);
     out
 }
 
 fn end_attempt(
-    gateway: &mut Scheduler,
+    scheduler: &mut Scheduler,
     now: f64,
     request: u64,
     attempt: u32,
@@ -49,7 +49,7 @@
         usage: None,
         report: None,
     };
-    gateway.handle(now, Event::AttemptEnded(end), &mut out);
+    scheduler.handle(now, Event::AttemptEnded(end), &mut out);
     out
 }
 
@@ -73,15 +73,15 @@
     actions.iter().filter_map(check).collect()
 }
 
-fn answer_check(gateway: &mut Scheduler, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
+fn answer_check(scheduler: &mut Scheduler, now: f64, engine: u64, elapsed_ms: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let event =
         Event::HealthChecked { engine: EngineId(engine), outcome: Outcome::Served, elapsed_ms, report: None };
-    gateway.handle(now, event, &mut out);
+    scheduler.handle(now, event, &mut out);
     out
 }
 
-fn gateway_of_300() -> Scheduler {
+fn scheduler_of_300_managers() -> Scheduler {
     let settings = Settings { manager_count: 300, ..settings(ClassSettings::default()) };
-    gateway(settings, &[engine(1), engine(2), engine(3), engine(4)])
+    scheduler(settings, &[engine(1), engine(2), engine(3), engine(4)])
 }
