--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,8 +1,8 @@
-//! What a request costs the core and the module, from its arrival to its end, as tenants, engines and queues
-//! grow. Time is virtual: requests come at a fixed rate and engines answer after a fixed time; only the time
-//! inside the core counts.
+//! Benchmarks of the time that the core and the decision module spend on a request, from its arrival to its final
+//! answer, at several numbers of tenants, engines and queued requests. Time is virtual: requests arrive at a fixed rate
+//! and engines answer after a fixed time. Only the time inside the core is measured.
 //!
-//! `cargo bench --bench core` prints each figure; `docs/tenants.md` keeps them as ratios of one run.
+//! `cargo bench --bench core` prints each figure. `docs/tenants.md` lists them as ratios of one run.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use sanddyke::clock::Micros;
@@ -26,7 +26,7 @@
     "report":{"columns":["util","queue","x0","x1"]},"safety":{"coldFrom":0.33,"overloadFactor":2,
     "tipAfterMs":2000,"warmUpMs":15000},"stepMs":5,"familyInfo":{"kindCores":[8],"tellsEveryMs":500}}"#;
 
-/// Time between two requests: a thousand a second.
+/// Time between two requests; a thousand arrive each second.
 const ARRIVAL_INTERVAL_US: i64 = 1000;
 
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Answer(AttemptId),
-    Probe { engine: u64 },
+    HealthCheck { engine: u64 },
 }
 
 struct Simulation {
@@ -59,8 +59,8 @@
 
 impl Simulation {
     fn new(scenario: Scenario) -> Simulation {
-        let front = sanddyke::settings::parse(SETTINGS).expect("good settings");
-        // Half as much again as the engines have threads for, or a hundredth.
+        let service_settings = sanddyke::settings::parse(SETTINGS).expect("good settings");
+        // The load is one and a half times the threads of the engines, or a hundredth of them.
         let threads = scenario.engines as i64 * 10;
         let service = if scenario.overloaded {
             threads * 3 / 2 * ARRIVAL_INTERVAL_US
@@ -68,7 +68,7 @@
             threads / 100 * ARRIVAL_INTERVAL_US + 2 * ARRIVAL_INTERVAL_US
         };
         let mut simulation = Simulation {
-            core: Core::new(front, 100_000, 1, Micros(0)).with_tenant_store(),
+            core: Core::new(service_settings, 100_000, 1, Micros(0)).with_tenant_store(),
             scenario,
             service,
             now: 1_000_000,
@@ -103,7 +103,7 @@
             group: None,
         };
         simulation.handle(Input::Tenants((0..scenario.tenants).map(tenant).collect()));
-        simulation.run(8_000); // until queues stand, and windows are full
+        simulation.run(8_000); // until queues have formed and windows are full
         simulation
     }
 
@@ -119,14 +119,14 @@
                     self.due.push(Reverse((self.now + self.service, self.count, due)));
                 }
                 Command::HealthCheck { engine } => {
-                    self.due.push(Reverse((self.now + 500, self.count, Due::Probe { engine })));
+                    self.due.push(Reverse((self.now + 500, self.count, Due::HealthCheck { engine })));
                 }
                 other => drop(black_box(other)),
             }
         }
     }
 
-    /// Runs so many requests; gives the time inside the core.
+    /// Simulates this many arrivals, and returns the time spent inside the core.
     fn run(&mut self, requests: u64) -> Duration {
         self.inside = Duration::ZERO;
         for _ in 0..requests {
@@ -152,9 +152,9 @@
     }
 
     fn next_due(&self) -> Option<i64> {
-        let ours = self.due.peek().map(|Reverse((at, ..))| *at);
-        let cores = self.core.next_wake().map(|at| at.0);
-        ours.into_iter().chain(cores).min()
+        let own_due = self.due.peek().map(|Reverse((at, ..))| *at);
+        let core_due = self.core.next_wake().map(|at| at.0);
+        own_due.into_iter().chain(core_due).min()
     }
 
     fn handle_next_due(&mut self) {
@@ -166,7 +166,7 @@
                     let event = AttemptEvent::Served { table: Table::default(), usage: None, report };
                     Input::Attempt { attempt, event }
                 }
-                Due::Probe { engine } => Input::HealthChecked(HealthCheckResult {
+                Due::HealthCheck { engine } => Input::HealthChecked(HealthCheckResult {
                     engine,
                     end: ConnectionEnd::Answered,
                     report,
--- a/src/bin/sanddyke-simulator-adapter/actions.rs
+++ b/src/bin/sanddyke-simulator-adapter/actions.rs
@@ -1,9 +1,9 @@
-//! Actions of a gateway as lines of the wire.
+//! Formats the scheduler's actions as lines of the simulator's protocol.
 
 use sanddyke::{Action, RequestId};
 use std::fmt::Write;
 
-/// Appends an action's line to a reply. `requests` has the names of the instance's requests, by id.
+/// Appends an action's line to a reply. `requests` are the client request ids of the instance, indexed by request id.
 pub fn write_action(reply: &mut String, instance: u64, requests: &[String], action: &Action) {
     let name = |id: &RequestId| requests[id.0 as usize].as_str();
     // Writing to a string cannot fail.
--- a/src/bin/sanddyke-simulator-adapter/error.rs
+++ b/src/bin/sanddyke-simulator-adapter/error.rs
@@ -1,103 +1,103 @@
-//! What can be wrong with the input.
+//! Errors of the input.
 
 use sanddyke::settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// A line cannot be used, read or answered.
+    /// A line is invalid, could not be read, or its answer could not be written.
     #[error("line {number}: {error}")]
     Line {
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// The cause.
         error: LineError,
     },
-    /// The last batch is not complete.
+    /// Input ended before `EOF_BATCH`. Holds the number of the last line.
     #[error("line {0}: input ended inside a batch (EOF_BATCH missing)")]
     IncompleteBatch(u64),
-    /// The last answers could not be written.
+    /// The output could not be flushed at the end of the input.
     #[error(transparent)]
     Flush(io::Error),
 }
 
-/// What is wrong with a line.
+/// An error of one line.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// Reading it, or writing its answer, failed.
+    /// The line could not be read, or its answer could not be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is outside a batch and does not begin one.
+    /// The line is outside a batch and does not begin one. Holds its message.
     #[error("BATCH wanted, {0:?} found")]
     OutsideBatch(String),
-    /// It comes in place of an entry of a list.
+    /// The line follows an incomplete list and is not a `ROW`.
     #[error("LIST: field elements: {remaining} more ROW lines wanted, {found:?} found")]
     IncompleteList {
-        /// Entries that are missing.
+        /// Number of `ROW` lines that the list still lacks.
         remaining: usize,
-        /// What came instead.
+        /// Message of the line.
         found: String,
     },
-    /// Its message is not known.
+    /// The message is unknown.
     #[error("unknown event {0:?}")]
     UnknownEvent(String),
-    /// It has too few fields, or too many.
+    /// The number of fields is wrong.
     #[error("{message}: {expected} fields ({names}) wanted, {found} found")]
     FieldCount {
-        /// Its message.
+        /// Message of the line.
         message: String,
-        /// How many fields that has.
+        /// Number of fields in the message's layout.
         expected: usize,
-        /// Their names.
+        /// Names of the layout's fields, separated by blanks.
         names: String,
-        /// How many fields there are.
+        /// Number of fields on the line.
         found: usize,
     },
-    /// One of its fields cannot be used.
+    /// A field has an invalid value.
     #[error("{message}: field {field}: {error}")]
     Field {
-        /// Its message.
+        /// Message of the line.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with the field.
+        /// The cause.
         error: FieldError,
     },
 }
 
-/// What is wrong with a field.
+/// An error of one field.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    /// Its text is not of its type.
+    /// The text can't be parsed as the field's type.
     #[error("cannot read {0:?}")]
     Unreadable(String),
-    /// It has no value, and needs one.
+    /// A required value is absent (`-`).
     #[error("missing")]
     Missing,
-    /// It is a number, but infinite or none.
+    /// The number is infinite or NaN.
     #[error("is not a finite number")]
     NotFinite,
-    /// It is none of the words that it can be.
+    /// The text is none of the words that the field allows.
     #[error("unknown word {0:?}")]
     UnknownWord(String),
-    /// The settings have no such class.
+    /// The settings have no class of this name.
     #[error("unknown class {0:?}")]
     UnknownClass(String),
-    /// It is none of the numbers of progress reports.
+    /// The number is no kind of progress note.
     #[error("unknown note {0}")]
     UnknownNote(u32),
-    /// The request has arrived before.
+    /// A request with this client request id has arrived before.
     #[error("came before")]
     DuplicateRequest,
-    /// No instance has this number.
+    /// No instance with this number was launched, or it was shut down.
     #[error("was never launched")]
     UnknownInstance,
-    /// No list has this number.
+    /// No list with this number was received.
     #[error("no such list was sent")]
     UnknownList,
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/src/bin/sanddyke-simulator-adapter/instance.rs
+++ b/src/bin/sanddyke-simulator-adapter/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated workload manager: its gateway, and the names that the gateway's numbers stand for.
+//! One simulated workload manager: its scheduler, and the numbers that the scheduler has for names on the wire.
 
 use crate::error::{FieldError, LineError};
 use crate::lines::{EventMessage, Fields};
@@ -10,40 +10,41 @@
 };
 use std::collections::HashMap;
 
-/// Bit of `INGRESS`'s `opts`: the client's estimate of the work can be used.
+/// Bit of `opts` in `INGRESS`: `costMs` is a usable estimate of the work.
 const HAS_WORK_ESTIMATE: u64 = 1;
-/// `COMPLETED`'s `bill` holds the work (ms) above this many bits.
+/// `bill` in `COMPLETED` holds the work (ms) above this many bits.
 const BILL_WORK_SHIFT: u32 = 12;
-/// And below them the memory, in these units (MB).
+/// `bill` in `COMPLETED` holds the memory in its low bits, in units of this many MB.
 const BILL_MEMORY_UNIT_MB: u64 = 4;
-/// `INTERIM`'s `amount` where an attempt waits for a load.
+/// `amount` in `INTERIM` if an attempt waits for a load.
 const WAITS_FOR_LOAD: f64 = 2.0;
 
 /// One simulated workload manager.
 pub struct Instance {
-    /// Its decisions.
-    pub gateway: Scheduler,
-    /// Names of its requests, by id.
+    /// Decides for this manager.
+    pub scheduler: Scheduler,
+    /// Client request ids, indexed by request id.
     pub requests: Vec<String>,
-    front: ServiceSettings,
+    service_settings: ServiceSettings,
     request_ids: HashMap<String, RequestId>,
     order_keys: HashMap<String, OrderKey>,
 }
 
 impl Instance {
-    /// The instance that a `LAUNCH` line describes.
+    /// Creates the instance that a `LAUNCH` line describes.
     pub fn launch(fields: &Fields, now: Millis) -> Result<Instance, LineError> {
-        let front = settings::parse(fields.required_text(2)?).map_err(|error| fields.error(2, error))?;
+        let service_settings =
+            settings::parse(fields.required_text(2)?).map_err(|error| fields.error(2, error))?;
         Ok(Instance {
-            gateway: Scheduler::new(front.settings.clone(), fields.required(1)?, now),
+            scheduler: Scheduler::new(service_settings.settings.clone(), fields.required(1)?, now),
             requests: Vec::new(),
-            front,
+            service_settings,
             request_ids: HashMap::new(),
             order_keys: HashMap::new(),
         })
     }
 
-    /// The event that a line stands for; `None` where there is nothing for the gateway to decide.
+    /// The event of a line; `None` if the scheduler has nothing to decide.
     pub fn event(
         &mut self,
         message: EventMessage,
@@ -65,7 +66,7 @@
         })
     }
 
-    /// The request that a line names; `None` for one that this instance never received.
+    /// The id of the request that a line names; `None` if this instance never received it.
     fn known_request(&self, fields: &Fields, index: usize) -> Result<Option<RequestId>, LineError> {
         Ok(self.request_ids.get(fields.required_text(index)?).copied())
     }
@@ -90,20 +91,20 @@
         }
     }
 
-    /// An entry of a list, with this instance's numbers.
+    /// Converts a list entry, with this instance's numbers for kinds and zones.
     fn entry(&mut self, row: &ListRow) -> EngineEntry {
         EngineEntry {
             id: row.engine,
             started_at: row.started_at,
             cell: row.cell,
             state: row.state,
-            kind: KindId(number(&mut self.front.kinds, &row.kind)),
+            kind: KindId(number(&mut self.service_settings.kinds, &row.kind)),
             weight: row.weight,
-            zone: ZoneId(number(&mut self.front.zones, &row.zone)),
+            zone: ZoneId(number(&mut self.service_settings.zones, &row.zone)),
         }
     }
 
-    /// `INGRESS`: a request that arrives.
+    /// `INGRESS`: a request arrived.
     fn request(&mut self, fields: &Fields) -> Result<Request, LineError> {
         let name = fields.required_text(1)?;
         let id = RequestId(self.requests.len() as u64);
@@ -113,10 +114,11 @@
         self.requests.push(name.to_owned());
         let options = fields.value::<u64>(3)?.unwrap_or(0);
         let class_name = fields.required_text(8)?;
-        let class = self.front.classes.iter().position(|class| class == class_name);
+        let class = self.service_settings.classes.iter().position(|class| class == class_name);
         let class = class.ok_or_else(|| fields.error(8, FieldError::UnknownClass(class_name.to_owned())))?;
-        let tenant =
-            fields.text(5).and_then(|name| self.front.tenants.iter().position(|tenant| tenant == name));
+        let tenant = fields
+            .text(5)
+            .and_then(|name| self.service_settings.tenants.iter().position(|tenant| tenant == name));
         let next_key = OrderKey(self.order_keys.len() as u64);
         let key = fields.text(9).map(|key| *self.order_keys.entry(key.to_owned()).or_insert(next_key));
         let has_estimate = options & HAS_WORK_ESTIMATE != 0;
@@ -129,11 +131,11 @@
             work_ms: fields.amount(4)?.filter(|work_ms| has_estimate && *work_ms > 0.0),
             memory_mb: fields.amount(6)?.filter(|memory_mb| *memory_mb > 0.0),
             remaining_ms: fields.required_amount(7)?,
-            prior_execution: None, // a client's retry has another id there
+            prior_execution: None, // in the simulator a client's retry has another id
         })
     }
 
-    /// `COMPLETED`: the end of an attempt.
+    /// `COMPLETED`: an attempt ended. `None` if this instance never received its request.
     fn attempt_end(&self, fields: &Fields) -> Result<Option<AttemptEnd>, LineError> {
         let Some(request) = self.known_request(fields, 1)? else { return Ok(None) };
         let bill = fields.value::<u64>(7)?.unwrap_or(0);
@@ -143,22 +145,22 @@
             outcome: outcome(fields, 4)?,
             elapsed_ms: fields.required_amount(5)?,
             request_closed: fields.required::<u8>(6)? != 0,
-            usage: usage(bill).filter(|_| self.front.reports_usage),
-            report: load_report(fields, 8, &self.front.columns)?,
+            usage: usage(bill).filter(|_| self.service_settings.reports_usage),
+            report: load_report(fields, 8, &self.service_settings.columns)?,
         }))
     }
 
-    /// `CHECKED`: the end of a health check.
+    /// `CHECKED`: a health check ended.
     fn health_check_end(&self, fields: &Fields) -> Result<Event, LineError> {
         Ok(Event::HealthChecked {
             outcome: outcome(fields, 1)?,
             engine: EngineId(fields.required(2)?),
             elapsed_ms: fields.required_amount(3)?,
-            report: load_report(fields, 4, &self.front.columns)?,
+            report: load_report(fields, 4, &self.service_settings.columns)?,
         })
     }
 
-    /// `INTERIM`: progress of a running attempt.
+    /// `INTERIM`: a progress note of an attempt in flight. `None` if this instance never received its request.
     fn attempt_note(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let amount = fields.amount(5)?.unwrap_or(0.0);
         let note = match fields.required::<u32>(4)? {
@@ -174,7 +176,7 @@
     }
 }
 
-/// An entry of an engine list, before an instance's numbers for kinds and zones.
+/// An entry of an engine list, with the names of its kind and zone.
 pub struct ListRow {
     engine: EngineId,
     started_at: Option<Millis>,
@@ -186,7 +188,7 @@
 }
 
 impl ListRow {
-    /// The entry that a `ROW` line describes.
+    /// Parses a `ROW` line.
     pub fn parse(fields: &Fields) -> Result<ListRow, LineError> {
         let state = match fields.required_text(3)? {
             "active" => EngineState::Ready,
@@ -206,7 +208,7 @@
     }
 }
 
-/// A completion code.
+/// Parses an outcome of an attempt or a health check.
 fn outcome(fields: &Fields, index: usize) -> Result<Outcome, LineError> {
     Ok(match fields.required_text(index)? {
         "served" => Outcome::Served,
@@ -221,7 +223,7 @@
     })
 }
 
-/// What a bill amounts to; `None` for an empty one.
+/// Decodes the work and memory of a `bill`; `None` if it is 0.
 fn usage(bill: u64) -> Option<Usage> {
     let work_ms = bill >> BILL_WORK_SHIFT;
     let memory_units = bill & ((1 << BILL_WORK_SHIFT) - 1);
@@ -229,7 +231,8 @@
     (bill > 0).then_some(usage)
 }
 
-/// Reads a load report: pairs of `name:value`, of which unknown names are ignored.
+/// Parses a load report, a list of `name:value` pairs. Unknown names are ignored. `None` if the field is empty or the
+/// settings name no columns.
 fn load_report(fields: &Fields, index: usize, columns: &[String]) -> Result<Option<LoadReport>, LineError> {
     let Some(text) = fields.text(index).filter(|_| !columns.is_empty()) else { return Ok(None) };
     let mut report = LoadReport::default();
--- a/src/bin/sanddyke-simulator-adapter/lines.rs
+++ b/src/bin/sanddyke-simulator-adapter/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire: a message and its fields, separated by blanks; `-` stands for no value.
+//! Parses lines of the simulator's protocol: a message and its fields, separated by blanks. `-` is an absent value.
 
 use crate::error::{FieldError, LineError};
 use std::str::FromStr;
@@ -31,7 +31,7 @@
 const WAKEUP: Layout = &["who", "handle"];
 const TIMED_OUT_CLIENT: Layout = &["who", "xid"];
 
-/// A message for one instance's gateway.
+/// A message that is an event of one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventMessage {
     /// An update of the engine list.
@@ -46,16 +46,16 @@
     Interim,
     /// A response has begun to stream.
     Streaming,
-    /// A message of another manager; not used.
+    /// A message of another manager; ignored.
     Inbox,
     /// A timer expired.
     Wakeup,
-    /// A client gave up.
+    /// A client disconnected.
     TimedOutClient,
 }
 
 impl EventMessage {
-    /// The message that a line begins with.
+    /// Parses the message of a line.
     pub fn of(name: &str) -> Result<EventMessage, LineError> {
         Ok(match name {
             "REGISTRY" => EventMessage::Registry,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Its fields.
+    /// Names of the message's fields.
     pub fn layout(self) -> Layout {
         match self {
             EventMessage::Registry => REGISTRY,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The message that a line begins with; empty for an empty line.
+/// The first word of a line; empty for an empty line.
 pub fn message_of(line: &str) -> &str {
     line.split(' ').next().unwrap_or("")
 }
@@ -122,22 +122,22 @@
         Ok(Fields { message, values, layout })
     }
 
-    /// The error for a field that cannot be used.
+    /// The error for an invalid field.
     pub fn error(&self, index: usize, error: impl Into<FieldError>) -> LineError {
         LineError::Field { message: self.message.to_owned(), field: self.layout[index], error: error.into() }
     }
 
-    /// A field's text, where it has a value.
+    /// A field's text; `None` if the value is absent.
     pub fn text(&self, index: usize) -> Option<&'a str> {
         Some(self.values[index]).filter(|value| *value != "-")
     }
 
-    /// A field's text; an error where it has no value.
+    /// A field's text; an error if the value is absent.
     pub fn required_text(&self, index: usize) -> Result<&'a str, LineError> {
         self.text(index).ok_or_else(|| self.error(index, FieldError::Missing))
     }
 
-    /// A field's value, where it has one.
+    /// A field's parsed value; `None` if it is absent.
     pub fn value<T: FromStr>(&self, index: usize) -> Result<Option<T>, LineError> {
         let Some(text) = self.text(index) else { return Ok(None) };
         match text.parse() {
@@ -146,12 +146,12 @@
         }
     }
 
-    /// A field's value; an error where it has none.
+    /// A field's parsed value; an error if it is absent.
     pub fn required<T: FromStr>(&self, index: usize) -> Result<T, LineError> {
         self.value(index)?.ok_or_else(|| self.error(index, FieldError::Missing))
     }
 
-    /// A time or an amount, where there is one: finite, as JSON's and the clock's numbers are.
+    /// A finite time or amount; `None` if it is absent. JSON's and the clock's numbers are finite as well.
     pub fn amount(&self, index: usize) -> Result<Option<f64>, LineError> {
         match self.value::<f64>(index)? {
             Some(value) if !value.is_finite() => Err(self.error(index, FieldError::NotFinite)),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// A time or an amount; an error where there is none.
+    /// A finite time or amount; an error if it is absent.
     pub fn required_amount(&self, index: usize) -> Result<f64, LineError> {
         self.amount(index)?.ok_or_else(|| self.error(index, FieldError::Missing))
     }
--- a/src/bin/sanddyke-simulator-adapter/main.rs
+++ b/src/bin/sanddyke-simulator-adapter/main.rs
@@ -1,8 +1,8 @@
-//! The decisions of `sanddyke` on the simulator's wire: one [`sanddyke::Scheduler`] for each simulated workload manager,
-//! fed from standard input.
+//! Runs the decision module of `sanddyke` under the simulator's protocol on standard input and output. Each simulated
+//! workload manager is one [`sanddyke::Scheduler`].
 //!
-//! [`session`] reads batches of lines and answers each, [`lines`] splits a line into its fields, [`instance`] turns
-//! the lines for one manager into events of its gateway, and [`actions`] writes the gateway's actions.
+//! [`session`] reads batches of lines and answers each, [`lines`] splits a line into its fields, [`instance`] converts
+//! the lines for one manager into events of its scheduler, and [`actions`] writes the scheduler's actions.
 #![forbid(unsafe_code)]
 
 mod actions;
--- a/src/bin/sanddyke-simulator-adapter/session.rs
+++ b/src/bin/sanddyke-simulator-adapter/session.rs
@@ -1,4 +1,4 @@
-//! A session: batches of lines come in, and each is answered with the actions of its events and `READY`.
+//! Reads batches of lines. The answer to each is the actions of its events, and `READY`.
 
 use crate::actions::write_action;
 use crate::error::{AdapterError, FieldError, LineError};
@@ -23,14 +23,14 @@
     if session.clock.is_some() { Err(AdapterError::IncompleteBatch(number)) } else { Ok(()) }
 }
 
-/// A list of which entries are still to come.
+/// A list whose `ROW` lines have not all been read.
 struct OpenList {
     list: u64,
     remaining: usize,
 }
 
 impl OpenList {
-    /// A list of which this many entries are to come; `None` where it is complete.
+    /// A list with this many `ROW` lines left to read; `None` if it is complete.
     fn of(list: u64, remaining: usize) -> Option<OpenList> {
         (remaining > 0).then_some(OpenList { list, remaining })
     }
@@ -38,19 +38,18 @@
 
 #[derive(Default)]
 struct Session {
-    /// Time of the batch that is being read.
+    /// Time of the current batch; `None` outside a batch.
     clock: Option<Millis>,
     instances: HashMap<u64, Instance>,
     lists: HashMap<u64, Vec<ListRow>>,
     open_list: Option<OpenList>,
-    /// Scratch space for the actions of one event.
+    /// Reused buffer for the actions of one event.
     actions: Vec<Action>,
-    /// The answer to the batch that is being read.
+    /// The answer to the current batch.
     reply: String,
 }
 
 impl Session {
-    /// Handles one line.
     fn handle(&mut self, line: &str, output: &mut impl Write) -> Result<(), LineError> {
         let message = message_of(line);
         let Some(now) = self.clock else { return self.begin_batch(line, message) };
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Outside a batch only `BATCH` may come, or an empty line.
+    /// Handles a line outside a batch, which must be `BATCH` or empty.
     fn begin_batch(&mut self, line: &str, message: &str) -> Result<(), LineError> {
         match message {
             "" => Ok(()),
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Writes the answer to the batch.
+    /// Ends the batch, and writes its answer.
     fn end_batch(&mut self, output: &mut impl Write) -> Result<(), LineError> {
         self.clock = None;
         self.reply.push_str("READY\n");
@@ -91,7 +90,7 @@
         Ok(output.flush()?)
     }
 
-    /// Rows follow, where the list has any.
+    /// Begins a list; its `ROW` lines follow.
     fn begin_list(&mut self, line: &str) -> Result<(), LineError> {
         let fields = Fields::parse(line, LIST)?;
         let list = fields.required(0)?;
@@ -101,7 +100,7 @@
         Ok(())
     }
 
-    /// Adds an entry to the open list; nothing else may come in its place.
+    /// Adds an entry to the open list. Any other line is an error.
     fn add_row(&mut self, open: OpenList, line: &str, message: &str) -> Result<(), LineError> {
         if message != "ROW" {
             return Err(LineError::IncompleteList { remaining: open.remaining, found: message.to_owned() });
@@ -112,21 +111,20 @@
         Ok(())
     }
 
-    /// Launches an instance.
     fn launch(&mut self, fields: &Fields, now: Millis) -> Result<(), LineError> {
         let instance = Instance::launch(fields, now)?;
         self.instances.insert(fields.required(0)?, instance);
         Ok(())
     }
 
-    /// Hands an event to its instance's gateway, and writes the actions.
+    /// Passes an event to its instance's scheduler, and appends the resulting actions to the reply.
     fn handle_event(&mut self, line: &str, message: EventMessage, now: Millis) -> Result<(), LineError> {
         let fields = Fields::parse(line, message.layout())?;
         let id: u64 = fields.required(0)?;
         let instance =
             self.instances.get_mut(&id).ok_or_else(|| fields.error(0, FieldError::UnknownInstance))?;
         if let Some(event) = instance.event(message, &fields, &self.lists)? {
-            instance.gateway.handle(now, event, &mut self.actions);
+            instance.scheduler.handle(now, event, &mut self.actions);
             for action in self.actions.drain(..) {
                 write_action(&mut self.reply, id, &instance.requests, &action);
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! # The decision module
 //!
-//! [`Gateway`] is a state machine. Its caller passes every [`Event`] with the time at which it happened, and applies
+//! [`Scheduler`] is a state machine. Its caller passes every [`Event`] with the time at which it happened, and applies
 //! the resulting [`Action`]s in order. The same events always result in the same actions.
 //!
 //! ```
@@ -28,7 +28,7 @@
 //!     kinds: vec![KindSettings { cores: Some(8.0), memory_mb: Some(16384.0) }],
 //!     ..Settings::default()
 //! };
-//! let mut gateway = Scheduler::new(settings, 7, 0.0);
+//! let mut scheduler = Scheduler::new(settings, 7, 0.0);
 //! let mut actions = Vec::new();
 //!
 //! let engine = EngineEntry {
@@ -40,9 +40,9 @@
 //!     started_at: None,
 //!     weight: 1.0,
 //! };
-//! gateway.handle(0.0, Event::EngineList(EngineListEvent::Replace(vec![engine])), &mut actions);
+//! scheduler.handle(0.0, Event::EngineList(EngineListEvent::Replace(vec![engine])), &mut actions);
 //! let request = Request { id: RequestId(1), remaining_ms: 1500.0, ..Default::default() };
-//! gateway.handle(5.0, Event::Request(request), &mut actions);
+//! scheduler.handle(5.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(
 //!     action,
 //!     Action::Send { request: RequestId(1), engine: EngineId(51), .. }
