--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Stored data and output formats of an earlier build (`tests/fixtures`): this build reads the files and prints the
-//! same bytes. The fixtures were written by the build of commit a8d3c0b and are never written again.
+//! Guards against incompatible changes of stored data and output formats. This build reads the files of an earlier one
+//! (`tests/fixtures`) and prints the same bytes. The fixtures were written by the build of commit a8d3c0b and must not
+//! be regenerated.
 
 mod common;
 
@@ -27,7 +28,7 @@
     (folder, path)
 }
 
-/// Nothing listens there: connections are refused.
+/// An address without a listener; connections to it are refused.
 fn unreachable_engine() -> SocketAddr {
     SocketAddr::new(common::unique_address(), 4001)
 }
@@ -105,7 +106,7 @@
     assert!(sanddyke_snapshot::encode(&again, written_ms).unwrap() == bytes, "the file differs");
 }
 
-/// All series with their labels and values; only the time served is not compared.
+/// Compares the whole page: all series with their labels and values.
 #[cfg(feature = "cluster")]
 #[test]
 fn the_metrics_page_has_the_same_bytes() {
@@ -121,7 +122,7 @@
     assert_eq!(page, std::fs::read_to_string(fixture("metrics.txt")).unwrap());
 }
 
-/// Names and kinds of all fields of the fleet's view.
+/// Compares the names of the fields in the fleet view.
 #[cfg(feature = "cluster")]
 #[test]
 fn the_fleet_view_has_the_same_fields() {
@@ -143,7 +144,8 @@
     assert_eq!(view["sent"], json!([0, 0, 0]));
 }
 
-/// The digest of a creation with an idempotency key is stored: a retry at a newer build must find the same one.
+/// Guards against a retried creation with an idempotency key that a newer build treats as another one. The digest of
+/// the creation is stored, so each build must compute the same one.
 #[test]
 fn the_digest_of_a_creation_is_the_same() {
     use sanddyke_tenancy::{Change, Limits, TenantSpec};
@@ -163,7 +165,7 @@
         ..TenantSpec::default()
     };
     let change = Change::CreateTenant { name: "glannau".to_owned(), spec };
-    let [creation] = &loaded.creations[..] else { panic!("one creation") };
+    let [creation] = &loaded.creations[..] else { panic!("expected one creation in the store") };
     assert_eq!(creation.name, "glannau");
     assert_eq!(creation.request_digest, sanddyke_authorization::digest(&format!("{change:?}")));
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,4 @@
-//! Operation of the program: the operations endpoint, drains, and a new version that takes over under load.
+//! Operation of the program: the operations endpoint, drains, and replacement by a new version under load.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The operations endpoint must respond within this.
-const RESPONSE_LIMIT: Duration = Duration::from_secs(1);
+/// Upper bound of the response time of the operations endpoint.
+const OPERATIONS_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn query(name: u64, statement: &str) -> String {
     let txn = format!("{name:016x}");
@@ -37,7 +37,11 @@
     let check = |program: &Program| program.call("GET", "/check", &[], "").status;
     let is = |status: u16, state: &str| (status, state.to_owned());
     assert_eq!(call(&program, "GET", "/admin/health"), is(200, "ready"));
-    assert_eq!(call(&program, "POST", "/admin/resume"), is(200, "ready"), "no drain to end");
+    assert_eq!(
+        call(&program, "POST", "/admin/resume"),
+        is(200, "ready"),
+        "resume without a drain has no effect"
+    );
     for _ in 0..2 {
         assert_eq!(call(&program, "POST", "/admin/quiesce"), is(200, "drained"));
         assert_eq!((call(&program, "GET", "/admin/health"), check(&program)), (is(503, "drained"), 503));
@@ -46,13 +50,15 @@
     assert_eq!(call(&program, "GET", "/admin/health"), is(503, "drained"), "SIGHUP does not end a drain");
     assert_eq!(call(&program, "POST", "/admin/resume"), is(200, "ready"));
     assert_eq!((call(&program, "GET", "/admin/health"), check(&program)), (is(200, "ready"), 200));
-    // SIGTERM while drained shuts down all the same; calls from then on are rejected with the reason.
+    // SIGTERM also shuts down a drained program. Later calls are rejected with the reason.
     let mut open = program.connect();
     open.write_all(query(1, "SELECT slow").as_bytes()).unwrap();
-    wait_until("it runs", || engine.count("REQ") == 1);
+    wait_until("the request is in flight", || engine.count("REQ") == 1);
     assert_eq!(call(&program, "POST", "/admin/quiesce"), is(200, "drained"));
     program.terminate();
-    wait_until("it stops", || call(&program, "GET", "/admin/health") == is(503, "stopping"));
+    wait_until("the program reports that it stops", || {
+        call(&program, "GET", "/admin/health") == is(503, "stopping")
+    });
     for target in ["/admin/quiesce", "/admin/resume"] {
         assert_eq!(call(&program, "POST", target), is(409, "stopping"));
     }
@@ -80,7 +86,8 @@
     assert_eq!(program.health(), Some((200, "ready".to_owned())));
 }
 
-/// Callers that send nothing, a byte at a time, or noise delay neither other callers nor clients.
+/// Guards against callers of the operations endpoint that send nothing, or incomplete requests byte by byte. They must
+/// delay neither other callers nor clients.
 #[test]
 fn silent_operations_connections_delay_neither_callers_nor_clients() {
     let engine = engines::line_protocol();
@@ -95,7 +102,7 @@
     for number in 0..50 {
         let began = Instant::now();
         assert_eq!(program.health(), Some((200, "ready".to_owned())));
-        assert!(began.elapsed() < RESPONSE_LIMIT, "{:?}", began.elapsed());
+        assert!(began.elapsed() < OPERATIONS_RESPONSE_TIMEOUT, "{:?}", began.elapsed());
         let mut client = program.connect();
         client.write_all(query(number, "SELECT ok").as_bytes()).unwrap();
         assert_eq!(read_reply(&mut client).unwrap().status, 200);
@@ -104,9 +111,9 @@
     }
 }
 
-/// A service that makes no progress is not ready, and neither is one that does not respond in time.
+/// The operations endpoint of a suspended process does not respond, and reports `ready` after the process resumes.
 #[test]
-fn a_paused_program_answers_nothing_and_is_well_again_afterwards() {
+fn a_suspended_program_does_not_answer_health_checks_until_it_resumes() {
     let program = start(&[engines::line_protocol().address], json!({}));
     program.pause(true);
     let mut stream = TcpStream::connect(program.ops).unwrap();
@@ -114,11 +121,11 @@
     stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     assert!(stream.read(&mut [0]).is_err());
     program.pause(false);
-    wait_until("it is well", || program.health() == Some((200, "ready".to_owned())));
+    wait_until("the program is ready again", || program.health() == Some((200, "ready".to_owned())));
 }
 
-/// A drained program closes its clients' connections without losing a request, and keeps connections again when
-/// resumed.
+/// Guards against requests that are lost when a drain closes client connections. After the drain ends, connections stay
+/// open between requests again.
 #[test]
 fn a_drain_closes_connections_and_loses_no_request() {
     let engine = engines::line_protocol();
@@ -131,17 +138,17 @@
     let mut writing = program.connect();
     let text = query(3, "SELECT ok");
     writing.write_all(&text.as_bytes()[..40]).unwrap();
-    wait_until("it runs", || engine.count("REQ") == 2);
+    wait_until("the second request is in flight", || engine.count("REQ") == 2);
     assert_eq!(program.ops("POST", "/admin/quiesce").unwrap().status, 200);
-    // A client that has not noticed yet is served, and its connection closes.
+    // A client that connects during the drain is served, and its connection is closed.
     let mut late = program.connect();
     late.write_all(query(4, "SELECT ok").as_bytes()).unwrap();
     for stream in [&mut late, &mut open] {
         let reply = read_reply(stream).unwrap();
         assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
     }
-    assert!(closed(&mut idle, Duration::from_secs(2)), "an idle connection is closed");
-    // A request that its client was writing is served to its end.
+    assert!(closed(&mut idle, Duration::from_secs(2)), "the idle connection was not closed");
+    // A request that was half written when the drain began is served.
     writing.write_all(&text.as_bytes()[40..]).unwrap();
     assert_eq!(read_reply(&mut writing).unwrap().status, 200);
     assert_eq!(program.ops("POST", "/admin/resume").unwrap().status, 200);
@@ -149,22 +156,26 @@
     let mut resumed = program.connect();
     for name in 5..8 {
         resumed.write_all(query(name, "SELECT ok").as_bytes()).unwrap();
-        assert_eq!(read_reply(&mut resumed).unwrap().field("Connection"), None, "connections stay again");
+        assert_eq!(
+            read_reply(&mut resumed).unwrap().field("Connection"),
+            None,
+            "the connection stays open after the drain"
+        );
     }
 }
 
-/// What steady clients counted, each with one connection at a time, until they are stopped.
+/// Totals of the clients that send requests until `stop` is set, each over one connection at a time.
 #[derive(Default)]
 struct ClientCounts {
     served: AtomicU64,
-    /// Requests that were sent on a connection that was being closed, and were retried.
+    /// Requests sent on a reused connection that was closed without a response; they were retried on a new one.
     retried: AtomicU64,
-    /// Neither served nor retried with success.
+    /// Requests without status 200, also after a retry.
     lost: AtomicU64,
     stop: AtomicBool,
 }
 
-/// A client that reuses its connection for as long as it may, as ordinary ones do.
+/// A client that reuses its connection until a response has `Connection: close`.
 fn client(to: SocketAddr, number: u64, counts: &ClientCounts) {
     let mut stream: Option<TcpStream> = None;
     for call in 0.. {
@@ -194,13 +205,14 @@
     }
 }
 
-/// Two new versions in a row under steady requests: every connection is accepted, every request answered once.
+/// Guards against connections that are refused or reset while a new version replaces the old one under load. Two
+/// replacements follow one another; every request is answered once.
 #[test]
-fn a_new_version_takes_over_without_losing_a_request() {
+fn no_request_is_lost_when_a_new_version_replaces_the_old_one() {
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    wait_until("the first is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the first version is ready", || old.health() == Some((200, "ready".to_owned())));
     let counts = Arc::new(ClientCounts::default());
     let clients: Vec<_> = (0..12)
         .map(|number| {
@@ -211,32 +223,33 @@
     for _ in 0..2 {
         let began = Instant::now();
         let new = platform.start();
-        wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+        wait_until("the new version is ready", || new.health() == Some((200, "ready".to_owned())));
         assert!(began.elapsed() < Duration::from_secs(6));
         std::thread::sleep(Duration::from_millis(300));
         old.terminate();
         assert!(old.wait().success());
         old = new;
         let so_far = counts.served.load(Ordering::Relaxed);
-        wait_until("the new one serves", || counts.served.load(Ordering::Relaxed) > so_far + 50);
+        wait_until("the new version serves requests", || counts.served.load(Ordering::Relaxed) > so_far + 50);
     }
     counts.stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
     let (served, retried) = (counts.served.load(Ordering::Relaxed), counts.retried.load(Ordering::Relaxed));
     assert_eq!(counts.lost.load(Ordering::Relaxed), 0, "{served} served, {retried} retried after a close");
-    // Most connections close with an answer; few close under a request.
+    // Most connections close together with a response. Only a few close while a request is being sent.
     assert!(retried <= 4, "{retried} requests of {served} were retried after a close");
-    let ran = engine.count("REQ") as u64;
-    assert!(ran <= served + retried + 12, "{ran} requests ran for {served} that were served");
+    let attempts = engine.count("REQ") as u64;
+    assert!(attempts <= served + retried + 12, "{attempts} attempts for {served} served requests");
 }
 
-/// A new version that can't start changes nothing for the one that serves.
+/// Guards against a new version that is killed during its start and takes the listening socket or the clients of the
+/// old version with it.
 #[test]
 fn a_new_version_that_fails_to_start_leaves_the_old_one_serving() {
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
     let old = platform.start();
-    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the old version is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut new = platform.start();
     new.kill();
     for name in 0..20 {
@@ -250,7 +263,7 @@
 #[case("LB_ACCEPT_FD", "9")]
 #[case("LB_ACCEPT_FD", "two")]
 #[case("LB_OPS", "9000")]
-fn an_unusable_variable_at_start_up_is_named(#[case] variable: &str, #[case] value: &str) {
+fn a_start_with_an_invalid_environment_variable_names_it(#[case] variable: &str, #[case] value: &str) {
     let config = std::env::temp_dir().join(format!("sanddyke-named-{}-{value}.json", std::process::id()));
     let listen = SocketAddr::new(common::unique_address(), 8080).to_string();
     std::fs::write(&config, json!({"listen": listen, "settings": common::settings()}).to_string()).unwrap();
@@ -268,7 +281,7 @@
     assert!(stderr.contains(key), "{stderr}");
 }
 
-/// The snapshot in the folder that both versions share, once there is one.
+/// Waits for the snapshot in the folder that both versions share, and returns its path.
 fn snapshot_path(platform: &common::SocketActivation) -> std::path::PathBuf {
     let find = || {
         let files = std::fs::read_dir(platform.folder()).unwrap().flatten().map(|entry| entry.path());
@@ -278,8 +291,8 @@
     find().unwrap()
 }
 
-/// The new version starts with the learned state of the old one. A snapshot that is damaged, of a later version or of
-/// the day before is ignored with one line in the log, and the new version starts all the same.
+/// A new version restores the learned state of the old one from its snapshot. A snapshot that is corrupted, has a newer
+/// format or is a day old is ignored with one log line, and does not prevent the start.
 #[rstest]
 #[case("whole", "learned state restored")]
 #[case("cut", "corrupted")]
@@ -291,7 +304,7 @@
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
     let old = platform.start();
-    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the old version is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut stream = old.connect();
     stream.write_all(query(1, "SELECT ok").as_bytes()).unwrap();
     assert_eq!(read_reply(&mut stream).unwrap().status, 200);
@@ -310,7 +323,7 @@
     std::fs::write(&path, bytes).unwrap();
     let log = platform.folder().join("log");
     let new = platform.start_with(&[("RUST_LOG", "info")], Some(&log));
-    wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+    wait_until("the new version is ready", || new.health() == Some((200, "ready".to_owned())));
     let lines = std::fs::read_to_string(&log).unwrap();
     let handover_lines: Vec<&str> = lines.lines().filter(|line| line.contains("handover: ")).collect();
     assert_eq!(handover_lines.len(), 1, "{lines}");
@@ -318,8 +331,8 @@
     old.pause(false);
 }
 
-/// SIGKILL at random moments of a snapshot's write, from a seed: the next start finds a complete snapshot or none, and
-/// the temporary files of the killed processes are removed.
+/// Guards against a partly written snapshot after SIGKILL. Processes are killed at seeded random times around the
+/// write. The next start finds a complete snapshot or none, and removes the temporary files of the killed processes.
 #[test]
 fn a_process_killed_while_it_writes_a_snapshot_leaves_no_unusable_file() {
     let engine = engines::line_protocol();
@@ -328,7 +341,7 @@
     for round in 0..6 {
         let log = platform.folder().join(format!("log-{round}"));
         let mut program = platform.start_with(&[("RUST_LOG", "info")], Some(&log));
-        wait_until("it is ready", || program.health() == Some((200, "ready".to_owned())));
+        wait_until("the program is ready", || program.health() == Some((200, "ready".to_owned())));
         // The first snapshot is written a second after the start.
         std::thread::sleep(Duration::from_micros(990_000 + u64::from(rng.rand_range(0..20_000))));
         program.kill();
@@ -343,31 +356,32 @@
     wait_until("temporary files are removed", || parts() == 0);
 }
 
-/// A new version is not ready, and accepts no connection, before its engines have answered a health check; where they
-/// do not answer, it is ready all the same, in time.
+/// Guards against a new version that takes connections before it knows which engines respond. It is not ready until its
+/// engines have answered a health check. If they do not answer, it becomes ready after a time-out (about 2 s).
 #[test]
-fn a_new_version_is_ready_once_engines_were_checked_or_the_wait_is_over() {
-    let mute = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let platform = socket_activation(&[mute.local_addr().unwrap()], json!({}));
+fn a_new_version_becomes_ready_after_engine_health_checks_or_a_time_out() {
+    let silent_engine = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let platform = socket_activation(&[silent_engine.local_addr().unwrap()], json!({}));
     let began = Instant::now();
     let program = platform.start();
-    wait_until("its second address answers", || program.health().is_some());
+    wait_until("the operations endpoint answers", || program.health().is_some());
     assert_eq!(program.health(), Some((503, "starting".to_owned())));
-    wait_until("it is ready", || program.health() == Some((200, "ready".to_owned())));
-    let took = began.elapsed();
-    assert!(took > Duration::from_millis(1900) && took < Duration::from_secs(5), "{took:?}");
+    wait_until("the program is ready", || program.health() == Some((200, "ready".to_owned())));
+    let elapsed = began.elapsed();
+    assert!(elapsed > Duration::from_millis(1900) && elapsed < Duration::from_secs(5), "{elapsed:?}");
 }
 
-/// A drain of the old version while a new one starts: the new one is not drained, and the old one ends with success.
+/// Guards against a drain of the old version that also drains a new one which is starting. The old one still shuts down
+/// with success.
 #[test]
 fn a_drain_applies_to_one_process_only() {
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the old version is ready", || old.health() == Some((200, "ready".to_owned())));
     old.ops("POST", "/admin/quiesce").unwrap();
     let new = platform.start();
-    wait_until("the new one is ready", || new.health() == Some((200, "ready".to_owned())));
+    wait_until("the new version is ready", || new.health() == Some((200, "ready".to_owned())));
     old.hangup();
     assert_eq!(old.health(), Some((503, "drained".to_owned())));
     old.terminate();
@@ -377,31 +391,31 @@
     assert_eq!(read_reply(&mut stream).unwrap().status, 200);
 }
 
-/// Guards against two versions that both use up all connections that clients may have: a client of the new one then
-/// gets none. (Observed: 156 requests a run not accepted, with 110 open in one process and 21 in the other.)
+/// Guards against two versions that each use the whole limit of client connections, so that clients of the new one get
+/// none. (Observed: 156 requests a run not accepted, with 110 open in one process and 21 in the other.)
 #[test]
 fn a_process_that_shuts_down_publishes_its_open_connections() {
     let engine = engines::line_protocol();
     let platform = socket_activation(&[engine.address], json!({}));
     let mut old = platform.start();
-    wait_until("it is ready", || old.health() == Some((200, "ready".to_owned())));
+    wait_until("the old version is ready", || old.health() == Some((200, "ready".to_owned())));
     let mut open: Vec<TcpStream> = (0..3).map(|_| old.connect()).collect();
     for (name, stream) in open.iter_mut().enumerate() {
         stream.write_all(query(name as u64, "SELECT slow").as_bytes()).unwrap();
     }
-    wait_until("they run", || engine.count("REQ") == 3);
+    wait_until("the requests are in flight", || engine.count("REQ") == 3);
     let file = sanddyke_snapshot::SnapshotFile::new(platform.folder(), "sanddyke-leaving");
     let published = || {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         let read = file.read(now.as_millis() as u64, Duration::from_secs(1)).ok().flatten();
         read.map(|snapshot| u64::from_le_bytes(snapshot.payload.try_into().unwrap()))
     };
-    assert_eq!(published(), None, "a process that serves publishes nothing");
+    assert_eq!(published(), None, "a process that is not shutting down publishes no count");
     old.terminate();
-    wait_until("three are published", || published() == Some(3));
+    wait_until("three connections are published", || published() == Some(3));
     open.pop();
-    wait_until("two are published", || published() == Some(2));
+    wait_until("two connections are published", || published() == Some(2));
     drop(open);
     assert!(old.wait().success());
-    wait_until("the count is outdated", || published().is_none());
+    wait_until("the published count has expired", || published().is_none());
 }
