--- a/tests/common/dns.rs
+++ b/tests/common/dns.rs
@@ -1,26 +1,26 @@
-//! An emulated DNS server (RFC 1035). It does not answer the first query, truncates the second response, and reports
-//! from then on that the first engine drains.
+//! An emulated DNS server (RFC 1035). It does not answer the first query, truncates the response to the second, and
+//! reports the first engine as draining from the third on.
 
 use std::net::{SocketAddr, UdpSocket};
 
-/// A name as labels.
+/// Encodes a name as labels.
 fn name(text: &str) -> Vec<u8> {
     let labels = text.split('.').flat_map(|label| [&[label.len() as u8][..], label.as_bytes()].concat());
     labels.chain([0]).collect()
 }
 
-/// A resource record of class IN, without a time to live.
+/// A resource record of class IN with a time to live of 0.
 fn record(owner: &str, kind: u8, data: &[u8]) -> Vec<u8> {
     let length = (data.len() as u16).to_be_bytes();
     [name(owner), vec![0, kind, 0, 1, 0, 0, 0, 0], length.to_vec(), data.to_vec()].concat()
 }
 
-/// Starts a server with records for these engines.
+/// Starts a server with records of these engines.
 pub fn server(engines: Vec<SocketAddr>) -> SocketAddr {
     server_for(engines, |_| true)
 }
 
-/// Starts one that answers only some clients.
+/// Starts a server that answers only the clients for which `answers_client` returns true.
 pub fn server_for(
     engines: Vec<SocketAddr>,
     mut answers_client: impl FnMut(SocketAddr) -> bool + Send + 'static,
--- a/tests/common/engines/line_protocol_session.rs
+++ b/tests/common/engines/line_protocol_session.rs
@@ -1,4 +1,4 @@
-//! A connection with an emulated engine of the line protocol.
+//! A connection to an emulated engine with the line protocol.
 
 use super::{Paused, Received, wait_while_paused};
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
         wait_while_paused(paused);
         if length == 0 {
             session.record("END OF CONNECTION".to_owned());
-            // Closes it also for threads that still respond.
+            // Shuts the socket down also for threads that are still writing responses.
             return session.out.shutdown(std::net::Shutdown::Both);
         }
         let line = line.trim_end();
@@ -51,7 +51,7 @@
     }
 }
 
-/// The state of a connection. Its methods return false if the connection is to be closed.
+/// The state of a connection. Methods with a boolean result return false if the connection is to be closed.
 struct Session<'a> {
     out: TcpStream,
     received: &'a Received,
@@ -66,7 +66,7 @@
         self.received.lock().unwrap().push(entry);
     }
 
-    /// How many entries contain a text.
+    /// The number of received entries that contain a text.
     fn count(&self, text: &str) -> usize {
         self.received.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
@@ -88,10 +88,10 @@
         Ok(true)
     }
 
-    /// Executes a statement as its words say.
+    /// Executes a statement according to the words in it.
     fn execute(&mut self, id: &str, statement: &str) -> std::io::Result<bool> {
         let has = |word: &str| statement.contains(word);
-        // Only the first attempt of such a statement goes wrong.
+        // Such a statement fails only at its first attempt.
         let first_attempt = |word: &str| has(word) && self.count(word) == 1;
         if first_attempt("mute") {
             write!(self.out, "{id} {PROGRESS}")?;
@@ -132,7 +132,7 @@
         Ok(true)
     }
 
-    /// Sends a response byte by byte until the connection is closed, and reads on meanwhile as engines do.
+    /// Sends a response byte by byte until the connection is closed, while the connection is still read.
     fn trickle(&mut self, id: &str) -> std::io::Result<()> {
         let mut out = self.out.try_clone()?;
         write!(out, "{id} 200 sheets=1,toil=100,room=8 9000\r\n")?;
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Reports on a request until the connection ends; what is said of it after its stop is ignored.
+    /// Sends progress notes of a request until the connection is closed, also after its STOP.
     fn report_progress_until_closed(&self, id: &str) -> std::io::Result<()> {
         let mut out = self.out.try_clone()?;
         let id = id.to_owned();
@@ -184,7 +184,7 @@
         Ok(())
     }
 
-    /// A valid response, with others that nobody waits for: one of an unknown id, and the same again.
+    /// Sends a response for an unknown id, and then the valid response twice.
     fn respond_twice(&mut self, id: &str) -> std::io::Result<()> {
         let response = format!("{id} 200 sheets=2,toil=100,room=8 8\r\na\tb\nc\td\n\r\n");
         self.closes_at_fetch.insert(id.to_owned(), false);
--- a/tests/common/engines/mod.rs
+++ b/tests/common/engines/mod.rs
@@ -1,17 +1,17 @@
 //! Emulated engines, for the line protocol and for TDS. Words in a statement decide how it is executed:
 //!
-//! - `ok`, and any other: two rows;
-//! - `big`: a result of several pages, in which the connection is closed (`big once`: at the first attempt only);
-//! - `huge`: a result that is longer than any that is collected;
+//! - `ok`, and all others: two rows;
+//! - `big`: a result of several pages (`big once`: the first attempt closes the connection between pages);
+//! - `huge`: a result that exceeds the program's limit of result size;
 //! - `fail`, `full`: an error, or a rejection;
 //! - `die`: the connection is closed;
 //! - `garble`, `torn`: a malformed response, or an incomplete row;
 //! - `twice`: a response to an unknown request, then the proper one twice;
-//! - `mute`, `trickle`: at the first attempt a response that never comes, or comes byte by byte;
-//! - `stutter`: at the first attempt an error that comes again 0.15 s later, at others work until it is cancelled;
+//! - `mute`, `trickle`: at the first attempt a response that never arrives, or arrives byte by byte;
+//! - `stutter`: at the first attempt an error that is repeated 0.15 s later, at others work until it is cancelled;
 //! - `nap`: 0.3 s of work (`long nap`: 4 s; with `then fail` it ends in an error);
 //! - `slow`: work until it is cancelled;
-//! - `chatty`: the same with frequent reports, also while the engine is paused.
+//! - `chatty`: like `slow`, with frequent progress notes, also while the engine is paused.
 
 mod line_protocol_session;
 mod tds_session;
@@ -23,13 +23,13 @@
 use std::time::Duration;
 use tds_session::speak_tds;
 
-/// What an engine has received, in order: the lines, or the statements and attentions of TDS.
+/// What an engine has received, in order: lines of the line protocol, or statements and Attentions of TDS.
 pub type Received = Arc<Mutex<Vec<String>>>;
 
-/// Whether an engine is paused: it accepts connections and reads nothing of what they carry.
+/// Whether an engine is paused. A paused engine accepts connections, but does not process what it receives on them.
 pub type Paused = Arc<AtomicBool>;
 
-/// How often a paused engine looks whether it is resumed.
+/// Interval at which a paused engine checks whether it is resumed.
 const RESUME_POLL: Duration = Duration::from_millis(1);
 
 /// Waits while an engine is paused.
@@ -53,12 +53,12 @@
         Engine { address, received: Received::default(), paused: Paused::default() }
     }
 
-    /// Pauses the engine, or resumes it.
+    /// Pauses or resumes the engine.
     pub fn pause(&self, paused: bool) {
         self.paused.store(paused, Ordering::Relaxed);
     }
 
-    /// How many entries of what it has received contain a text.
+    /// The number of entries in `received` that contain a text.
     pub fn count(&self, text: &str) -> usize {
         self.received.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
@@ -86,7 +86,7 @@
 }
 
 fn serve_line_protocol(stream: TcpStream, received: Received, paused: Paused) {
-    // The connection is closed, or broke: the engine serves others.
+    // An error ends only this connection; the engine serves others.
     let _ended = speak_line_protocol(stream, &received, &paused);
 }
 
@@ -95,7 +95,7 @@
 }
 
 /// An engine that does not accept connections yet: the backlog of its socket is full, so the kernel drops the first
-/// packet of each connection. Clients send it again about a second later.
+/// packet of each connection. The client's kernel resends it about a second later.
 pub struct LateEngine {
     /// The engine.
     pub engine: Engine,
@@ -106,12 +106,12 @@
 }
 
 impl LateEngine {
-    /// One with the line protocol.
+    /// Starts a late engine with the line protocol.
     pub fn line_protocol() -> LateEngine {
         LateEngine::start(serve_line_protocol)
     }
 
-    /// One with TDS.
+    /// Starts a late engine with TDS.
     pub fn tds() -> LateEngine {
         LateEngine::start(serve_tds)
     }
@@ -133,7 +133,7 @@
         LateEngine { engine, backlog, listener, serve }
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections.
     pub fn accept_connections(self) -> Engine {
         for _ in &self.backlog {
             drop(self.listener.accept().unwrap());
@@ -146,14 +146,14 @@
 /// What a [`BlockedEngine`] does with its first connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Unblock {
-    /// It reads what was sent.
+    /// Reads what was sent.
     Read,
-    /// It closes the connection without reading.
+    /// Closes the connection without reading.
     Close,
 }
 
-/// An engine of the line protocol that does not read from its first connection, whose receive buffer is small. Other
-/// connections are served as usual.
+/// An engine with the line protocol that does not read from its first connection, whose receive buffer is small. It
+/// serves other connections normally.
 pub struct BlockedEngine {
     /// The engine.
     pub engine: Engine,
@@ -161,10 +161,10 @@
 }
 
 impl BlockedEngine {
-    /// Starts one.
+    /// Starts a blocked engine.
     pub fn start() -> BlockedEngine {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        // The sender's window grows with the size of the segments that its peer accepts.
+        // The sender's window grows with the peer's maximum segment size, so a small one keeps the window small.
         socket.set_tcp_mss(88).unwrap();
         socket.set_recv_buffer_size(1).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -186,7 +186,7 @@
         BlockedEngine { engine, unblock }
     }
 
-    /// Reads from the first connection from now on, or closes it.
+    /// Starts to read from the first connection, or closes it.
     pub fn unblock(&self, action: Unblock) {
         self.unblock.send(action).unwrap();
     }
--- a/tests/common/engines/tds_session.rs
+++ b/tests/common/engines/tds_session.rs
@@ -1,4 +1,4 @@
-//! A connection with an emulated engine of TDS.
+//! A connection to an emulated engine with TDS.
 
 use super::{Paused, Received, wait_while_paused};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
     [&[kind][..], &(data.len() as u16).to_le_bytes(), data].concat()
 }
 
-/// An ERROR or INFO token, as MS-TDS 2.2.7.10 has it.
+/// An ERROR or INFO token (MS-TDS 2.2.7.10).
 fn message(kind: u8, number: u32, text: &str) -> Vec<u8> {
     let count = (text.len() as u16).to_le_bytes();
     token(kind, &[&number.to_le_bytes()[..], &[1, 16], &count, &utf16(text), &[0, 0], &[0; 4]].concat())
@@ -40,7 +40,8 @@
     out
 }
 
-/// Writes a response in packets of an odd size, so that tokens are split anywhere. Without `complete` more follows.
+/// Writes a response in packets of 37 bytes of data, so that tokens are split. Unless `complete`, the last packet is
+/// not marked as the end of the message.
 fn respond(out: &mut TcpStream, data: &[u8], complete: bool) -> std::io::Result<()> {
     let parts: Vec<&[u8]> = data.chunks(37).collect();
     for (index, part) in parts.iter().enumerate() {
@@ -51,13 +52,14 @@
     Ok(())
 }
 
-/// A message of a client.
+/// A message from a client.
 struct ClientMessage {
     kind: u8,
     data: Vec<u8>,
 }
 
-/// Reads a message. An attention may be sent in the middle of another one, and has a lower type.
+/// Reads a message. An Attention may interrupt another message. The packet type with the higher number is the
+/// message's.
 fn read_message(stream: &mut TcpStream) -> std::io::Result<ClientMessage> {
     let mut message = ClientMessage { kind: 0, data: Vec::new() };
     loop {
--- a/tests/common/ldap.rs
+++ b/tests/common/ldap.rs
@@ -1,22 +1,22 @@
-//! An emulated LDAP directory (RFC 4511). It grants binds with the password `right`, and has one entry, whose `o` is
-//! `acme`.
+//! An emulated LDAP directory (RFC 4511). It accepts binds with the password `right`, and has one entry, with the
+//! attribute `o=acme`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// An element of BER: tag, length, value.
+/// Encodes a BER element: tag, length, value.
 fn tlv(tag: u8, parts: &[&[u8]]) -> Vec<u8> {
     let data = parts.concat();
     assert!(data.len() < 128, "short form only");
     [&[tag, data.len() as u8][..], &data].concat()
 }
 
-/// An LDAPResult with this code.
+/// Encodes an LDAPResult with this result code.
 fn result(tag: u8, code: u8) -> Vec<u8> {
     tlv(tag, &[&[0x0a, 1, code], &[4, 0], &[4, 0]])
 }
 
-/// Starts a directory.
+/// Starts a directory, and returns its address.
 pub fn directory() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// The last byte of the next address.
+/// The last byte of the next address of [`unique_address`].
 static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
 
 /// A loopback address that no other test uses, in this process or another, so that no two race for a port.
@@ -23,14 +23,14 @@
     IpAddr::from([127, a, b, NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed)])
 }
 
-/// How long [`wait_until`] waits: far longer than anything takes on a machine that is not stuck.
+/// Time limit of [`wait_until`]. It is far longer than any awaited event takes, also on a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until a condition holds. `description` says which, should it never hold.
+/// Waits until a condition holds. `description` names it if the wait times out.
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "never came: {description}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "not within {WAIT_TIMEOUT:?}: {description}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -145,7 +145,7 @@
     program
 }
 
-/// Starts a process with these environment variables. A socket is passed as descriptor 3, which `LB_ACCEPT_FD` names.
+/// Starts a process with these environment variables. The socket is passed as descriptor 3, with `LB_ACCEPT_FD=3`.
 pub fn spawn(
     config: &std::path::Path,
     socket: Option<&TcpListener>,
@@ -167,13 +167,13 @@
 
 /// A listening socket that is passed to programs of one configuration (socket activation), as the platform does.
 pub struct SocketActivation {
-    /// The socket, which stays open while programs come and go.
+    /// The socket, which stays open while programs are started and stopped.
     pub socket: TcpListener,
     config: Value,
     files: Arc<tempdir::Dir>,
 }
 
-/// Opens such a socket, with the configuration that [`start`] would use.
+/// Opens a socket for socket activation, with the configuration that [`start`] uses.
 pub fn socket_activation(engines: &[SocketAddr], overrides: Value) -> SocketActivation {
     let program = start(engines, overrides);
     let config = program.config.clone();
@@ -194,12 +194,12 @@
         &self.files.0
     }
 
-    /// Starts a program with these environment variables too, and its log in a file.
+    /// Starts a program with additional environment variables, and with its log in a file.
     pub fn start_with(&self, variables: &[(&str, &str)], log: Option<&std::path::Path>) -> Program {
         let own = unique_address();
         let (http, ops) = (self.socket.local_addr().unwrap(), SocketAddr::new(own, 19000));
         let mut config = self.config.clone();
-        // The other listeners are not passed on: two programs would bind the same addresses.
+        // Only this socket is shared. Two programs with the other listeners would bind the same addresses.
         (config["tds"], config["admin"]) = (Value::Null, Value::Null);
         let path = self.files.0.join(format!("{own}.json"));
         std::fs::write(&path, config.to_string()).unwrap();
@@ -222,9 +222,9 @@
 /// An HTTP response.
 #[derive(Debug)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The status line and the header fields.
+    /// The status line and the header fields, as received.
     pub head: String,
     /// The body.
     pub body: String,
@@ -260,7 +260,7 @@
     Some(reply)
 }
 
-/// An HTTP request as it is sent.
+/// Formats an HTTP request.
 pub fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> String {
     let fields: String = fields.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     format!(
@@ -277,18 +277,19 @@
         read_reply(&mut stream).expect("an answer")
     }
 
-    /// Sends a query of a tenant over HTTP. Its response is to be read from the connection.
+    /// Sends a query of the tenant `acme` over HTTP. The response is to be read from the returned connection.
     pub fn send(
         &self,
-        name: &str,
+        client_request_id: &str,
         class: &str,
         ttl_ms: u64,
         key: Option<&str>,
         statement: &str,
     ) -> TcpStream {
-        let name = format!("{:0>16}", hex(name));
+        let client_request_id = format!("{:0>16}", hex(client_request_id));
         let ttl_ms = ttl_ms.to_string();
-        let mut fields = vec![("X-Txn", name.as_str()), ("X-Ttl-Ms", &ttl_ms), ("X-Merchant", "acme")];
+        let mut fields =
+            vec![("X-Txn", client_request_id.as_str()), ("X-Ttl-Ms", &ttl_ms), ("X-Merchant", "acme")];
         fields.extend(key.map(|key| ("X-Txn-Key", key)));
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(request("POST", &format!("/do/{class}"), &fields, statement).as_bytes()).unwrap();
@@ -321,10 +322,10 @@
         assert!(kill.success());
     }
 
-    /// Suspends the process, or resumes it.
+    /// Suspends or resumes the process.
     ///
     /// `kill` returns once SIGSTOP is pending; each thread stops a little later, and may serve a request until then.
-    /// So this waits until all of them are stopped.
+    /// This waits until all threads are stopped.
     pub fn pause(&self, paused: bool) {
         if paused {
             self.signal("-STOP");
@@ -338,15 +339,15 @@
     fn is_stopped(&self) -> bool {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         threads.into_iter().all(|thread| {
-            // A thread may end between the two reads; the next poll lists the threads anew.
+            // A thread may end between the two reads; the next poll lists the threads again.
             let Ok(stat) = std::fs::read_to_string(thread.unwrap().path().join("stat")) else { return false };
-            // The state follows the command's name, which is in parentheses and may hold some itself.
+            // The state follows the command's name, which is in parentheses and may contain parentheses itself.
             let (_, after_name) = stat.rsplit_once(") ").unwrap();
             after_name.starts_with('T')
         })
     }
 
-    /// Kills the process, and waits for its end.
+    /// Kills the process, and waits until it has exited.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -357,12 +358,12 @@
         self.signal("-TERM");
     }
 
-    /// Has the configuration and its files read again.
+    /// Sends SIGHUP, on which the program reloads its configuration and certificate files.
     pub fn hangup(&self) {
         self.signal("-HUP");
     }
 
-    /// Writes the configuration anew, with one key changed, and has it read again.
+    /// Changes one key of the configuration file, and sends SIGHUP.
     pub fn reload(&self, key: &str, value: Value) {
         let mut config = self.config.clone();
         config[key] = value;
@@ -370,14 +371,14 @@
         self.signal("-HUP");
     }
 
-    /// A connection whose reads fail rather than wait for ever.
+    /// Connects to the HTTP frontend, with a read time-out of 20 s.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.http).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         stream
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> std::process::ExitStatus {
         self.child.wait().unwrap()
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -115,7 +115,9 @@
     let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
                          "path": folder.path().join("m1.votes")});
     let program = start(&[unreachable_engine()], json!({"name": "m1", "cluster": cluster}));
-    wait_until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    wait_until("the leases of the only voter are shown", || {
+        program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2")
+    });
     let mut client = program.send("r", "lookup", 600, None, "SELECT ok");
     assert_eq!(read_reply(&mut client).unwrap().status, 503);
     let page = program.admin("GET", "/metrics", TOKEN).body;
@@ -131,7 +133,9 @@
     let cluster = json!({"name": "demo", "listen": peer, "seeds": [peer], "voters": ["m1"],
                          "path": folder.path().join("m1.votes")});
     let program = start(&[], json!({"name": "m1", "cluster": cluster}));
-    wait_until("its vote counts", || program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2"));
+    wait_until("the leases of the only voter are shown", || {
+        program.admin("GET", "/v1/fleet", TOKEN).body.contains("\"left_ms\":2")
+    });
     let view = program.admin("GET", "/v1/fleet", TOKEN).json();
     let fields = |value: &Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>().join(" ");
     assert_eq!(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program with faults between them: the invariants of a lease, by what they logged and did.
+//! Tests with several processes of the program and faults between them. The invariants of leases are checked from the
+//! logs and the backups of the processes.
 
 use rstest::rstest;
 use sanddyke_testbed::fleet::{CutDirection, Fleet, Plan};
@@ -7,14 +8,14 @@
 use std::time::Duration;
 
 const LEASE: &str = "backup";
-/// Some leases and elections: long enough for whatever was begun to have shown.
-const A_WHILE: Duration = Duration::from_secs(4);
+/// The time of several leases and elections, in which the effects of a fault become visible.
+const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 
 async fn fleet(plan: Plan) -> Fleet {
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_sanddyke")), plan).await.unwrap()
 }
 
-/// Checks the invariants once enough backups were made.
+/// Waits until this many backups were made, and checks the invariants.
 async fn check_history(fleet: &Fleet, min_backups: usize) {
     let mut history = fleet.history().unwrap();
     for _ in 0..600 {
@@ -33,9 +34,10 @@
     }
 }
 
-/// Guards against a holder that is suspended for longer than its lease and resumes as if it still held it.
+/// Guards against a lease holder that is suspended for longer than its lease and continues to act as the holder when it
+/// resumes.
 #[tokio::test]
-async fn a_suspended_holder_holds_nothing_when_it_resumes() {
+async fn a_lease_holder_suspended_beyond_expiry_does_not_hold_it_when_resumed() {
     let mut fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.suspend(first).await.unwrap();
@@ -45,18 +47,18 @@
         .wait_for_view(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
         .await
         .unwrap();
-    tokio::time::sleep(A_WHILE / 2).await;
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
     check_history(&fleet, 3).await;
     assert!(fleet.history().unwrap().tenures().iter().any(|tenure| tenure.manager == second));
 }
 
-/// Guards against a wait for the lease's expiry where its holder leaves by plan, and against work that is interrupted.
+/// Guards against a planned leave of the holder that waits for the lease's expiry, or interrupts the holder's work.
 #[rstest]
 #[case("drain")]
 #[case("terminate")]
 #[case("by hand")]
 #[tokio::test]
-async fn a_holder_that_leaves_by_plan_hands_over_at_once(#[case] how: &str) {
+async fn a_holder_that_leaves_by_plan_releases_its_lease_immediately(#[case] how: &str) {
     let mut fleet = fleet(Plan { lease_ms: 10_000, ..Plan::default() }).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     match how {
@@ -69,22 +71,24 @@
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     let gap_us = fleet.history().unwrap().gaps_us(LEASE)[0];
     assert!(gap_us < 3_000_000, "{gap_us} us from m{first} to m{second}, with leases of 10 s");
-    tokio::time::sleep(A_WHILE / 2).await;
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
     check_history(&fleet, 2).await;
 }
 
-/// Guards against a holder that continues though the voters can't receive from it, or it can't receive from them.
+/// Guards against a holder that continues to act while it can't send to the voters, or can't receive from them.
 #[rstest]
 #[case(CutDirection::Both)]
 #[case(CutDirection::Outgoing)]
 #[case(CutDirection::Incoming)]
 #[tokio::test]
-async fn a_holder_that_is_cut_off_stops_in_time_and_another_continues(#[case] direction: CutDirection) {
+async fn a_partitioned_holder_stops_before_expiry_and_another_manager_continues(
+    #[case] direction: CutDirection,
+) {
     let fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     fleet.cut(first, &[0, 1, 2], direction);
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
-    tokio::time::sleep(A_WHILE / 2).await;
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
     fleet.links.clear_faults();
     fleet
         .wait_for_view(first, "the new holder", |view| view["duties"][0]["holder"] == format!("m{second}"))
@@ -93,22 +97,23 @@
     check_history(&fleet, 3).await;
 }
 
-/// Guards against a lease that is granted by a minority of the voters, and against a group that does not recover.
+/// Guards against a lease granted by a minority of the voters, and against a group that does not recover after a
+/// partition.
 #[tokio::test]
-async fn voters_that_are_all_partitioned_grant_nothing() {
+async fn voters_without_a_quorum_grant_no_lease() {
     let fleet = fleet(Plan { managers: 4, ..Plan::default() }).await;
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     for number in 0..3 {
         fleet.cut(number, &[0, 1, 2], CutDirection::Both);
     }
-    tokio::time::sleep(A_WHILE).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(fleet.holder(LEASE).await, None);
     fleet.links.clear_faults();
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     check_history(&fleet, 1).await;
 }
 
-/// Guards against a fleet that only works where messages arrive complete, once and in order.
+/// Guards against a fleet that works only if every message arrives once and in order.
 #[tokio::test]
 async fn leases_continue_over_links_that_lose_duplicate_and_reorder() {
     let mut fleet = fleet(Plan { managers: 5, voters: 3, lease_ms: 3000, ..Plan::default() }).await;
@@ -125,14 +130,14 @@
     let second = fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
     fleet.start_manager(first).unwrap();
     fleet.links.reset();
-    tokio::time::sleep(A_WHILE).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert!(fleet.holder(LEASE).await.is_some(), "{second}");
     check_history(&fleet, 3).await;
 }
 
-/// Guards against peers that fall silent with their connections open: those that send to them must not wait.
+/// Guards against a peer that stops responding with its connections open and blocks the managers that send to it.
 #[tokio::test]
-async fn a_silent_voter_delays_no_other() {
+async fn an_unresponsive_voter_does_not_delay_other_managers() {
     let fleet = fleet(Plan::default()).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     let silent = (first + 1) % 3;
@@ -142,12 +147,12 @@
         fleet.set_link(peer, silent, fault);
         fleet.set_link(silent, peer, fault);
     }
-    tokio::time::sleep(A_WHILE).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(fleet.holder(LEASE).await, Some(first), "two of three voters are enough");
     check_history(&fleet, 4).await;
 }
 
-/// Guards against a voter that votes without knowing what it promised: its file is lost, or damaged.
+/// Guards against a voter that votes without its earlier votes because its file is lost or corrupted.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -162,16 +167,14 @@
     }
     fleet.start_manager(2).unwrap();
     if !lost {
-        fleet.wait_for_view(2, "that it has no vote", |view| view["vote"] == "no voter").await.unwrap();
+        fleet.wait_for_view(2, "no vote", |view| view["vote"] == "no voter").await.unwrap();
         assert!(fleet.log(2).unwrap().contains("cluster: no vote: "), "{}", fleet.log(2).unwrap());
         fleet.kill(2).await.unwrap();
         fleet.remove_file(2, "votes").unwrap();
         fleet.start_manager(2).unwrap();
     }
     fleet
-        .wait_for_view(2, "that it has no vote", |view| {
-            view["vote"].as_str().unwrap().starts_with("has no vote")
-        })
+        .wait_for_view(2, "no vote", |view| view["vote"].as_str().unwrap().starts_with("has no vote"))
         .await
         .unwrap();
     let mut is_admitted = false;
@@ -184,19 +187,19 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(is_admitted, "the leader lets it in");
+    assert!(is_admitted, "no manager admitted the voter");
     fleet
-        .wait_for_view(2, "that it votes", |view| view["vote"].as_str().unwrap().contains("in term"))
+        .wait_for_view(2, "a vote", |view| view["vote"].as_str().unwrap().contains("in term"))
         .await
         .unwrap();
-    // With it, one of the others may go.
+    // With this voter, the quorum survives the loss of another.
     fleet.kill(1).await.unwrap();
-    tokio::time::sleep(A_WHILE / 2).await;
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
     fleet.wait_for_holder(LEASE, None).await.unwrap();
     check_history(&fleet, 2).await;
 }
 
-/// The state of the rolling restart, as any running manager shows it.
+/// The state of the rolling restart, from the first running manager that reports one; null if none does.
 async fn rolling_restart(fleet: &Fleet) -> serde_json::Value {
     for number in fleet.running() {
         let Ok(view) = fleet.view(number).await else { continue };
@@ -209,13 +212,13 @@
     serde_json::Value::Null
 }
 
-/// Guards against a rolling restart that ends with its controller, exceeds its limit of managers at once, or skips one.
-/// The controller goes in the middle: by plan, when it is restarted itself, and once it is killed.
+/// Guards against a rolling restart that ends when its controller stops, exceeds its limit of concurrent managers, or
+/// skips a manager. The controller stops twice: by plan, when it is restarted itself, and once by SIGKILL.
 #[rstest]
 #[case("drain")]
 #[case("restart")]
 #[tokio::test]
-async fn a_rolling_restart_continues_when_its_controller_goes(#[case] how: &str) {
+async fn a_rolling_restart_continues_when_its_controller_stops(#[case] how: &str) {
     let mut fleet = fleet(Plan { managers: 5, ..Plan::default() }).await;
     fleet
         .wait_for_view(0, "all members", |view| view["members"].as_array().unwrap().len() == 4)
@@ -248,9 +251,10 @@
     fleet.history().unwrap().check().unwrap();
 }
 
-/// Guards against managers that stay drained after a cancelled rolling restart, and against two at once.
+/// Guards against managers that stay drained after a cancelled rolling restart, and against two concurrent rolling
+/// restarts.
 #[tokio::test]
-async fn a_cancelled_rolling_restart_leaves_all_managers_at_work() {
+async fn a_cancelled_rolling_restart_leaves_all_managers_ready() {
     let mut fleet = fleet(Plan::default()).await;
     fleet
         .wait_for_view(0, "all members", |view| view["members"].as_array().unwrap().len() == 2)
@@ -258,11 +262,14 @@
         .unwrap();
     let holder = fleet.wait_for_holder("warden", None).await.unwrap();
     let other = (0..3).find(|number| *number != holder).unwrap();
-    // A suspended manager delays it.
+    // A suspended manager delays the rolling restart.
     fleet.suspend(other).await.unwrap();
     fleet.post_to_any("/v1/fleet/roll", r#"{"how":"drain"}"#).await.unwrap();
-    tokio::time::sleep(A_WHILE / 2).await;
-    assert!(fleet.call(holder, "POST", "/v1/fleet/roll").await.is_err(), "one at a time");
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
+    assert!(
+        fleet.call(holder, "POST", "/v1/fleet/roll").await.is_err(),
+        "a second rolling restart was accepted"
+    );
     fleet.post_to_any("/v1/fleet/roll/take-back", "").await.unwrap();
     fleet.resume(other).await.unwrap();
     for _ in 0..400 {
@@ -281,10 +288,10 @@
     }
 }
 
-/// Guards against a request that waits for a peer: a manager that is cut off from all others serves as before, and so
-/// do the others, though no lease is held.
+/// Guards against requests that wait for a peer. All managers serve as before while each is partitioned from all others
+/// and no lease is held.
 #[tokio::test]
-async fn a_manager_that_is_cut_off_serves_as_before() {
+async fn partitioned_managers_serve_requests_without_delay() {
     let mut engines = Vec::new();
     for _ in 0..2 {
         let spec = sanddyke_testbed::engine::Spec { cores: 4.0, memory_mb: 4096.0 };
@@ -301,23 +308,27 @@
             assert_eq!(response.status, 200, "query {number} of part {part}");
             slowest[part as usize] = slowest[part as usize].max(response.latency);
         }
-        // Each alone from here on.
+        // In the second part each manager is partitioned from all others.
         (0..3).for_each(|number| fleet.cut(number, &[0, 1, 2], CutDirection::Both));
-        tokio::time::sleep(A_WHILE / 2).await;
+        tokio::time::sleep(OBSERVATION_TIME / 2).await;
     }
-    assert!(slowest[1] < Duration::from_millis(1000), "{slowest:?}, for 5 ms of work");
+    assert!(
+        slowest[1] < Duration::from_millis(1000),
+        "highest latencies of the two parts: {slowest:?}, for 5 ms of work"
+    );
     check_history(&fleet, 1).await;
 }
 
-/// Guards against a fleet in which the loss of many managers at once costs the others their leases.
+/// Guards against managers that lose leases, or can't acquire them, when a third of the managers are killed
+/// simultaneously.
 #[tokio::test]
-async fn a_third_of_the_managers_killed_at_once_costs_at_most_one_lease() {
+async fn leases_continue_after_a_third_of_the_managers_is_killed() {
     let mut fleet = fleet(Plan { managers: 9, voters: 5, ..Plan::default() }).await;
     let first = fleet.wait_for_holder(LEASE, None).await.unwrap();
     for number in [first, (first + 3) % 9, (first + 6) % 9] {
         fleet.kill(number).await.unwrap();
     }
     fleet.wait_for_holder(LEASE, Some(first)).await.unwrap();
-    tokio::time::sleep(A_WHILE / 2).await;
+    tokio::time::sleep(OBSERVATION_TIME / 2).await;
     check_history(&fleet, 2).await;
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -15,8 +15,8 @@
 /// Upper bound of the response time of the operations endpoint.
 const OPERATIONS_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-fn query(name: u64, statement: &str) -> String {
-    let txn = format!("{name:016x}");
+fn query(client_request_id: u64, statement: &str) -> String {
+    let txn = format!("{client_request_id:016x}");
     let fields = [("X-Txn", txn.as_str()), ("X-Ttl-Ms", "4000"), ("X-Merchant", "acme")];
     request("POST", "/do/lookup", &fields, statement)
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -540,7 +540,7 @@
     assert_eq!(read_reply(&mut open).map(|reply| reply.status), Some(503));
     wait_until("the removed engine is deleted", || engines().len() == 1);
     assert_eq!(engines()[0]["name"], "f0");
-    wait_until("its connections are closed", || old.count("END OF CONNECTION") >= 1);
+    wait_until("the connections of the removed engine are closed", || old.count("END OF CONNECTION") >= 1);
 }
 
 /// Guards against a request that waits until its deadline because its response never arrives, or arrives byte by byte,
