--- a/tests/common/engines/line_protocol_session.rs
+++ b/tests/common/engines/line_protocol_session.rs
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Sends progress notes of a request until the connection is closed, also after its STOP.
+    /// Sends progress notes of a request until the connection is closed. The program ignores those after its STOP.
     fn report_progress_until_closed(&self, id: &str) -> std::io::Result<()> {
         let mut out = self.out.try_clone()?;
         let id = id.to_owned();
