--- a/crates/authorization/src/lib.rs
+++ b/crates/authorization/src/lib.rs
@@ -25,7 +25,7 @@
 use subtle::ConstantTimeEq;
 
 /// Tokens at once.
-pub const MOST_TOKENS: usize = 1_000;
+pub const MAX_TOKENS: usize = 1_000;
 /// The longest time for which a rotated token's old secret is still taken (ms): a day.
 pub const LONGEST_OVERLAP_MS: u64 = 86_400_000;
 const ID_BYTES: usize = 4;
@@ -46,15 +46,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
     /// See what belongs to no tenant: engines, metrics, groups, shares.
-    See,
+    View,
     /// See one tenant, its requests and its part of the audit trail.
-    SeeTenant(TenantId),
+    ViewTenant(TenantId),
     /// Set a tenant's labels, or cancel a request of it.
-    RunTenant(TenantId),
+    OperateTenant(TenantId),
     /// Change tenants, groups and requests of any kind.
-    Change,
+    ChangeTenants,
     /// See and change tokens, make backups, export and import.
-    Govern,
+    Administer,
 }
 
 /// What a token is for.
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
     /// Too many.
-    #[error("there are {MOST_TOKENS} tokens already, the most that there can be")]
+    #[error("there are {MAX_TOKENS} tokens already, the most that there can be")]
     Full,
     /// A tenant administrator of no tenant, or another role bound to some.
     #[error("tenants: a tenant_admin names its tenants, other roles name none")]
@@ -123,7 +123,7 @@
 }
 
 /// Compares two secrets in a time that tells nothing of where they differ.
-pub fn same(a: &str, b: &str) -> bool {
+pub fn constant_time_eq(a: &str, b: &str) -> bool {
     // By their digests, so that the time does not tell a length either.
     digest(a).as_bytes().ct_eq(digest(b).as_bytes()).into()
 }
@@ -143,12 +143,14 @@
     pub fn allows(&self, act: Permission) -> bool {
         match (self.role, act) {
             (Role::Operator, _) => true,
-            (Role::Viewer, Permission::See | Permission::SeeTenant(_)) => true,
+            (Role::Viewer, Permission::View | Permission::ViewTenant(_)) => true,
             (Role::Viewer, _) => false,
-            (Role::TenantAdmin, Permission::SeeTenant(id) | Permission::RunTenant(id)) => {
+            (Role::TenantAdmin, Permission::ViewTenant(id) | Permission::OperateTenant(id)) => {
                 self.tenants.contains(&id)
             }
-            (Role::TenantAdmin, Permission::See | Permission::Change | Permission::Govern) => false,
+            (Role::TenantAdmin, Permission::View | Permission::ChangeTenants | Permission::Administer) => {
+                false
+            }
         }
     }
 }
@@ -176,7 +178,7 @@
 
     /// Takes a token over.
     pub fn put(&mut self, token: Token) -> Result<(), GrantError> {
-        if self.0.len() >= MOST_TOKENS && !self.0.contains_key(&token.id) {
+        if self.0.len() >= MAX_TOKENS && !self.0.contains_key(&token.id) {
             return Err(GrantError::Full);
         }
         self.0.insert(token.id.clone(), token);
@@ -203,9 +205,10 @@
         let id = secret.strip_prefix("sdk_")?.split('_').next()?;
         let token = self.0.get(id)?;
         let told = digest(secret);
-        let current = same(&told, &token.hash);
+        let current = constant_time_eq(&told, &token.hash);
         let before = token.previous.as_ref();
-        let before = before.is_some_and(|before| now_ms < before.until_ms && same(&told, &before.hash));
+        let before =
+            before.is_some_and(|before| now_ms < before.until_ms && constant_time_eq(&told, &before.hash));
         let valid = token.grant.expires_ms.is_none_or(|at| now_ms < at);
         (valid && (current || before)).then_some(token)
     }
@@ -250,13 +253,13 @@
     #[test]
     fn each_role_may_do_what_it_is_for() {
         let acts = [
-            Permission::See,
-            Permission::SeeTenant(TenantId(1)),
-            Permission::SeeTenant(TenantId(2)),
-            Permission::RunTenant(TenantId(1)),
-            Permission::RunTenant(TenantId(2)),
-            Permission::Change,
-            Permission::Govern,
+            Permission::View,
+            Permission::ViewTenant(TenantId(1)),
+            Permission::ViewTenant(TenantId(2)),
+            Permission::OperateTenant(TenantId(1)),
+            Permission::OperateTenant(TenantId(2)),
+            Permission::ChangeTenants,
+            Permission::Administer,
         ];
         let rows = [
             (grant(Role::Operator, &[]), [true; 7]),
--- a/crates/statistics/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -16,7 +16,7 @@
 
 mod law;
 mod load;
-mod memo;
+mod step_cache;
 #[cfg(test)]
 mod tests;
 mod timeline;
@@ -24,6 +24,6 @@
 
 pub use law::GeneralizedExponential;
 pub use load::Load;
-pub use memo::Memo;
+pub use step_cache::StepCache;
 pub use timeline::Timeline;
 pub use window::{Moments, ServedTimes, Window};
--- a/crates/statistics/src/memo.rs
+++ b/crates/statistics/src/step_cache.rs
@@ -29,9 +29,9 @@
 /// Caches an expensive function of two positive numbers, by steps of one percent of each. The result for a step is
 /// that for its middle, whichever arguments come first, so that results do not depend on the order of calls.
 #[derive(Debug, Clone, Default)]
-pub struct Memo(HashMap<Key, f64>);
+pub struct StepCache(HashMap<Key, f64>);
 
-impl Memo {
+impl StepCache {
     /// The function's result for these arguments, computed once for each step.
     pub fn get_or_compute(&mut self, first: f64, second: f64, compute: impl FnOnce(f64, f64) -> f64) -> f64 {
         if self.0.len() >= MAX_RESULTS {
--- a/crates/statistics/src/tests.rs
+++ b/crates/statistics/src/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_memo_works_out_each_step_once() {
-    let (mut memo, mut worked) = (Memo::default(), 0);
+    let (mut memo, mut worked) = (StepCache::default(), 0);
     let mut product = |a: f64, b: f64| {
         memo.get_or_compute(a, b, |a, b| {
             worked += 1;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use crate::service::ServiceHandle;
 use crate::tenants::TenantService;
 use bytes::BytesMut;
-use sanddyke_authorization::{Grant, Role, same};
+use sanddyke_authorization::{Grant, Role, constant_time_eq};
 use sanddyke_tenancy::TokenBucket;
 use serde_json::json;
 use std::borrow::Cow;
@@ -200,7 +200,7 @@
     async fn caller(&self, request: &Request) -> Result<Caller, Problem> {
         let secret = request.field("Authorization").and_then(|value| value.strip_prefix("Bearer "));
         if let Some(secret) = secret {
-            if same(secret, &self.token) {
+            if constant_time_eq(secret, &self.token) {
                 return Ok(root());
             }
             if let Some(token) = self.tenant_service.check(secret).await {
@@ -226,7 +226,7 @@
         bucket: fn(&mut CallBuckets) -> &mut TokenBucket,
     ) -> Result<(), Problem> {
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        if rates.len() > 2 * sanddyke_authorization::MOST_TOKENS {
+        if rates.len() > 2 * sanddyke_authorization::MAX_TOKENS {
             // Tokens come and go: those that are still in use begin with full buckets.
             rates.clear();
         }
@@ -240,7 +240,7 @@
 
     /// Calls that version 1 has in another form.
     async fn unversioned(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
-        if !caller.grant.allows(sanddyke_authorization::Permission::See) {
+        if !caller.grant.allows(sanddyke_authorization::Permission::View) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
         }
         let report = self.handle.inspect().await?;
--- a/src/admin/v1/audit.rs
+++ b/src/admin/v1/audit.rs
@@ -33,8 +33,8 @@
 /// Whether a token may see changes of a tenant; `None` stands for changes of groups.
 fn may_see(grant: &Grant, tenant: Option<TenantId>) -> bool {
     match tenant {
-        Some(id) => grant.allows(Permission::SeeTenant(id)),
-        None => grant.allows(Permission::See),
+        Some(id) => grant.allows(Permission::ViewTenant(id)),
+        None => grant.allows(Permission::View),
     }
 }
 
@@ -42,7 +42,7 @@
     pub(super) async fn audit(&self, context: &Context<'_>) -> Answer {
         let limit = context.query.page_size()?;
         let wanted = match &context.query.tenant {
-            Some(name) => Some(self.permitted_tenant(context.caller, name, Permission::SeeTenant).await?.id),
+            Some(name) => Some(self.permitted_tenant(context.caller, name, Permission::ViewTenant).await?.id),
             None => None,
         };
         let grant = context.caller.grant.clone();
@@ -50,7 +50,7 @@
             AuditAction::Registry { record } => {
                 may_see(&grant, record.tenant) && wanted.is_none_or(|wanted| record.tenant == Some(wanted))
             }
-            AuditAction::Token { .. } => grant.allows(Permission::Govern) && wanted.is_none(),
+            AuditAction::Token { .. } => grant.allows(Permission::Administer) && wanted.is_none(),
         };
         let before = context.query.cursor.unwrap_or(u64::MAX);
         let entries = self.tenant_service.audit(before, limit, is_wanted).await?;
--- a/src/admin/v1/fleet.rs
+++ b/src/admin/v1/fleet.rs
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn show_fleet(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let view = serde_json::to_string(&*self.fleet()?.view());
         let view = view.map_err(|error| Problem::new(500, "fleet", error.to_string()))?;
         Ok(Response::json(200, view))
@@ -28,20 +28,20 @@
 
     /// Hands a lease that this manager holds over to the next manager.
     pub(super) async fn hand_over(&self, caller: &Caller, route: &Route, lease: &str) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         self.fleet()?.hand_over(lease).await.map_err(rejected)?;
         Ok(accepted(caller, route, lease))
     }
 
     /// Lets a voter in whose file was lost.
     pub(super) async fn admit_voter(&self, caller: &Caller, route: &Route, voter: &str) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         self.fleet()?.admit(voter).await.map_err(rejected)?;
         Ok(accepted(caller, route, voter))
     }
 
     pub(super) async fn start_rolling_restart(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         #[cfg(feature = "cluster")]
         self.rolling_restart(rolling::start(&context.request.body)?).await?;
         #[cfg(not(feature = "cluster"))]
@@ -51,7 +51,7 @@
 
     /// Pauses, resumes or takes back a rolling restart.
     pub(super) async fn control_rolling_restart(&self, context: &Context<'_>, command: &str) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         #[cfg(feature = "cluster")]
         self.rolling_restart(rolling::control(command)?).await?;
         #[cfg(not(feature = "cluster"))]
--- a/src/admin/v1/groups.rs
+++ b/src/admin/v1/groups.rs
@@ -9,7 +9,7 @@
 
 impl Admin {
     pub(super) async fn list_groups(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let groups = self.tenant_service.read(|tenants| {
             let groups: Vec<Group> = tenants.registry.groups().cloned().collect();
             (groups, tenants.registry.generation())
@@ -19,7 +19,7 @@
     }
 
     pub(super) async fn group(&self, caller: &Caller, status: u16, name: &str) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let found = self.tenant_service.read(|tenants| {
             let group = tenants.registry.group(name).cloned()?;
             let mut members = 0;
@@ -39,13 +39,13 @@
     }
 
     pub(super) async fn create_group(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Change)?;
+        context.caller.require(Permission::ChangeTenants)?;
         let Named { name, spec } = Named::parse(&context.request.body)?;
         self.create(context, Change::CreateGroup { name, spec }).await
     }
 
     pub(super) async fn patch_group(&self, context: &Context<'_>, name: &str) -> Answer {
-        context.caller.require(Permission::Change)?;
+        context.caller.require(Permission::ChangeTenants)?;
         let group = self.tenant_service.read(|tenants| tenants.registry.group(name).cloned()).await;
         let group = group.ok_or_else(|| not_found("group"))?;
         let spec = json::patched(&group.spec, &context.request.body)?;
@@ -54,7 +54,7 @@
     }
 
     pub(super) async fn remove_group(&self, context: &Context<'_>, name: &str) -> Answer {
-        context.caller.require(Permission::Change)?;
+        context.caller.require(Permission::ChangeTenants)?;
         let change = Change::RemoveGroup { name: name.to_owned() };
         self.change(context, change, None).await
     }
--- a/src/admin/v1/mod.rs
+++ b/src/admin/v1/mod.rs
@@ -57,7 +57,7 @@
         if self.grant.allows(permission(tenant)) {
             return Ok(());
         }
-        match self.grant.allows(Permission::SeeTenant(tenant)) {
+        match self.grant.allows(Permission::ViewTenant(tenant)) {
             true => self.require(permission(tenant)),
             false => Err(json::not_found("tenant")),
         }
--- a/src/admin/v1/service.rs
+++ b/src/admin/v1/service.rs
@@ -13,7 +13,7 @@
 
 impl Admin {
     pub(super) async fn engines(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let report = self.handle.inspect().await?;
         Ok(Response::json(200, json!({ "engines": report.engines }).to_string()))
     }
@@ -36,9 +36,9 @@
         let missing = || not_found("open request");
         let open = report.requests.iter().find(|open| open.client_request_id == name).ok_or_else(missing)?;
         match self.tenant_id(open.tenant.as_deref().unwrap_or_default()).await {
-            Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
-            Some(id) => caller.require(Permission::RunTenant(id))?,
-            None => caller.require(Permission::Change)?,
+            Some(id) if !caller.grant.allows(Permission::ViewTenant(id)) => return Err(missing()),
+            Some(id) => caller.require(Permission::OperateTenant(id))?,
+            None => caller.require(Permission::ChangeTenants)?,
         }
         self.handle.notify(Input::CancelRequested(open.id)).await?;
         log::info!(who = caller.id.as_str(); "admin: request {name} cancelled");
@@ -51,14 +51,14 @@
 
     /// Writes a backup of the store.
     pub(super) async fn backup(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         let path = self.tenant_service.backup().await?;
         Ok(Response::json(201, json!({ "path": path }).to_string()))
     }
 
     /// All tenants and groups, as TOML.
     pub(super) async fn export(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         let document = self.tenant_service.read(|tenants| Document::of(&tenants.registry)).await;
         let text =
             toml::to_string(&document).map_err(|error| Problem::new(500, "export", error.to_string()))?;
@@ -67,7 +67,7 @@
 
     /// Makes tenants and groups agree with a TOML document, all at once.
     pub(super) async fn import(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         let document = document(&context.request.body)?;
         let prune = context.query.prune;
         // Worked out from what is there now: where another change comes in between, some would not fit.
--- a/src/admin/v1/tenants.rs
+++ b/src/admin/v1/tenants.rs
@@ -46,7 +46,7 @@
         let limit = query.page_size()?;
         let after = TenantId(query.cursor.unwrap_or(0));
         let is_wanted = |tenant: &&Tenant| {
-            context.caller.grant.allows(Permission::SeeTenant(tenant.id))
+            context.caller.grant.allows(Permission::ViewTenant(tenant.id))
                 && query.state.is_none_or(|state| tenant.state == state)
                 && query.group.as_ref().is_none_or(|group| tenant.spec.group.as_ref() == Some(group))
         };
@@ -69,7 +69,7 @@
     }
 
     pub(super) async fn tenant(&self, caller: &Caller, status: u16, name: &str) -> Answer {
-        let tenant = self.permitted_tenant(caller, name, Permission::SeeTenant).await?;
+        let tenant = self.permitted_tenant(caller, name, Permission::ViewTenant).await?;
         let share = self.tenant_service.read(|tenants| share(tenants, tenant.id)).await;
         let usage = self.handle.usage(vec![tenant.id]).await?;
         let body = json::tenant(&tenant, share, usage.get(&tenant.id));
@@ -77,38 +77,38 @@
     }
 
     pub(super) async fn create_tenant(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Change)?;
+        context.caller.require(Permission::ChangeTenants)?;
         let Named { name, spec } = Named::parse(&context.request.body)?;
         self.create(context, Change::CreateTenant { name, spec }).await
     }
 
     pub(super) async fn patch_tenant(&self, context: &Context<'_>, name: &str) -> Answer {
-        let tenant = self.permitted_tenant(context.caller, name, Permission::RunTenant).await?;
+        let tenant = self.permitted_tenant(context.caller, name, Permission::OperateTenant).await?;
         let spec: TenantSpec = json::patched(&tenant.spec, &context.request.body)?;
         let labels_only = TenantSpec { labels: tenant.spec.labels.clone(), ..spec.clone() } == tenant.spec;
         if !labels_only {
-            context.caller.require(Permission::Change)?;
+            context.caller.require(Permission::ChangeTenants)?;
         }
         let change = Change::SetTenant { name: name.to_owned(), spec };
         self.change(context, change, Some(tenant.generation)).await
     }
 
     pub(super) async fn remove_tenant(&self, context: &Context<'_>, name: &str) -> Answer {
-        let tenant = self.permitted_tenant(context.caller, name, |_| Permission::Change).await?;
+        let tenant = self.permitted_tenant(context.caller, name, |_| Permission::ChangeTenants).await?;
         let change = Change::RemoveTenant { name: name.to_owned() };
         self.change(context, change, Some(tenant.generation)).await
     }
 
     /// Suspends, resumes or drains a tenant.
     pub(super) async fn move_tenant(&self, context: &Context<'_>, name: &str, to: State) -> Answer {
-        self.permitted_tenant(context.caller, name, |_| Permission::Change).await?;
+        self.permitted_tenant(context.caller, name, |_| Permission::ChangeTenants).await?;
         let change = Change::MoveTenant { name: name.to_owned(), to };
         self.change(context, change, None).await
     }
 
     /// The effective share of each tenant.
     pub(super) async fn shares(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let shares = self.tenant_service.read(|tenants| {
             let all = tenants.registry.tenants();
             let shares: BTreeMap<String, f64> =
--- a/src/admin/v1/tokens.rs
+++ b/src/admin/v1/tokens.rs
@@ -11,14 +11,14 @@
 
 impl Admin {
     pub(super) async fn list_tokens(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         let tokens: Vec<Value> =
             self.tenant_service.read(|tenants| tenants.tokens.iter().map(json::token).collect()).await;
         Ok(Response::json(200, json!({ "tokens": tokens }).to_string()))
     }
 
     pub(super) async fn create_token(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         let body: NewToken = parse(&context.request.body)?;
         let mut tenants = BTreeSet::new();
         for name in &body.tenants {
@@ -31,14 +31,14 @@
     }
 
     pub(super) async fn rotate_token(&self, context: &Context<'_>, id: &str) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         let body: Rotation = parse(&context.request.body)?;
         let issued = self.tenant_service.rotate(&context.caller.id, id, body.overlap_ms).await?;
         Ok(json::issued_token(200, &issued))
     }
 
     pub(super) async fn remove_token(&self, caller: &Caller, id: &str) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         self.tenant_service.revoke(&caller.id, id).await?;
         Ok(Response::json(200, json!({ "removed": id }).to_string()))
     }
--- a/src/decision/classes.rs
+++ b/src/decision/classes.rs
@@ -6,7 +6,7 @@
 use super::scheduler::Scheduler;
 use super::tenants::Stream;
 use super::types::{AttemptEnd, ClassSettings, Millis, Usage};
-use sanddyke_statistics::{Memo, Window};
+use sanddyke_statistics::{StepCache, Window};
 
 /// A class with a latency objective below this is sensitive: "sub-second" on the design page (ms).
 const SENSITIVE_BELOW_MS: Millis = 1000.0;
@@ -50,7 +50,7 @@
     /// Initial value of a tenant's stream of this class.
     pub(super) initial_stream: Stream,
     /// Latency budgets by CV and latency objective.
-    pub(super) latency_budgets: Memo,
+    pub(super) latency_budgets: StepCache,
     /// Number of queued best-effort requests.
     pub(super) queued: usize,
     /// Requests for which no engine had capacity in this round of dispatch.
@@ -76,7 +76,7 @@
         ClassState {
             statistics,
             initial_stream,
-            latency_budgets: Memo::default(),
+            latency_budgets: StepCache::default(),
             queued: 0,
             placement_failures: 0,
         }
