--- a/crates/authorization/src/lib.rs
+++ b/crates/authorization/src/lib.rs
@@ -1,8 +1,9 @@
-//! Who may do what over the administration API: tokens with a role and an expiry, and the one place that says
-//! whether a role may do a thing. No I/O and no clock: Unix times in milliseconds and random bytes come in.
+//! Authorization of the administration API: bearer tokens with a role and an expiry, and the rules for what each
+//! role permits. The crate does no I/O and reads no clock. The caller passes Unix times in milliseconds and random
+//! bytes.
 //!
-//! A bearer secret reads `sdk_ID_HEX`: the id finds the token, and the SHA-256 of the whole is compared in
-//! constant time. Only the hash is kept, so neither the store nor a backup gives a secret away.
+//! A bearer secret has the form `sdk_ID_HEX`. The token is looked up by the id, and the SHA-256 of the whole secret
+//! is compared in constant time. Only the hash is stored, so neither the store nor a backup discloses a secret.
 //!
 //! ```
 //! use sanddyke_authorization::{Grant, Role, Tokens};
@@ -24,10 +25,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use subtle::ConstantTimeEq;
 
-/// Tokens at once.
+/// Maximum number of tokens that exist at the same time.
 pub const MAX_TOKENS: usize = 1_000;
-/// The longest time for which a rotated token's old secret is still taken (ms): a day.
-pub const LONGEST_OVERLAP_MS: u64 = 86_400_000;
+/// Maximum time for which the old secret of a rotated token stays valid (ms): one day.
+pub const MAX_OVERLAP_MS: u64 = 86_400_000;
+/// Length of a token id; in hexadecimal it has twice as many digits.
 const ID_BYTES: usize = 4;
 
 /// What a token may do.
@@ -42,18 +44,18 @@
     Viewer,
 }
 
-/// What somebody wants to do.
+/// What a call of the administration API requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
-    /// See what belongs to no tenant: engines, metrics, groups, shares.
+    /// Read what belongs to no tenant: engines, metrics, groups, shares.
     View,
-    /// See one tenant, its requests and its part of the audit trail.
+    /// Read one tenant, its requests and its entries of the audit trail.
     ViewTenant(TenantId),
-    /// Set a tenant's labels, or cancel a request of it.
+    /// Set a tenant's labels, or cancel one of its requests.
     OperateTenant(TenantId),
-    /// Change tenants, groups and requests of any kind.
+    /// Change any tenant, group or request.
     ChangeTenants,
-    /// See and change tokens, make backups, export and import.
+    /// Read and change tokens, make backups, export and import.
     Administer,
 }
 
@@ -73,75 +75,77 @@
     pub expires_ms: Option<u64>,
 }
 
-/// A secret that was replaced and is still taken for a while.
+/// The hash of a replaced secret that is still valid for a limited time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Previous {
     hash: String,
-    /// Until when (Unix time, ms).
+    /// The time at which it becomes invalid (Unix time, ms).
     pub until_ms: u64,
 }
 
-/// A token; its secret is known to its holder only.
+/// A token with the hash of its secret. Only its holder has the secret itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Its id, part of the secret.
+    /// The id, which is also part of the secret.
     pub id: String,
-    /// What it is for.
+    /// The role, the tenants and the expiry.
     pub grant: Grant,
-    /// When it was made (Unix time, ms).
+    /// Creation time (Unix time, ms).
     pub created_ms: u64,
     hash: String,
-    /// The secret before the last rotation.
+    /// The secret before the last rotation; `None` without rotation, or if the last one had no overlap.
     #[serde(default)]
     pub previous: Option<Previous>,
 }
 
-/// Why a token is not taken over.
+/// Why a grant or a token is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// Too many.
+    /// There are [`MAX_TOKENS`] other tokens.
     #[error("there are {MAX_TOKENS} tokens already, the most that there can be")]
-    Full,
-    /// A tenant administrator of no tenant, or another role bound to some.
+    TooManyTokens,
+    /// A tenant administrator has no tenants, or another role has some.
     #[error("tenants: a tenant_admin names its tenants, other roles name none")]
-    Tenants,
-    /// It would never be valid.
+    TenantsForRole,
+    /// The expiry has already passed.
     #[error("expires_ms: is over already")]
     Expired,
-    /// Longer than any.
+    /// The note exceeds 256 bytes.
     #[error("note: at most 256 bytes")]
-    Note,
+    NoteTooLong,
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The SHA-256 of a text, in hexadecimal.
+/// Returns the SHA-256 of a text, in hexadecimal.
 pub fn digest(text: &str) -> String {
     hex(&Sha256::digest(text.as_bytes()))
 }
 
-/// Compares two secrets in a time that tells nothing of where they differ.
+/// Compares two secrets in constant time, so that the duration does not disclose where they differ.
 pub fn constant_time_eq(a: &str, b: &str) -> bool {
-    // By their digests, so that the time does not tell a length either.
+    // Digests have a fixed length, so the duration does not disclose the length of a secret either.
     digest(a).as_bytes().ct_eq(digest(b).as_bytes()).into()
 }
 
 impl Grant {
-    /// Checks that it makes sense.
+    /// Checks the length of the note, that the tenants match the role, and that the expiry is in the future.
     pub fn check(&self, now_ms: u64) -> Result<(), GrantError> {
         match self {
-            _ if self.note.len() > 256 => Err(GrantError::Note),
-            _ if self.tenants.is_empty() == (self.role == Role::TenantAdmin) => Err(GrantError::Tenants),
+            _ if self.note.len() > 256 => Err(GrantError::NoteTooLong),
+            _ if self.tenants.is_empty() == (self.role == Role::TenantAdmin) => {
+                Err(GrantError::TenantsForRole)
+            }
             _ if self.expires_ms.is_some_and(|at| at <= now_ms) => Err(GrantError::Expired),
             _ => Ok(()),
         }
     }
 
-    /// Whether its holder may do a thing.
-    pub fn allows(&self, act: Permission) -> bool {
-        match (self.role, act) {
+    /// Returns whether the holder has a permission.
+    pub fn allows(&self, permission: Permission) -> bool {
+        match (self.role, permission) {
             (Role::Operator, _) => true,
             (Role::Viewer, Permission::View | Permission::ViewTenant(_)) => true,
             (Role::Viewer, _) => false,
@@ -160,7 +164,8 @@
 pub struct Tokens(BTreeMap<String, Token>);
 
 impl Tokens {
-    /// A new token and its secret, from random bytes.
+    /// Creates a token and its secret from random bytes. The token becomes valid when it is added with
+    /// [`put`](Self::put).
     pub fn issue(grant: Grant, now_ms: u64, random: [u8; 32]) -> (Token, String) {
         let id = hex(&Sha256::digest(random)[..ID_BYTES]);
         let secret = format!("sdk_{id}_{}", hex(&random));
@@ -168,49 +173,52 @@
         (token, secret)
     }
 
-    /// The same token with a new secret; the old one is taken for so long still.
+    /// Returns the token with a new secret, and that secret. The old secret stays valid for `overlap_ms`, at most
+    /// [`MAX_OVERLAP_MS`].
     pub fn rotate(token: &Token, now_ms: u64, overlap_ms: u64, random: [u8; 32]) -> (Token, String) {
         let secret = format!("sdk_{}_{}", token.id, hex(&random));
-        let until_ms = now_ms.saturating_add(overlap_ms.min(LONGEST_OVERLAP_MS));
+        let until_ms = now_ms.saturating_add(overlap_ms.min(MAX_OVERLAP_MS));
         let previous = Some(Previous { hash: token.hash.clone(), until_ms }).filter(|_| overlap_ms > 0);
         (Token { hash: digest(&secret), previous, ..token.clone() }, secret)
     }
 
-    /// Takes a token over.
+    /// Adds a token, or replaces the one with the same id.
     pub fn put(&mut self, token: Token) -> Result<(), GrantError> {
         if self.0.len() >= MAX_TOKENS && !self.0.contains_key(&token.id) {
-            return Err(GrantError::Full);
+            return Err(GrantError::TooManyTokens);
         }
         self.0.insert(token.id.clone(), token);
         Ok(())
     }
 
-    /// Forgets a token.
+    /// Removes a token and returns it; `None` if there is no token with this id.
     pub fn remove(&mut self, id: &str) -> Option<Token> {
         self.0.remove(id)
     }
 
-    /// A token by its id.
+    /// Returns a token by its id.
     pub fn get(&self, id: &str) -> Option<&Token> {
         self.0.get(id)
     }
 
-    /// All of them, by id.
+    /// Returns all tokens, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Token> {
         self.0.values()
     }
 
-    /// The token of a secret, where it is valid now. Takes as long whether the secret is nearly right or not.
+    /// Returns the token of a secret that is valid at `now_ms`. The duration does not depend on how much of the secret
+    /// is right.
     pub fn check(&self, secret: &str, now_ms: u64) -> Option<&Token> {
         let id = secret.strip_prefix("sdk_")?.split('_').next()?;
         let token = self.0.get(id)?;
-        let told = digest(secret);
-        let current = constant_time_eq(&told, &token.hash);
-        let before = token.previous.as_ref();
-        let before =
-            before.is_some_and(|before| now_ms < before.until_ms && constant_time_eq(&told, &before.hash));
-        let valid = token.grant.expires_ms.is_none_or(|at| now_ms < at);
-        (valid && (current || before)).then_some(token)
+        let presented_hash = digest(secret);
+        let is_current = constant_time_eq(&presented_hash, &token.hash);
+        let previous = token.previous.as_ref();
+        let is_previous = previous.is_some_and(|previous| {
+            now_ms < previous.until_ms && constant_time_eq(&presented_hash, &previous.hash)
+        });
+        let is_unexpired = token.grant.expires_ms.is_none_or(|at| now_ms < at);
+        (is_unexpired && (is_current || is_previous)).then_some(token)
     }
 }
 
@@ -224,17 +232,17 @@
     }
 
     #[test]
-    fn a_secret_is_valid_until_it_ends_is_rotated_or_is_removed() {
+    fn a_secret_is_valid_until_it_expires_is_rotated_or_is_removed() {
         let mut tokens = Tokens::default();
-        let ends = Grant { expires_ms: Some(5_000), ..grant(Role::Operator, &[]) };
-        let (token, first) = Tokens::issue(ends, 1_000, [1; 32]);
+        let expiring = Grant { expires_ms: Some(5_000), ..grant(Role::Operator, &[]) };
+        let (token, first) = Tokens::issue(expiring, 1_000, [1; 32]);
         tokens.put(token.clone()).unwrap();
-        let (turned, second) = Tokens::rotate(&token, 2_000, 1_000, [2; 32]);
-        tokens.put(turned).unwrap();
+        let (rotated, second) = Tokens::rotate(&token, 2_000, 1_000, [2; 32]);
+        tokens.put(rotated).unwrap();
         let valid = |secret: &str, now| tokens.check(secret, now).is_some();
-        assert!(valid(&first, 2_999) && valid(&second, 2_999), "both, while they overlap");
-        assert!(!valid(&first, 3_000) && valid(&second, 3_000), "the old one ends");
-        assert!(!valid(&second, 5_000), "all end");
+        assert!(valid(&first, 2_999) && valid(&second, 2_999), "both secrets are valid during the overlap");
+        assert!(!valid(&first, 3_000) && valid(&second, 3_000), "the old secret expires after the overlap");
+        assert!(!valid(&second, 5_000), "no secret is valid after the expiry of the token");
         for wrong in ["", "sdk_", &first[..first.len() - 1], &format!("{first}0"), "Bearer"] {
             assert!(!valid(wrong, 2_000), "{wrong}");
         }
@@ -243,16 +251,16 @@
     }
 
     #[test]
-    fn the_secret_is_not_in_what_is_kept() {
+    fn a_stored_token_does_not_contain_its_secret() {
         let (token, secret) = Tokens::issue(grant(Role::Viewer, &[]), 0, [9; 32]);
-        let kept = format!("{token:?}");
-        assert!(!kept.contains(secret.rsplit('_').next().unwrap()), "{kept}");
+        let stored = format!("{token:?}");
+        assert!(!stored.contains(secret.rsplit('_').next().unwrap()), "{stored}");
     }
 
-    /// Every role against every act, as a table.
+    /// Checks every role against every permission.
     #[test]
-    fn each_role_may_do_what_it_is_for() {
-        let acts = [
+    fn each_role_has_exactly_its_permissions() {
+        let permissions = [
             Permission::View,
             Permission::ViewTenant(TenantId(1)),
             Permission::ViewTenant(TenantId(2)),
@@ -267,15 +275,15 @@
             (grant(Role::Viewer, &[]), [true, true, true, false, false, false, false]),
         ];
         for (grant, allowed) in rows {
-            assert_eq!(acts.map(|act| grant.allows(act)), allowed, "{:?}", grant.role);
+            assert_eq!(permissions.map(|permission| grant.allows(permission)), allowed, "{:?}", grant.role);
         }
     }
 
     #[test]
-    fn a_grant_that_makes_no_sense_is_refused() {
-        assert_eq!(grant(Role::TenantAdmin, &[]).check(0), Err(GrantError::Tenants));
-        assert_eq!(grant(Role::Viewer, &[3]).check(0), Err(GrantError::Tenants));
-        let over = Grant { expires_ms: Some(10), ..grant(Role::Viewer, &[]) };
-        assert_eq!((over.check(10), over.check(9)), (Err(GrantError::Expired), Ok(())));
+    fn a_grant_with_unsuitable_tenants_or_a_past_expiry_is_rejected() {
+        assert_eq!(grant(Role::TenantAdmin, &[]).check(0), Err(GrantError::TenantsForRole));
+        assert_eq!(grant(Role::Viewer, &[3]).check(0), Err(GrantError::TenantsForRole));
+        let expired = Grant { expires_ms: Some(10), ..grant(Role::Viewer, &[]) };
+        assert_eq!((expired.check(10), expired.check(9)), (Err(GrantError::Expired), Ok(())));
     }
 }
--- a/crates/client/examples/tenants.rs
+++ b/crates/client/examples/tenants.rs
@@ -1,4 +1,4 @@
-//! Lists the tenants with their quotas, then prints changes as they come.
+//! Lists the tenants with their shares of the service, then prints changes as they occur.
 //!
 //! `SANDDYKE_TOKEN=… cargo run -p sanddyke-client --example tenants -- http://127.0.0.1:8081`
 
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,5 +1,5 @@
-//! A blocking client of the administration API (`docs/admin.md`), which handles pagination, entity tags and problem
-//! details. Reads are retried where the service advises when (429 and 503 with `Retry-After`); changes are not.
+//! A blocking client of the administration API (`docs/admin.md`). It handles pagination, entity tags and problem
+//! details. Reads are retried if the service responds 429 or 503 with `Retry-After`; changes are not.
 //!
 //! ```no_run
 //! use sanddyke_client::{Client, Options};
@@ -22,29 +22,29 @@
 use thiserror::Error;
 use ureq::tls::{Certificate, ClientCert, PrivateKey, RootCerts, TlsConfig};
 
-/// Maximum number of attempts of a read, and of an update whose entity tag is outdated.
+/// Maximum number of attempts for a read, and for an update whose entity tag is outdated.
 const MAX_ATTEMPTS: u32 = 4;
 /// Maximum wait between two attempts.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Time within which a call must end; waiting for changes takes up to 25 s.
+/// Timeout of a call. It exceeds the 25 s for which a call may wait for changes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 /// Maximum length of a response body (bytes).
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Where the service is, and with which credentials it is called.
+/// Address of the service, and the credentials for calling it.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// The service's address, as `https://host:port`.
+    /// URL of the service, as `https://host:port`; a trailing slash is ignored.
     pub url: String,
-    /// The bearer token.
+    /// Bearer token, sent with each call.
     pub token: String,
-    /// PEM file of the authority that signed the service's certificate.
+    /// PEM file of the authority that signed the service's certificate; `None` for the default root certificates.
     pub ca: Option<PathBuf>,
-    /// The client's own certificate.
+    /// Client certificate; `None` if the service requires none.
     pub identity: Option<Identity>,
 }
 
-/// A client certificate.
+/// Files of a client certificate and its private key.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// PEM file of the certificate.
@@ -61,27 +61,27 @@
     Problem {
         /// HTTP status.
         status: u16,
-        /// The problem's code: the end of its type.
+        /// Code of the problem, which is the part of its type after the last colon.
         code: String,
         /// Short description of the type.
         title: String,
         /// Description of this occurrence.
         detail: String,
     },
-    /// The service cannot be reached, or its response cannot be read.
+    /// The service cannot be reached, its response cannot be read, or a body cannot be encoded.
     #[error("{target}: {reason}")]
     Unreachable {
-        /// URL of the call.
+        /// URL of the call, or the name of the tenant or group whose body cannot be encoded.
         target: String,
-        /// What failed.
+        /// Error of the HTTP client or of the encoder.
         reason: String,
     },
     /// A file of the options cannot be read, or its contents are invalid.
     #[error("{path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of reading or parsing it.
         reason: String,
     },
 }
@@ -95,18 +95,18 @@
 /// The response to a successful call.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// The body: JSON, or any other text as a string.
+    /// The body as JSON; a body that is not JSON is a string.
     pub body: Value,
-    /// The entity tag, where there is one.
+    /// The entity tag; `None` if the response has none.
     pub etag: Option<String>,
 }
 
-/// Changes after a generation.
+/// Changes since a generation.
 #[derive(Debug, Clone)]
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Value>,
-    /// The generation after which to continue.
+    /// The generation to pass to the next [`Client::watch`].
     pub next: u64,
 }
 
@@ -137,10 +137,10 @@
 }
 
 impl Client {
-    /// Creates a client; nothing is sent yet.
+    /// Creates a client without connecting to the service.
     ///
     /// # Errors
-    /// [`Error::File`] where a certificate or key cannot be read.
+    /// [`Error::File`] if a certificate or key cannot be read.
     pub fn new(options: Options) -> Result<Client, Error> {
         let mut tls = TlsConfig::builder();
         if let Some(path) = &options.ca {
@@ -160,10 +160,11 @@
         Ok(Client { agent: config.new_agent(), options })
     }
 
-    /// Calls the API with additional header fields, such as `If-Match`.
+    /// Calls the API with additional header fields, such as `If-Match`. A read that is answered 429 or 503 is retried
+    /// after the time in `Retry-After`, at most 5 s.
     ///
     /// # Errors
-    /// Fails where the service cannot be reached or rejects the call; a read is retried as the service advises.
+    /// [`Error::Unreachable`] if the service cannot be reached, [`Error::Problem`] if it rejects the call.
     pub fn call(
         &self,
         method: &str,
@@ -219,39 +220,41 @@
         Ok(AttemptResponse { status, retry_after, response: Response { body, etag } })
     }
 
-    /// Reads a resource.
+    /// Reads a resource and returns its body.
     pub fn get(&self, target: &str) -> Result<Value, Error> {
         self.call("GET", target, "", &[]).map(|response| response.body)
     }
 
-    /// All tenants, in pages that are read on demand; `filter` is appended to the query, such as `&state=active`.
+    /// Returns all tenants, in pages that are read on demand. `filter` is appended to the query string, such as
+    /// `&state=active`.
     pub fn tenants(&self, filter: &str) -> Pages<'_> {
         let target = format!("/v1/tenants?limit=500{filter}");
         Pages { client: self, target, key: "tenants", cursor: Some(String::new()), rows: VecDeque::new() }
     }
 
-    /// The audit trail, newest first; `filter` is appended to the query, such as `&tenant=NAME`.
+    /// Returns the entries of the audit trail, newest first, in pages that are read on demand. `filter` is appended to
+    /// the query string, such as `&tenant=NAME`.
     pub fn audit(&self, filter: &str) -> Pages<'_> {
         let target = format!("/v1/audit?limit=500{filter}");
         Pages { client: self, target, key: "entries", cursor: Some(String::new()), rows: VecDeque::new() }
     }
 
-    /// Creates a tenant. With an idempotency key the call can be repeated until there is a response: one tenant is
-    /// created.
+    /// Creates a tenant. With an idempotency key the call can be repeated until there is a response, and creates only
+    /// one tenant.
     pub fn create_tenant(&self, name: &str, spec: &TenantSpec, key: Option<&str>) -> Result<Value, Error> {
         let fields: Vec<(&str, &str)> = key.map(|key| ("Idempotency-Key", key)).into_iter().collect();
         let body = with_name(name, spec)?;
         self.call("POST", "/v1/tenants", &body.to_string(), &fields).map(|response| response.body)
     }
 
-    /// Creates a group.
+    /// Creates a group and returns the response body.
     pub fn create_group(&self, name: &str, spec: &GroupSpec) -> Result<Value, Error> {
         self.call("POST", "/v1/groups", &with_name(name, spec)?.to_string(), &[])
             .map(|response| response.body)
     }
 
-    /// Updates a tenant or group by a merge patch that is computed from its current state, and computed again where
-    /// another change came first.
+    /// Updates a tenant or group by a merge patch that `patch` computes from its current state. The patch is computed
+    /// again if the resource was changed in the meantime.
     pub fn update(&self, target: &str, mut patch: impl FnMut(&Value) -> Value) -> Result<Value, Error> {
         let mut attempts = 1;
         loop {
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Waits for changes after a generation, or from now on, for up to `wait`.
+    /// Waits up to `wait` for changes after the generation `after`, or for changes from now on if it is `None`.
     pub fn watch(&self, after: Option<u64>, wait: Duration) -> Result<Changes, Error> {
         let after = after.map_or(String::new(), |after| format!("&after={after}"));
         let body = self.get(&format!("/v1/watch?wait_ms={}{after}", wait.as_millis()))?;
@@ -289,7 +292,7 @@
     Error::Problem { status, code, title: text("title"), detail }
 }
 
-/// Rows of a list, which is read page by page.
+/// An iterator over the rows of a list, which is read page by page. It ends after the first error.
 #[derive(Debug)]
 pub struct Pages<'a> {
     client: &'a Client,
--- a/crates/sampling/src/lib.rs
+++ b/crates/sampling/src/lib.rs
@@ -1,10 +1,10 @@
-//! Two-choice sampling: draws two random items that are suitable, without looking at all of them.
+//! Two-choice sampling: samples two random suitable items without checking all items.
 //!
-//! There is one list for each kind of draw. Items are drawn from it without replacement until two are suitable, so
-//! each pair of suitable items is as likely as any other (rejection sampling), at the cost of a few looks where most
-//! are suitable. An item that is found unsuitable for the kind leaves that list until it is
-//! [restored](TwoChoiceSampler::restore), so that many items that are all full are looked at once, and not for every
-//! draw.
+//! There is one list for each kind of sample. Items are sampled from it without replacement until two are suitable
+//! (rejection sampling). Each pair of suitable items is therefore equally likely, and only a few items are checked if
+//! most are suitable. An item that is unsuitable for the kind is removed from that list until it is
+//! [restored](TwoChoiceSampler::restore). If many items are full, each of them is therefore checked once, not for
+//! every sample.
 //!
 //! ```
 //! use sanddyke_sampling::{Suitability, TwoChoiceSampler};
@@ -17,32 +17,32 @@
 //! };
 //! let two = sampler.sample_two(0, |limit| limit - 1, is_odd);
 //! assert_eq!(two.into_iter().flatten().count(), 2);
-//! assert_eq!(sampler.remaining(0), 3, "two are suitable, and one is left that was not looked at");
+//! assert_eq!(sampler.remaining(0), 3, "two are suitable, and one was not checked");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 
-/// Maximum of kinds: a bitmap of 64 bits names those whose list an item has left.
+/// Maximum number of kinds. A bitmap of 64 bits stores the kinds from whose lists an item was removed.
 pub const MAX_KINDS: usize = 64;
 
 /// Whether an item can be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suitability {
-    /// It can.
+    /// The item can be chosen.
     Suitable,
-    /// Not in this draw, for a reason of its own.
+    /// The item cannot be chosen in this sample, for a reason that applies to this sample alone.
     Unsuitable,
-    /// In no draw of this kind, until it is restored.
+    /// The item cannot be chosen in any sample of this kind until it is restored.
     UnsuitableForKind,
 }
 
-/// Lists of items to draw from, one for each kind.
+/// Lists of items to sample from, one for each kind.
 #[derive(Debug, Clone)]
 pub struct TwoChoiceSampler<T> {
     lists: Vec<Vec<T>>,
-    /// The lists that an item has left, a bit for each kind.
+    /// The lists from which each item was removed, as one bit for each kind.
     removed_from: BTreeMap<T, u64>,
 }
 
@@ -53,16 +53,16 @@
 }
 
 impl<T: Copy + Ord> TwoChoiceSampler<T> {
-    /// Empty lists for this many kinds.
+    /// Creates empty lists for this many kinds.
     ///
     /// # Panics
-    /// Where there are more than [`MAX_KINDS`].
+    /// If there are more than [`MAX_KINDS`].
     pub fn new(kinds: usize) -> TwoChoiceSampler<T> {
-        assert!(kinds <= MAX_KINDS, "at most {MAX_KINDS} kinds");
+        assert!(kinds <= MAX_KINDS, "a sampler has at most {MAX_KINDS} kinds: got {kinds}");
         TwoChoiceSampler { lists: vec![Vec::new(); kinds], removed_from: BTreeMap::new() }
     }
 
-    /// Lists these items, and no others, for every kind. Costs their number times that of the kinds.
+    /// Replaces the list of every kind by these items. The cost is O(items x kinds).
     pub fn reset(&mut self, items: impl IntoIterator<Item = T>) {
         let items: Vec<T> = items.into_iter().collect();
         for list in &mut self.lists {
@@ -71,7 +71,8 @@
         self.removed_from.clear();
     }
 
-    /// Puts an item back into the lists that it has left. One that is in all of them, or in none, stays so.
+    /// Adds an item to the lists from which it was removed. Nothing changes if it is in all lists, or was not among
+    /// the items of the last [`reset`](Self::reset).
     pub fn restore(&mut self, item: T) {
         let Some(kinds) = self.removed_from.remove(&item) else { return };
         for (kind, list) in self.lists.iter_mut().enumerate() {
@@ -81,13 +82,13 @@
         }
     }
 
-    /// How many items may be suitable for a kind: those in its list.
+    /// Returns the number of items in the list of a kind, which are those that may be suitable.
     pub fn remaining(&self, kind: usize) -> usize {
         self.lists.get(kind).map_or(0, Vec::len)
     }
 
-    /// Draws items for a kind until two are suitable, or all are drawn. `random_below` gives a random number below
-    /// its argument; it is not called where only one item is left.
+    /// Samples items for a kind until two are suitable or none is left. `random_below` returns a random number below
+    /// its argument; it is not called if only one item is left.
     pub fn sample_two(
         &mut self,
         kind: usize,
@@ -97,13 +98,13 @@
         let mut found = [None; 2];
         let mut found_count = 0;
         let Some(list) = self.lists.get_mut(kind) else { return found };
-        // Items that were drawn stand behind the others.
-        let mut undrawn = list.len();
-        while undrawn > 0 && found_count < found.len() {
-            let index = if undrawn == 1 { 0 } else { random_below(undrawn) };
-            undrawn -= 1;
-            list.swap(index, undrawn);
-            let item = list[undrawn];
+        // Sampled items are at the end of the list, behind those not sampled yet.
+        let mut unsampled = list.len();
+        while unsampled > 0 && found_count < found.len() {
+            let index = if unsampled == 1 { 0 } else { random_below(unsampled) };
+            unsampled -= 1;
+            list.swap(index, unsampled);
+            let item = list[unsampled];
             match judge(&item) {
                 Suitability::Suitable => {
                     found[found_count] = Some(item);
@@ -111,7 +112,7 @@
                 }
                 Suitability::Unsuitable => {}
                 Suitability::UnsuitableForKind => {
-                    list.swap_remove(undrawn);
+                    list.swap_remove(unsampled);
                     *self.removed_from.entry(item).or_default() |= 1 << kind;
                 }
             }
--- a/crates/statistics/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the mechanism measures with: sliding windows of completions and their moments, points in time, loads, and the
-//! generalized exponential law of latencies with a given coefficient of variation (CV). No clock: times come in.
+//! Statistics for the decision module: sliding windows of completions and their moments, counts of recent events,
+//! sums of load, and the generalized exponential distribution of latencies with a given coefficient of variation (CV).
+//! The crate reads no clock; the caller passes all times.
 //!
 //! ```
 //! use sanddyke_statistics::{ServedTimes, Window};
@@ -14,7 +15,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod law;
+mod generalized_exponential;
 mod load;
 mod step_cache;
 #[cfg(test)]
@@ -22,7 +23,7 @@
 mod timeline;
 mod window;
 
-pub use law::GeneralizedExponential;
+pub use generalized_exponential::GeneralizedExponential;
 pub use load::Load;
 pub use step_cache::StepCache;
 pub use timeline::Timeline;
--- a/crates/statistics/src/load.rs
+++ b/crates/statistics/src/load.rs
@@ -1,17 +1,17 @@
-//! The load of queries.
+//! Sums of the resources that queries use.
 
 use std::ops::{AddAssign, SubAssign};
 
-/// What queries need, added up.
+/// The sum of the resources that queries use.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
     /// Number of queries.
     pub queries: f64,
-    /// Threads that they run on.
+    /// Number of threads that execute them.
     pub threads: f64,
-    /// Their work (ms of one thread).
+    /// Their work, in ms of one thread.
     pub work_ms: f64,
-    /// Their memory (MB).
+    /// Their memory, in MB.
     pub memory_mb: f64,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Rounding never leaves less than nothing.
+/// Each field is at least zero afterwards: rounding errors could make it negative.
 impl SubAssign for Load {
     fn sub_assign(&mut self, other: Load) {
         self.queries = (self.queries - other.queries).max(0.0);
@@ -35,7 +35,7 @@
 }
 
 impl Load {
-    /// The mean query of these and one more, which stands for them where there are none.
+    /// Returns the mean query of this load and one more query, which is that query itself if the load is empty.
     pub fn mean_with(mut self, one: Load) -> Load {
         self += one;
         let count = self.queries;
--- a/crates/statistics/src/step_cache.rs
+++ b/crates/statistics/src/step_cache.rs
@@ -2,37 +2,38 @@
 
 use std::collections::HashMap;
 
-/// Ratio of two neighbouring steps.
+/// Ratio between neighbouring steps.
 const STEP_RATIO: f64 = 1.01;
-/// Minimum of an argument that is told apart.
+/// Smaller arguments are treated as this value, because zero has no logarithm.
 const MIN_ARGUMENT: f64 = 1e-9;
-/// Results that are cached at most; past that the cache is emptied.
+/// Maximum number of cached results. A full cache is cleared.
 const MAX_RESULTS: usize = 4096;
 
-/// Step of an argument: the rounded logarithm to the base of the ratio.
+/// Returns the step of an argument, which is its rounded logarithm to the base [`STEP_RATIO`].
 fn step_of(argument: f64) -> i32 {
     (argument.max(MIN_ARGUMENT).ln() / STEP_RATIO.ln()).round() as i32
 }
 
-/// The argument in the middle of a step.
+/// Returns the argument in the middle of a step.
 fn middle_of(step: i32) -> f64 {
     STEP_RATIO.powi(step)
 }
 
-/// Steps of both arguments.
+/// The steps of both arguments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Key {
     first: i32,
     second: i32,
 }
 
-/// Caches an expensive function of two positive numbers, by steps of one percent of each. The result for a step is
-/// that for its middle, whichever arguments come first, so that results do not depend on the order of calls.
+/// A cache of an expensive function of two positive numbers, with steps of 1 % for each argument. The function is
+/// computed for the middle of a step, not for the arguments of the first call, so that results do not depend on the
+/// order of calls.
 #[derive(Debug, Clone, Default)]
 pub struct StepCache(HashMap<Key, f64>);
 
 impl StepCache {
-    /// The function's result for these arguments, computed once for each step.
+    /// Returns the result for the steps of these arguments, and computes it if it is not cached.
     pub fn get_or_compute(&mut self, first: f64, second: f64, compute: impl FnOnce(f64, f64) -> f64) -> f64 {
         if self.0.len() >= MAX_RESULTS {
             self.0.clear();
--- a/crates/statistics/src/window.rs
+++ b/crates/statistics/src/window.rs
@@ -2,21 +2,21 @@
 
 use std::collections::VecDeque;
 
-/// Bounds of a CV: a window of few answers says too little for one beyond them.
+/// Lower bound of a CV. A window of few completions is not sufficient evidence of a CV outside of the bounds.
 const MIN_CV: f64 = 0.1;
-/// See [`MIN_CV`].
+/// Upper bound of a CV, for the same reason as [`MIN_CV`].
 const MAX_CV: f64 = 10.0;
-/// Minimum of the mean latency that a CV is taken of (ms).
+/// Minimum of the mean latency, by which the standard deviation is divided for the CV (ms).
 const MIN_MEAN_MS: f64 = 0.1;
-/// Minimum of served completions that moments are taken of.
+/// Minimum number of served completions for which moments are calculated.
 const MIN_SERVED: f64 = 2.0;
 
-/// Times of a completion that was served.
+/// Times of a served completion.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServedTimes {
     /// Time from the arrival to the answer (ms).
     pub latency_ms: f64,
-    /// Time on the engine (ms).
+    /// Time at the engine (ms).
     pub service_ms: f64,
 }
 
@@ -27,34 +27,34 @@
     cost: f64,
 }
 
-/// The last completions of one stream.
+/// The most recent completions of one stream.
 #[derive(Debug, Clone, Default)]
 pub struct Window {
     completions: VecDeque<Completion>,
     capacity: usize,
 }
 
-/// Moments of a window.
+/// Moments of the completions in a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Moments {
-    /// Mean latency of what was served (ms).
+    /// Mean latency of the served completions (ms), at least 0.1.
     pub mean_ms: f64,
-    /// Its coefficient of variation, within bounds.
+    /// Coefficient of variation of that latency, within 0.1 and 10.
     pub cv: f64,
-    /// Mean service time of what was served (ms).
+    /// Mean service time of the served completions (ms).
     pub service_ms: f64,
     /// Mean cost of all completions, served or not.
     pub cost: f64,
 }
 
 impl Window {
-    /// A window of at most this many completions.
+    /// Creates an empty window for at most this many completions.
     pub fn new(capacity: usize) -> Window {
         Window { completions: VecDeque::new(), capacity }
     }
 
-    /// Adds a completion: its time, its latency and service time where it was served, and its cost. The oldest one
-    /// goes where the window is full.
+    /// Adds a completion with its time, its cost and, if it was served, its latency and service time. If the window is
+    /// full, the oldest completion is removed.
     pub fn push(&mut self, at: f64, served: Option<ServedTimes>, cost: f64) {
         self.completions.push_back(Completion { at, served, cost });
         if self.completions.len() > self.capacity {
@@ -62,24 +62,24 @@
         }
     }
 
-    /// Drops what came before a time.
+    /// Removes the completions before a time.
     pub fn trim(&mut self, before: f64) {
         while self.completions.front().is_some_and(|oldest| oldest.at < before) {
             self.completions.pop_front();
         }
     }
 
-    /// How many completions it holds.
+    /// Returns the number of completions.
     pub fn len(&self) -> usize {
         self.completions.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether there are no completions.
     pub fn is_empty(&self) -> bool {
         self.completions.is_empty()
     }
 
-    /// Its moments, where at least two completions were served. Costs a walk over it.
+    /// Returns the moments, or `None` if fewer than two completions were served. The cost is O(n).
     pub fn moments(&self) -> Option<Moments> {
         let served = || self.completions.iter().filter_map(|completion| completion.served);
         let count = served().count() as f64;
