--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -20,7 +20,7 @@
 use crate::service::ServiceHandle;
 use crate::tenants::TenantService;
 use bytes::BytesMut;
-use sanddyke_authorization::{Grant, Role, same};
+use sanddyke_authorization::{Grant, Role, constant_time_eq};
 use sanddyke_tenancy::TokenBucket;
 use serde_json::json;
 use std::borrow::Cow;
@@ -220,7 +220,7 @@
     async fn caller(&self, request: &Request) -> Result<Caller, Problem> {
         let secret = request.field("Authorization").and_then(|value| value.strip_prefix("Bearer "));
         if let Some(secret) = secret {
-            if same(secret, &self.root_token) {
+            if constant_time_eq(secret, &self.root_token) {
                 return Ok(root());
             }
             if let Some(token) = self.tenant_service.authenticate(secret).await {
@@ -248,7 +248,7 @@
         bucket: fn(&mut CallBuckets) -> &mut TokenBucket,
     ) -> Result<(), Problem> {
         let mut buckets_by_caller = self.buckets_by_caller.lock().unwrap_or_else(PoisonError::into_inner);
-        if buckets_by_caller.len() > 2 * sanddyke_authorization::MOST_TOKENS {
+        if buckets_by_caller.len() > 2 * sanddyke_authorization::MAX_TOKENS {
             // The table also has entries of removed tokens. It is cleared when it grows too large; the callers that are
             // still active then start with full buckets.
             buckets_by_caller.clear();
@@ -263,7 +263,7 @@
 
     /// Handles the calls without a version, `/metrics` and `/tenants`. Version 1 has the tenants in another form.
     async fn unversioned(&self, caller: &Caller, path: &str) -> Result<Response, Problem> {
-        if !caller.grant.allows(sanddyke_authorization::Permission::See) {
+        if !caller.grant.allows(sanddyke_authorization::Permission::View) {
             return Err(Problem::new(403, "forbidden", "this token's role does not allow that"));
         }
         let report = self.handle.inspect().await?;
--- a/src/admin/v1/fleet.rs
+++ b/src/admin/v1/fleet.rs
@@ -23,7 +23,7 @@
 
     /// Returns this manager's view of the fleet.
     pub(super) fn show_fleet(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let view = serde_json::to_string(&*self.fleet()?.view());
         let json = view.map_err(|error| Problem::new(500, "fleet", error.to_string()))?;
         Ok(Response::json(200, json))
@@ -31,21 +31,21 @@
 
     /// Transfers a lease that this manager holds to the next manager in order.
     pub(super) async fn hand_over(&self, caller: &Caller, route: &Route, lease: &str) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         self.fleet()?.hand_over(lease).await.map_err(fleet_conflict)?;
         Ok(accepted(caller, route, lease))
     }
 
     /// Admits a voter whose state file was lost, under its new id.
     pub(super) async fn admit_voter(&self, caller: &Caller, route: &Route, voter: &str) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         self.fleet()?.admit(voter).await.map_err(fleet_conflict)?;
         Ok(accepted(caller, route, voter))
     }
 
     /// Starts a rolling restart. Rejected by builds without the feature `cluster`, which have no fleet.
     pub(super) async fn start_rolling_restart(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         #[cfg(feature = "cluster")]
         self.rolling_restart(rolling::start(&context.request.body)?).await?;
         #[cfg(not(feature = "cluster"))]
@@ -55,7 +55,7 @@
 
     /// Pauses, resumes or cancels a rolling restart.
     pub(super) async fn control_rolling_restart(&self, context: &Context<'_>, command: &str) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         #[cfg(feature = "cluster")]
         self.rolling_restart(rolling::control(command)?).await?;
         #[cfg(not(feature = "cluster"))]
--- a/src/admin/v1/service.rs
+++ b/src/admin/v1/service.rs
@@ -13,7 +13,7 @@
 
 impl Admin {
     pub(super) async fn engines(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::See)?;
+        caller.require(Permission::View)?;
         let report = self.handle.inspect().await?;
         Ok(Response::json(200, json!({ "engines": report.engines }).to_string()))
     }
@@ -41,9 +41,9 @@
             .find(|open| open.client_request_id == client_request_id)
             .ok_or_else(missing)?;
         match self.tenant_id(open.tenant.as_deref().unwrap_or_default()).await {
-            Some(id) if !caller.grant.allows(Permission::SeeTenant(id)) => return Err(missing()),
-            Some(id) => caller.require(Permission::RunTenant(id))?,
-            None => caller.require(Permission::Change)?,
+            Some(id) if !caller.grant.allows(Permission::ViewTenant(id)) => return Err(missing()),
+            Some(id) => caller.require(Permission::OperateTenant(id))?,
+            None => caller.require(Permission::ChangeTenants)?,
         }
         self.handle.notify(Input::CancelRequested(open.id)).await?;
         log::info!(who = caller.id.as_str(); "admin: request {client_request_id} cancelled");
@@ -57,14 +57,14 @@
 
     /// Writes a backup of the store and returns its path.
     pub(super) async fn backup(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         let path = self.tenant_service.backup().await?;
         Ok(Response::json(201, json!({ "path": path }).to_string()))
     }
 
     /// Exports all tenants and groups as TOML.
     pub(super) async fn export(&self, caller: &Caller) -> Answer {
-        caller.require(Permission::Govern)?;
+        caller.require(Permission::Administer)?;
         let document = self.tenant_service.read(|tenants| Document::of(&tenants.registry)).await;
         let text =
             toml::to_string(&document).map_err(|error| Problem::new(500, "export", error.to_string()))?;
@@ -74,7 +74,7 @@
     /// Changes tenants and groups to match a TOML document, atomically. With `prune`, those that the document does not
     /// contain are removed.
     pub(super) async fn import(&self, context: &Context<'_>) -> Answer {
-        context.caller.require(Permission::Govern)?;
+        context.caller.require(Permission::Administer)?;
         let document = document(&context.request.body)?;
         let prune = context.query.prune;
         // The changes are computed from the current state. If another change is applied before them, the registry may
