--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line, with a module for each resource. Doc comments of the types are the help texts.
+//! Types of the command line, with a module for each resource. Their doc comments are the help texts.
 
 mod fleet;
 mod groups;
--- a/crates/ctl/src/arguments/fleet.rs
+++ b/crates/ctl/src/arguments/fleet.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `fleet`. Doc comments of the types are the help texts.
+//! Types of the sub-commands of `fleet`. Their doc comments are the help texts.
 
 use clap::Subcommand;
 
--- a/crates/ctl/src/arguments/groups.rs
+++ b/crates/ctl/src/arguments/groups.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `groups`. Doc comments of the types are the help texts.
+//! Types of the sub-commands of `groups`. Their doc comments are the help texts.
 
 use clap::Subcommand;
 
--- a/crates/ctl/src/arguments/tenants.rs
+++ b/crates/ctl/src/arguments/tenants.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `tenants`. Doc comments of the types are the help texts.
+//! Types of the sub-commands of `tenants`. Their doc comments are the help texts.
 
 use clap::{Args, Subcommand};
 
--- a/crates/ctl/src/arguments/tokens.rs
+++ b/crates/ctl/src/arguments/tokens.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `tokens`. Doc comments of the types are the help texts.
+//! Types of the sub-commands of `tokens`. Their doc comments are the help texts.
 
 use clap::Subcommand;
 
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Running the sub-commands, with a module for each resource that has several.
+//! Runs the sub-commands, with a module for each resource that has several.
 
 mod fleet;
 mod groups;
@@ -16,11 +16,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Name of the program in shell completions.
+/// Program name in the shell completions.
 const PROGRAM: &str = "sanddykectl";
-/// The header field of a change that does not depend on the current version.
+/// Header field of a change that applies to any current version of the resource.
 const ANY_VERSION: [(&str, &str); 1] = [("If-Match", "*")];
-/// Time for which one call waits for changes.
+/// Longest time that one watch call waits for changes; the next call follows at once.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the sub-command and prints its result.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Calls the service for a sub-command whose result is a response body.
+/// Calls the service for a sub-command and returns the response body.
 fn call(client: &Client, command: &Command) -> Result<Value, CommandError> {
     match command {
         Command::Tenants(command) => tenants::run(client, command),
@@ -58,11 +58,13 @@
         Command::Whoami => Ok(client.get("/v1/self")?),
         Command::Engines => Ok(client.get("/v1/engines")?),
         Command::Requests => Ok(client.get("/v1/requests")?),
-        Command::Cancel { name } => Ok(client.call("DELETE", &format!("/v1/requests/{name}"), "", &[])?.body),
+        Command::Cancel { name: client_request_id } => {
+            Ok(client.call("DELETE", &format!("/v1/requests/{client_request_id}"), "", &[])?.body)
+        }
         Command::Audit { tenant, last } => audit(client, tenant.as_deref(), *last),
         Command::Import { file, prune, dry_run } => import(client, file, *prune, *dry_run),
         Command::Backup => Ok(client.call("POST", "/v1/backups", "", &[])?.body),
-        // These print their results themselves.
+        // `run` handles these: each prints its own result.
         Command::Watch { .. } | Command::Export | Command::Completions { .. } => Ok(Value::Null),
     }
 }
@@ -78,7 +80,7 @@
     Ok(client.call("POST", &target, &read_file(file)?, &[])?.body)
 }
 
-/// Prints changes as they come, until there were `count` of them.
+/// Prints changes as they arrive, until at least `count` are printed; without `count` it does not end.
 fn watch(client: &Client, mut after: Option<u64>, count: Option<usize>) -> Result<(), CommandError> {
     let mut printed = 0;
     while count.is_none_or(|count| printed < count) {
@@ -105,7 +107,7 @@
     Ok(())
 }
 
-/// A resource's fields with its name, as the body of its creation.
+/// The request body that creates a resource: `fields` with the name added.
 fn with_name(name: &str, mut fields: Value) -> String {
     fields["name"] = json!(name);
     fields.to_string()
--- a/crates/ctl/src/commands/fleet.rs
+++ b/crates/ctl/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `fleet`.
+//! Runs the sub-commands of `fleet`.
 
 use crate::arguments::FleetCommand;
 use crate::error::CommandError;
@@ -13,8 +13,8 @@
         FleetCommand::HandOver { duty } => post(&format!("/v1/fleet/duties/{duty}/hand-over"), ""),
         FleetCommand::Admit { name } => post(&format!("/v1/fleet/voters/{name}/admit"), ""),
         FleetCommand::Roll { restart, most } => {
-            let how = if *restart { "restart" } else { "drain" };
-            post("/v1/fleet/roll", &json!({ "how": how, "most": most }).to_string())
+            let mode = if *restart { "restart" } else { "drain" };
+            post("/v1/fleet/roll", &json!({ "how": mode, "most": most }).to_string())
         }
         FleetCommand::Pause => post("/v1/fleet/roll/pause", ""),
         FleetCommand::Resume => post("/v1/fleet/roll/resume", ""),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Renders the fleet for people: the manager that responded, then the leases and the members.
+/// Renders the fleet as text: the manager that responded, then the leases and the members.
 pub fn render(fleet: &Value) -> String {
     let text = |key: &str| fleet[key].as_str().unwrap_or("-").to_owned();
     let voters = fleet["voters"].as_object().into_iter().flatten();
--- a/crates/ctl/src/commands/groups.rs
+++ b/crates/ctl/src/commands/groups.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `groups`.
+//! Runs the sub-commands of `groups`.
 
 use super::{ANY_VERSION, with_name};
 use crate::arguments::GroupCommand;
--- a/crates/ctl/src/commands/tenants.rs
+++ b/crates/ctl/src/commands/tenants.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `tenants`.
+//! Runs the sub-commands of `tenants`.
 
 use super::{ANY_VERSION, with_name};
 use crate::arguments::{TenantCommand, TenantSpec};
@@ -15,9 +15,10 @@
         TenantCommand::List { state, group } => list(client, state.as_deref(), group.as_deref()),
         TenantCommand::Show { name } => Ok(client.get(&format!("/v1/tenants/{name}"))?),
         TenantCommand::Create { name, spec, key } => {
-            let fields: Vec<(&str, &str)> = key.iter().map(|key| ("Idempotency-Key", key.as_str())).collect();
+            let header_fields: Vec<(&str, &str)> =
+                key.iter().map(|key| ("Idempotency-Key", key.as_str())).collect();
             let body = with_name(name, merge_patch(spec)?);
-            Ok(client.call("POST", "/v1/tenants", &body, &fields)?.body)
+            Ok(client.call("POST", "/v1/tenants", &body, &header_fields)?.body)
         }
         TenantCommand::Set { name, spec } => {
             let patch = merge_patch(spec)?;
@@ -51,7 +52,7 @@
     Ok(json!({ "tenants": tenants }))
 }
 
-/// The JSON merge patch (RFC 7396) of the fields that are given on the command line; null removes a field.
+/// The JSON merge patch (RFC 7396) of the fields that are set on the command line; null removes a field.
 fn merge_patch(spec: &TenantSpec) -> Result<Value, CommandError> {
     let mut patch = Map::new();
     if let Some(weight) = spec.weight {
@@ -79,8 +80,9 @@
         let value = match (key, value) {
             (_, "") => Value::Null,
             ("classes", names) => json!(names.split(',').collect::<Vec<_>>()),
-            (_, number) => serde_json::from_str(number)
-                .map_err(|_| CommandError::Usage(format!("--limit {argument}: must be a number")))?,
+            (_, number) => serde_json::from_str(number).map_err(|_| {
+                CommandError::Usage(format!("--limit {argument}: the value must be a number or empty"))
+            })?,
         };
         limits.insert(key.to_owned(), value);
     }
@@ -96,7 +98,7 @@
     Ok(labels)
 }
 
-/// Splits `KEY=VALUE`; `option` is the option's name in the error.
+/// Splits `KEY=VALUE`. `option` names the option in the error message.
 fn split_pair<'a>(option: &str, argument: &'a str) -> Result<(&'a str, &'a str), CommandError> {
     let pair = argument.split_once('=');
     pair.ok_or_else(|| CommandError::Usage(format!("--{option} {argument}: must be KEY=VALUE")))
--- a/crates/ctl/src/commands/tokens.rs
+++ b/crates/ctl/src/commands/tokens.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `tokens`.
+//! Runs the sub-commands of `tokens`.
 
 use crate::arguments::TokenCommand;
 use crate::error::CommandError;
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a command fails, and with which exit code.
+//! Errors of the sub-commands, and their exit codes.
 
 use sanddyke_client::Error;
 use std::path::PathBuf;
 
-/// Why a command fails.
+/// The error that ends a command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The service rejected a call, or could not be reached.
@@ -12,9 +12,9 @@
     /// A file cannot be read, or its contents are invalid.
     #[error("{path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file; `-` is standard input.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The I/O or TOML error, or the profile that the file lacks.
         reason: String,
     },
     /// The arguments are incomplete or invalid.
@@ -26,7 +26,7 @@
 }
 
 impl CommandError {
-    /// The exit code, as listed in the help text; scripts rely on it.
+    /// The exit code, as listed in the help text. Scripts rely on these values.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Output(_) => 1,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,6 +1,7 @@
 //! `sanddykectl`: operates the tenants, groups, tokens, engines and requests of a running service.
 //!
-//! It prints tables for people, and with `--json` JSON for programs. Standard output gets complete results only.
+//! It prints tables, or JSON with `--json`. Only complete results are written to standard output; errors are written to
+//! standard error.
 #![forbid(unsafe_code)]
 
 mod arguments;
--- a/crates/ctl/src/profile.rs
+++ b/crates/ctl/src/profile.rs
@@ -1,4 +1,4 @@
-//! Profiles: where a service is, and with which credentials it is called.
+//! Profiles: the address of a service and the credentials for its API.
 
 use crate::arguments::Arguments;
 use crate::error::CommandError;
@@ -7,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Path of the default profile file in the home directory.
+/// Path of the default profile file, relative to the home directory.
 const DEFAULT_FILE: &str = ".config/sanddyke/ctl.toml";
-/// Name of the profile that is used where a file has several and none is named.
+/// Name of the profile that is used if the file has several and `--profile` is not set.
 const DEFAULT_PROFILE: &str = "default";
 
-/// A profile file.
+/// Contents of a profile file (TOML): the profiles by name.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ProfileFile {
     profiles: BTreeMap<String, Profile>,
 }
 
-/// Where a service is, and with which credentials it is called.
+/// The address of a service and the credentials for its API.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Profile {
@@ -39,17 +39,21 @@
     contents.map_err(|error| CommandError::File { path: path.to_owned(), reason: error.to_string() })
 }
 
-/// Creates the client for the arguments and the profile. Arguments take precedence over the profile.
+/// Creates the API client. Arguments take precedence over the profile.
 pub fn client(arguments: &Arguments) -> Result<Client, CommandError> {
     let profile = select_profile(arguments)?;
     let url = arguments.url.clone().or(profile.url);
-    let url = url.ok_or_else(|| CommandError::Usage("no address: --url, or a profile file".to_owned()))?;
+    let url = url.ok_or_else(|| {
+        CommandError::Usage("service address not set: use --url or a profile with `url`".to_owned())
+    })?;
     let token_file = arguments.token_file.as_ref().or(profile.token_file.as_ref());
     let token = match (&arguments.token, token_file) {
         (Some(token), _) => token.clone(),
         (None, Some(path)) => read_file(path)?.trim().to_owned(),
         (None, None) => {
-            return Err(CommandError::Usage("no token: --token-file, or a profile file".to_owned()));
+            return Err(CommandError::Usage(
+                "token not set: use --token-file or a profile with `token_file`".to_owned(),
+            ));
         }
     };
     let identity = profile.certificate.zip(profile.private_key);
@@ -57,7 +61,8 @@
     Ok(Client::new(Options { url, token, ca: profile.ca, identity })?)
 }
 
-/// The named profile, the only one, or the default one; an empty one where there is no file.
+/// Returns the profile that `--profile` names, else the only one, else the default one. Without a profile file the
+/// profile is empty.
 fn select_profile(arguments: &Arguments) -> Result<Profile, CommandError> {
     let Some(path) = arguments.profiles.clone().or_else(default_file) else {
         return Ok(Profile::default());
@@ -66,16 +71,18 @@
     let file: ProfileFile = toml::from_str(&read_file(&path)?).map_err(|error| invalid(error.to_string()))?;
     let mut profiles = file.profiles;
     if let Some(name) = &arguments.profile {
-        return profiles.remove(name).ok_or_else(|| invalid(format!("no profile {name}")));
+        return profiles.remove(name).ok_or_else(|| invalid(format!("the file has no profile {name:?}")));
     }
     if profiles.len() == 1 {
         return Ok(profiles.into_values().next().unwrap_or_default());
     }
     let profile = profiles.remove(DEFAULT_PROFILE);
-    profile.ok_or_else(|| invalid(format!("no profile {DEFAULT_PROFILE:?}")))
+    profile.ok_or_else(|| {
+        invalid(format!("the file has no profile {DEFAULT_PROFILE:?} and --profile is not set"))
+    })
 }
 
-/// The default profile file, if it exists.
+/// Path of the default profile file; `None` if it does not exist or `HOME` is not set.
 fn default_file() -> Option<PathBuf> {
     let home = std::env::var_os("HOME")?;
     Some(PathBuf::from(home).join(DEFAULT_FILE)).filter(|path| path.exists())
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,10 +1,10 @@
-//! JSON as text for people: a list is rendered as a table, an object as a list of its keys.
+//! Renders JSON response bodies as text: a list as a table, an object as one line for each key.
 
 use serde_json::Value;
 
-/// A list in a response body, and the columns of its table.
+/// How a list in a response body is rendered as a table.
 struct ListFormat {
-    /// Key of the list.
+    /// Key of the list in the body.
     key: &'static str,
     /// Paths of the columns in each row; a dot separates the keys of nested objects.
     columns: &'static [&'static str],
--- a/crates/ctl/src/table/tests.rs
+++ b/crates/ctl/src/table/tests.rs
@@ -1,10 +1,10 @@
-//! Tables of the bodies that the service returns.
+//! Response bodies rendered as text.
 
 use super::*;
 use serde_json::json;
 
 #[test]
-fn lists_are_printed_as_tables_and_objects_by_key() {
+fn lists_are_rendered_as_tables_and_objects_by_key() {
     let list = json!({"tenants": [{"name": "a", "state": "active", "share": 0.25, "usage": {"open": 3}}]});
     let rendered = render(&list);
     let lines: Vec<&str> = rendered.lines().collect();
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -1,35 +1,41 @@
-//! The command line against a stand-in of the API: what it sends, what it prints, and its exit codes.
+//! `sanddykectl` against a stub of the administration API: the calls it sends, its output and its exit codes.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Command, Output};
 use std::sync::{Arc, Mutex};
 
-/// Answers every call by its target, and remembers the calls.
-fn service() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+/// Starts a stub of the API that selects the response by the request target. Returns its address and the recorded calls:
+/// method, target and body, followed by `[If-Match 7]` if the call has the entity tag that the stub returns.
+fn start_stub_api() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, calls) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
-    let seen = calls.clone();
+    let recorded = calls.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut out = stream.try_clone().unwrap();
             let mut input = BufReader::new(stream);
             let (mut head, mut length) = (String::new(), 0);
             while !head.ends_with("\r\n\r\n") {
-                let from = head.len();
+                let line_start = head.len();
                 if input.read_line(&mut head).unwrap_or(0) == 0 {
                     break;
                 }
-                let line = head[from..].to_lowercase();
+                let line = head[line_start..].to_lowercase();
                 length = line.strip_prefix("content-length:").map_or(length, |n| n.trim().parse().unwrap());
             }
             let mut body = vec![0; length];
             input.read_exact(&mut body).unwrap();
-            let first = head.lines().next().unwrap_or("").to_owned();
-            let call = format!("{} {}", first.trim_end_matches(" HTTP/1.1"), String::from_utf8_lossy(&body));
-            let tagged = head.to_lowercase().contains("if-match: \"7\"");
-            seen.lock().unwrap().push(format!("{}{}", call.trim_end(), if tagged { " if 7" } else { "" }));
-            let (status, body) = match first.split(' ').nth(1).unwrap_or("") {
+            let request_line = head.lines().next().unwrap_or("").to_owned();
+            let call =
+                format!("{} {}", request_line.trim_end_matches(" HTTP/1.1"), String::from_utf8_lossy(&body));
+            let has_etag = head.to_lowercase().contains("if-match: \"7\"");
+            recorded.lock().unwrap().push(format!(
+                "{}{}",
+                call.trim_end(),
+                if has_etag { " [If-Match 7]" } else { "" }
+            ));
+            let (status, body) = match request_line.split(' ').nth(1).unwrap_or("") {
                 "/v1/tenants?limit=500" => {
                     (200, r#"{"tenants": [{"name": "a", "state": "active", "share": 0.5}], "next": "4"}"#)
                 }
@@ -50,7 +56,7 @@
                     r#"{"type": "urn:sanddyke:problem:unauthorized", "title": "unauthorized", "status": 401, "detail": "no"}"#,
                 ),
             };
-            let _sent = write!(
+            let _write_result = write!(
                 out,
                 "HTTP/1.1 {status} X\r\nETag: \"7\"\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
@@ -60,7 +66,7 @@
     (address, calls)
 }
 
-fn ctl(address: SocketAddr, arguments: &[&str]) -> Output {
+fn run_ctl(address: SocketAddr, arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sanddykectl"))
         .args(arguments)
         .env("SANDDYKE_URL", format!("http://{address}"))
@@ -75,31 +81,32 @@
 }
 
 #[test]
-fn a_list_of_pages_is_one_table() {
-    let (address, _) = service();
-    let shown = text(&ctl(address, &["tenants", "list"]).stdout);
-    let names: Vec<&str> = shown.lines().map(|line| line.split_whitespace().next().unwrap()).collect();
-    assert_eq!(names, ["NAME", "a", "b"], "{shown}");
-    let json = ctl(address, &["--json", "tenants", "list"]).stdout;
+fn pages_of_a_list_are_joined_into_one_table() {
+    let (address, _) = start_stub_api();
+    let table = text(&run_ctl(address, &["tenants", "list"]).stdout);
+    let names: Vec<&str> = table.lines().map(|line| line.split_whitespace().next().unwrap()).collect();
+    assert_eq!(names, ["NAME", "a", "b"], "{table}");
+    let json = run_ctl(address, &["--json", "tenants", "list"]).stdout;
     let json: serde_json::Value = serde_json::from_slice(&json).unwrap();
     assert_eq!(json["tenants"][1]["name"], "b");
 }
 
 #[test]
-fn a_change_carries_what_was_given_and_the_tag_that_was_seen() {
-    let (address, calls) = service();
-    let done = ctl(
+fn an_update_sends_only_the_given_fields_and_the_entity_tag_it_read() {
+    let (address, calls) = start_stub_api();
+    let output = run_ctl(
         address,
         &["tenants", "set", "a", "--weight", "3", "--limit", "burst=", "--limit", "classes=x,y"],
     );
-    assert!(done.status.success(), "{}", text(&done.stderr));
-    let expected = r#"PATCH /v1/tenants/a {"limits":{"burst":null,"classes":["x","y"]},"weight":3.0} if 7"#;
+    assert!(output.status.success(), "{}", text(&output.stderr));
+    let expected =
+        r#"PATCH /v1/tenants/a {"limits":{"burst":null,"classes":["x","y"]},"weight":3.0} [If-Match 7]"#;
     assert_eq!(calls.lock().unwrap().last().unwrap(), expected);
 }
 
 #[test]
-fn exit_codes_tell_what_was_wrong_and_nothing_is_printed() {
-    let (address, _) = service();
+fn each_error_has_its_exit_code_and_leaves_standard_output_empty() {
+    let (address, _) = start_stub_api();
     let cases: [(&[&str], i32, &str); 6] = [
         (&["tenants", "show", "none"], 6, "no tenant of this name"),
         (&["tenants", "create", "a"], 7, "there already"),
@@ -108,29 +115,32 @@
         (&["--profiles", "/none/ctl.toml", "shares"], 3, "/none/ctl.toml"),
         (&["no-such-command"], 2, "unrecognized"),
     ];
-    for (arguments, code, said) in cases {
-        let output = ctl(address, arguments);
+    for (arguments, code, message) in cases {
+        let output = run_ctl(address, arguments);
         assert_eq!(output.status.code(), Some(code), "{arguments:?}: {}", text(&output.stderr));
-        assert!(text(&output.stderr).contains(said) && output.stdout.is_empty(), "{arguments:?}");
+        assert!(text(&output.stderr).contains(message) && output.stdout.is_empty(), "{arguments:?}");
     }
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(ctl(nobody, &["shares"]).status.code(), Some(4));
+    let closed_port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    assert_eq!(run_ctl(closed_port, &["shares"]).status.code(), Some(4));
 }
 
 #[test]
-fn every_level_has_help_and_shells_have_completions() {
-    let (address, _) = service();
-    for level in [
+fn help_and_shell_completions_are_printed() {
+    let (address, _) = start_stub_api();
+    for arguments in [
         &["--help"][..],
         &["tenants", "--help"],
         &["tenants", "plan", "--help"],
         &["tokens", "create", "--help"],
     ] {
-        let output = ctl(address, level);
-        assert!(output.status.success() && text(&output.stdout).contains("Usage: sanddykectl"), "{level:?}");
+        let output = run_ctl(address, arguments);
+        assert!(
+            output.status.success() && text(&output.stdout).contains("Usage: sanddykectl"),
+            "{arguments:?}"
+        );
     }
     for shell in ["bash", "zsh", "fish"] {
-        let script = text(&ctl(address, &["completions", shell]).stdout);
+        let script = text(&run_ctl(address, &["completions", shell]).stdout);
         assert!(script.contains("sanddykectl") && script.len() > 1000, "{shell}");
     }
 }
