--- a/crates/trace/src/clocks.rs
+++ b/crates/trace/src/clocks.rs
@@ -1,35 +1,35 @@
-//! Estimation of the offsets between the managers' clocks.
+//! Estimates the offsets between the managers' clocks from requests that clients retried at another manager.
 //!
-//! Where a response of manager `a` preceded the client's next attempt at manager `b`, the true times are in that
+//! If a response of manager `a` preceded the client's next attempt at manager `b`, the true times are in that
 //! order, so `offset(b) - offset(a) <= local(b) - local(a)`. These constraints are a weighted graph whose shortest
 //! paths are the tightest bounds between any two managers (Floyd-Warshall, cubic in the number of managers).
 //!
-//! All offsets are relative to the first manager by name, so the order of the files does not matter. Each estimate
-//! is the midpoint of its bounds, and all midpoints together satisfy every constraint.
+//! All offsets are relative to the manager whose name sorts first, so the order of the files does not matter. Each
+//! estimate is the midpoint of its bounds, and the midpoints together satisfy every constraint.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A time at one manager, on its own clock.
+/// A time on the clock of one manager.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalTime {
-    /// The manager, by its position in the order of the names.
+    /// Position of the manager in the sorted list of names.
     pub manager: usize,
-    /// Time on its clock (us).
+    /// Time on that manager's clock (us).
     pub at_us: i64,
 }
 
-/// A pair of managers whose events were in this order.
+/// A pair of managers for which an event at `earlier` preceded an event at `later`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ManagerPair {
     earlier: usize,
     later: usize,
 }
 
-/// Constraints on the offsets of the managers' clocks.
+/// The constraints on the offsets between the managers' clocks.
 #[derive(Debug, Clone, Default)]
 pub struct ClockConstraints {
-    /// Names of the managers, sorted.
+    /// Names of the managers, sorted and without duplicates.
     names: Vec<String>,
     /// The minimum of `local(later) - local(earlier)` over all constraints of a pair (us).
     min_differences_us: BTreeMap<ManagerPair, i64>,
@@ -39,11 +39,11 @@
 /// The estimated offset of one manager's clock.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct Offset {
-    /// Name of the manager.
+    /// Name of the manager, which is unique in a merged file.
     pub manager: String,
-    /// Offset from the first manager's clock (us), positive where this one is ahead.
+    /// Offset from the first manager's clock (us), positive if this clock is ahead.
     pub ahead_us: i64,
-    /// Maximum error of the estimate (us).
+    /// Maximum error of the estimate, in either direction (us).
     #[serde(rename = "within_us")]
     pub error_bound_us: i64,
 }
@@ -51,16 +51,20 @@
 /// Why the offsets cannot be estimated.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClockError {
-    /// The offset between two managers has no bound in one direction or in both.
-    #[error("nothing ties the clocks of {0} and {1} both ways: they are not guessed")]
+    /// The constraints do not bound the offset between these two managers in both directions.
+    #[error(
+        "clock offset between {0} and {1} is not bounded in both directions by retries, and is not guessed"
+    )]
     Unbounded(String, String),
-    /// No offsets satisfy all constraints: the clock of this manager has drifted or was set, by this much (us).
-    #[error("no offsets fit: the clock of {0} has moved by {1} us at least")]
+    /// No offsets satisfy all constraints. The clock of this manager drifted or was set, by at least this much (us).
+    #[error(
+        "no clock offsets satisfy all constraints: the clock of {0} drifted or was set, by at least {1} us"
+    )]
     Inconsistent(String, i64),
 }
 
 impl ClockConstraints {
-    /// No constraints yet between the managers with these names, in any order.
+    /// Creates an empty set of constraints between the managers with these names, which may be in any order.
     pub fn new(names: impl IntoIterator<Item = String>) -> ClockConstraints {
         let mut names: Vec<String> = names.into_iter().collect();
         names.sort_unstable();
@@ -68,12 +72,12 @@
         ClockConstraints { names, ..ClockConstraints::default() }
     }
 
-    /// The position of a manager in the order of the names.
+    /// Position of a manager in the sorted list of names; `None` if the name is unknown.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.names.binary_search_by(|known| known.as_str().cmp(name)).ok()
     }
 
-    /// Adds the constraint that one event preceded another. Events of one manager add nothing.
+    /// Adds the constraint that one event preceded another. Two events of the same manager are ignored.
     pub fn add(&mut self, earlier: LocalTime, later: LocalTime) {
         if earlier.manager == later.manager {
             return;
@@ -85,7 +89,7 @@
         self.count += 1;
     }
 
-    /// The number of constraints so far.
+    /// The number of constraints added so far.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -93,11 +97,10 @@
     /// Estimates the offsets of all managers, in the order of their names.
     ///
     /// # Errors
-    /// Fails where the constraints do not bound the offset of a manager in both directions, or contradict each
-    /// other.
+    /// Fails if the constraints contradict each other, or do not bound the offset of a manager in both directions.
     pub fn offsets(&self) -> Result<Vec<Offset>, ClockError> {
         let bounds_us = self.tightest_bounds_us();
-        // A negative cycle means that a clock would have to be ahead of itself.
+        // A negative cycle would require a clock to be ahead of itself.
         for (manager, name) in self.names.iter().enumerate() {
             if let Some(cycle_us) = bounds_us[manager][manager].filter(|cycle_us| *cycle_us < 0) {
                 return Err(ClockError::Inconsistent(name.clone(), -cycle_us));
@@ -113,7 +116,7 @@
         self.names.iter().enumerate().map(offset).collect()
     }
 
-    /// The upper bound of `offset(column) - offset(row)` for each pair of managers, `None` where there is none.
+    /// The upper bound of `offset(column) - offset(row)` (us) for each pair of managers; `None` if it is unbounded.
     fn tightest_bounds_us(&self) -> Vec<Vec<Option<i64>>> {
         let managers = self.names.len();
         let mut bounds_us: Vec<Vec<Option<i64>>> = vec![vec![None; managers]; managers];
--- a/crates/trace/src/clocks/tests.rs
+++ b/crates/trace/src/clocks/tests.rs
@@ -1,10 +1,11 @@
-//! The estimated offsets against known true ones.
+//! Compares the estimated offsets with known true offsets.
 
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
-    /// For any constraints, the true offsets are within the error bounds, and the estimates satisfy each constraint.
+    /// For any set of constraints, the true offsets are within the error bounds, and the estimates satisfy each
+    /// constraint.
     #[test]
     fn estimates_are_within_their_bounds_and_satisfy_each_constraint(
         true_offsets_us in prop::collection::vec(-5_000i64..5_000, 2..6),
--- a/crates/trace/src/frame.rs
+++ b/crates/trace/src/frame.rs
@@ -1,4 +1,6 @@
-//! Frames: the header of a block with its lengths and checksums, and the compression of its payload.
+//! Encoding and decoding of block frames, and compression of the payload.
+//!
+//! A frame is the header of a block: its kind, codec, lengths and checksums. Numbers are little-endian.
 //!
 //! ```text
 //! byte  0  marker              byte 12  length of the payload as stored
@@ -12,13 +14,14 @@
 
 /// The first bytes of a trace file.
 pub const MAGIC: [u8; 8] = *b"SDTRACE\x01";
-/// The version of the format that is written, and the latest that is read.
+/// The format version that is written, and the latest that can be read.
 pub const FORMAT_VERSION: u32 = 1;
-/// The first bytes of a frame, for which readers search past a damaged part.
+/// The first bytes of a frame. Readers search for them to resume after a corrupted range.
 pub const FRAME_MARKER: [u8; 4] = [0xd7, b'S', b'D', 0xb1];
-/// Length of a frame without its payload.
+/// Length of a frame without its payload (bytes).
 pub const FRAME_BYTES: usize = 24;
-/// Maximum length of a payload, stored and decompressed: what a reader allocates for a file that it does not trust.
+/// Maximum length of a payload, both as stored and decompressed. It bounds what a reader allocates for an untrusted
+/// file.
 pub const MAX_PAYLOAD_BYTES: usize = 8 << 20;
 
 const KIND_OFFSET: usize = 4;
@@ -28,16 +31,16 @@
 const PAYLOAD_CHECKSUM_OFFSET: usize = 16;
 const FRAME_CHECKSUM_OFFSET: usize = 20;
 
-/// What a block contains.
+/// The content type of a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BlockKind {
-    /// The file's header, in the first block.
+    /// The header of the file. It is the first block.
     Header,
-    /// Records.
+    /// Event records with their string table.
     Records,
-    /// The index, in the last block.
+    /// The index of the blocks of records. It is the last block.
     Index,
-    /// A kind of a later version, which is skipped.
+    /// A kind defined by a later version. Readers skip it.
     Other(u8),
 }
 
@@ -63,15 +66,15 @@
     }
 }
 
-/// Codec of a payload that is stored as it is.
+/// Codec of an uncompressed payload.
 const CODEC_STORED: u8 = 0;
-/// Codec of a payload that is stored as one LZ4 block.
+/// Codec of a payload that is compressed as one LZ4 block.
 const CODEC_LZ4: u8 = 1;
 
-/// A frame that was read, without its payload.
+/// A decoded frame, without its payload.
 #[derive(Debug, Clone, Copy)]
 pub struct Frame {
-    /// What the block contains.
+    /// The content type of the block.
     pub kind: BlockKind,
     /// Length of the payload as stored (bytes).
     pub stored_bytes: usize,
@@ -80,10 +83,12 @@
     payload_checksum: u32,
 }
 
-/// Writes a block, compressed where that makes it shorter; returns its length with the frame (bytes).
+/// Writes a block and returns its length including the frame (bytes).
+///
+/// The payload is compressed only if that makes it shorter.
 ///
 /// # Errors
-/// [`TraceError::TooLarge`] where the payload exceeds [`MAX_PAYLOAD_BYTES`].
+/// [`TraceError::TooLarge`] if the payload exceeds [`MAX_PAYLOAD_BYTES`]; [`TraceError::Io`] if writing fails.
 pub fn write(out: &mut impl Write, kind: BlockKind, payload: &[u8]) -> Result<u64, TraceError> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(TraceError::TooLarge(payload.len()));
@@ -118,7 +123,8 @@
 }
 
 impl Frame {
-    /// Reads a frame; `None` where the bytes are not a frame, or a damaged one.
+    /// Decodes a frame. Returns `None` if the bytes are not a frame, its checksum does not match, or a length exceeds
+    /// [`MAX_PAYLOAD_BYTES`].
     pub fn read(bytes: &[u8; FRAME_BYTES]) -> Option<Frame> {
         let frame_checksum = crc32fast::hash(&bytes[..FRAME_CHECKSUM_OFFSET]);
         let is_intact =
@@ -134,7 +140,8 @@
         (is_intact && fits).then_some(frame)
     }
 
-    /// The decompressed payload; `None` where the stored one is damaged or its codec is unknown.
+    /// Decompresses the stored payload. Returns `None` if its length or checksum does not match, or its codec is
+    /// unknown.
     pub fn payload(&self, stored: &[u8]) -> Option<Vec<u8>> {
         if stored.len() != self.stored_bytes || crc32fast::hash(stored) != self.payload_checksum {
             return None;
--- a/crates/trace/src/generate.rs
+++ b/crates/trace/src/generate.rs
@@ -1,9 +1,11 @@
-//! Synthetic traces from a seed.
+//! Generates synthetic traces from a seed.
 //!
 //! The simulated managers have clocks with different offsets. Clients whose request is rejected retry it at a random
-//! manager; loads carry an idempotency key, so that their attempts at different managers can be matched.
+//! manager. Requests of the class `load` have an idempotency key, by which their attempts at different managers are
+//! matched.
 //!
-//! The same plan gives the same bytes: the order of the random draws and of the strings is part of the output.
+//! The same plan produces the same bytes, because the order of the random samples and of the strings determines the
+//! output.
 
 use crate::{
     AttemptDispatched, AttemptEnded, Decision, EngineSnapshot, Event, Header, ProgramEvent, Record,
@@ -14,17 +16,17 @@
 use std::collections::BinaryHeap;
 use std::io::Write;
 
-/// What is generated.
+/// Size and seed of the generated traces.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Number of client requests, retries not counted.
     pub requests: u64,
-    /// Offset of each manager's clock from the true time (us), positive where it is ahead. Its length is the number
-    /// of managers.
+    /// Offset of each manager's clock from the true time (us), positive if it is ahead. Its length is the number of
+    /// managers.
     pub clock_offsets_us: Vec<i64>,
-    /// Seed of all random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Number of tenants.
+    /// Number of tenants, named `council-0` upwards.
     pub tenants: u32,
 }
 
@@ -40,7 +42,7 @@
     Class { name: "report", mean_execution_us: 400_000.0, has_idempotency_key: false },
     Class { name: "load", mean_execution_us: 900_000.0, has_idempotency_key: true },
 ];
-/// Draws from 0 to 1 above which a request is a report, and above which it is a load.
+/// Thresholds on a uniform sample from 0 to 1. Above the first a request is a `report`, above the second a `load`.
 const REPORT_ABOVE: f64 = 0.7;
 const LOAD_ABOVE: f64 = 0.95;
 
@@ -49,20 +51,20 @@
 const MEAN_INTERARRIVAL_US: f64 = 1000.0;
 const ENGINES: u64 = 8;
 const BUDGET_US: u64 = 20_000_000;
-/// Fraction of the requests that wait in the queue, and for how long on average.
+/// Fraction of the requests that wait in the queue, and their mean wait (us).
 const QUEUED_FRACTION: f64 = 0.2;
 const MEAN_QUEUE_WAIT_US: f64 = 200_000.0;
-/// Time from reception to the queue, and to the dispatch of a request that does not wait (us).
+/// Time from reception to queueing, and from reception to the dispatch of a request that does not wait (us).
 const QUEUE_DELAY_US: f64 = 20.0;
 const DISPATCH_DELAY_US: f64 = 50.0;
-/// Fraction of the requests that are rejected, and the wait that half of them are advised (us).
+/// Fraction of the requests that are rejected, and the wait before a retry that half of the rejections recommend (us).
 const REJECTED_FRACTION: f64 = 0.05;
 const RETRY_AFTER_US: f64 = 500_000.0;
 const MAX_CLIENT_ATTEMPTS: u32 = 3;
-/// Minimum, and mean above it, of the time from a rejection to the reception of the retry (us).
-const MIN_RETRY_TRAVEL_US: f64 = 300.0;
-const MEAN_EXTRA_RETRY_TRAVEL_US: f64 = 300.0;
-/// Fraction of the attempts whose connection is lost, and the time to the second attempt (us).
+/// Time from a rejection to the reception of the retry (us): the minimum, and the mean of the part above it.
+const MIN_RETRY_LATENCY_US: f64 = 300.0;
+const MEAN_EXTRA_RETRY_LATENCY_US: f64 = 300.0;
+/// Fraction of the attempts whose connection is lost, and the time until the second attempt (us).
 const LOST_FRACTION: f64 = 0.01;
 const RETRY_DELAY_US: f64 = 200.0;
 const MIN_EXECUTION_US: f64 = 300.0;
@@ -71,7 +73,7 @@
 /// Time from the last arrival to the end of the traces (us).
 const DRAIN_US: i64 = 60_000_000;
 
-/// What happens next to a request.
+/// The next step in the processing of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Receive,
@@ -80,7 +82,7 @@
     EndAttempt { attempt: u32 },
 }
 
-/// A client's request at one manager.
+/// One client attempt of a request, at one manager.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Request {
     client: u64,
@@ -89,13 +91,13 @@
     tenant: u32,
     client_attempt: u32,
     manager: usize,
-    /// Number of the request at its manager; 0 before it is received.
+    /// Number of the request at its manager; 0 until it is received.
     number: u64,
-    /// Engine of the current attempt.
+    /// Number of the engine that executes the current attempt.
     engine: u64,
 }
 
-/// A step at a time. The order is that of the times, then that of scheduling.
+/// A step and its true time. Steps are ordered by time, then by the order in which they were scheduled.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledStep {
     at_us: u64,
@@ -104,7 +106,7 @@
     request: Request,
 }
 
-/// The steps to come.
+/// The pending steps, earliest first.
 #[derive(Default)]
 struct Schedule {
     steps: BinaryHeap<Reverse<ScheduledStep>>,
@@ -131,7 +133,7 @@
     }
 }
 
-/// The trace of one manager.
+/// Writes the trace of one manager.
 struct ManagerTrace<W> {
     writer: Writer<W>,
     clock_offset_us: i64,
@@ -153,7 +155,7 @@
         Ok(trace)
     }
 
-    /// Records an event of a request, 0 for none, at a true time (us).
+    /// Records an event at a true time (us). `request` is 0 if the event concerns no request.
     fn record(&mut self, at_us: i64, request: u64, event: Event) -> Result<(), TraceError> {
         let at_us = at_us + self.clock_offset_us;
         self.writer.write(&Record { at_us, request, manager: 0, event: Some(event) })
@@ -167,10 +169,10 @@
     }
 }
 
-/// Writes one trace for each manager of the plan; `open` gives the output for a manager's position.
+/// Writes one trace for each manager of the plan. `open` opens the output for the manager at a position, from 0.
 ///
 /// # Errors
-/// Fails where an output cannot be opened or written.
+/// Fails if an output cannot be opened or written.
 pub fn generate<W: Write>(
     plan: &Plan,
     mut open: impl FnMut(usize) -> std::io::Result<W>,
@@ -196,7 +198,7 @@
 }
 
 impl<W: Write> Generator<'_, W> {
-    /// Generates all requests and their steps; returns the time after the last arrival (us).
+    /// Generates all requests and their steps. Returns the time at which the next request would arrive (us).
     fn run(&mut self) -> Result<f64, TraceError> {
         let mut clients = 0;
         let mut arrival_us = 0.0;
@@ -204,9 +206,9 @@
             let next_step_us = self.schedule.next_at_us().unwrap_or(u64::MAX);
             if clients < self.plan.requests && arrival_us as u64 <= next_step_us {
                 clients += 1;
-                let request = self.draw_request(clients);
+                let request = self.sample_request(clients);
                 self.schedule.add(arrival_us as u64, Step::Receive, request);
-                arrival_us += self.draw_exponential(MEAN_INTERARRIVAL_US);
+                arrival_us += self.sample_exponential(MEAN_INTERARRIVAL_US);
                 continue;
             }
             let Some(ScheduledStep { at_us, step, request, .. }) = self.schedule.pop() else {
@@ -224,20 +226,20 @@
         }
     }
 
-    fn draw_exponential(&mut self, mean: f64) -> f64 {
+    fn sample_exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.rng.rand_float()).ln() * mean
     }
 
-    fn draw_manager(&mut self) -> usize {
+    fn sample_manager(&mut self) -> usize {
         self.rng.rand_range(0..self.plan.clock_offsets_us.len() as u64) as usize
     }
 
-    fn draw_request(&mut self, client: u64) -> Request {
-        let class_draw = self.rng.rand_float();
-        let class = usize::from(class_draw > REPORT_ABOVE) + usize::from(class_draw > LOAD_ABOVE);
-        // The square makes the first tenants busier than the last.
+    fn sample_request(&mut self, client: u64) -> Request {
+        let class_sample = self.rng.rand_float();
+        let class = usize::from(class_sample > REPORT_ABOVE) + usize::from(class_sample > LOAD_ABOVE);
+        // Squaring the sample gives tenants with lower numbers more requests.
         let tenant = (self.rng.rand_float().powi(2) * f64::from(self.plan.tenants)) as u32;
-        let manager = self.draw_manager();
+        let manager = self.sample_manager();
         Request { client, class, tenant, client_attempt: 1, manager, number: 0, engine: 0 }
     }
 
@@ -273,7 +275,7 @@
         let trace = &mut self.traces[request.manager];
         let reason = trace.writer.string("no_room");
         trace.record(at_us as i64, request.number, Event::RequestQueued(RequestQueued { reason }))?;
-        let wait_us = self.draw_exponential(MEAN_QUEUE_WAIT_US);
+        let wait_us = self.sample_exponential(MEAN_QUEUE_WAIT_US);
         self.schedule.add_after(at_us, wait_us, Step::Dispatch { attempt: 0 }, request);
         Ok(())
     }
@@ -282,15 +284,16 @@
         let trace = &mut self.traces[request.manager];
         let end = trace.writer.string("refused");
         let reason = trace.writer.string("no_time");
-        // The other half may retry at once.
+        // The other half of the rejected clients may retry immediately.
         let retry_after_us = if self.rng.rand_float() < 0.5 { 0.0 } else { RETRY_AFTER_US };
         let response = Response { retry_after_us: retry_after_us as u64, bytes: 0, end, reason };
         trace.record(at_us as i64, request.number, Event::Response(response))?;
         if request.client_attempt < MAX_CLIENT_ATTEMPTS {
             request.client_attempt += 1;
-            request.manager = self.draw_manager();
-            let travel_us = MIN_RETRY_TRAVEL_US + self.draw_exponential(MEAN_EXTRA_RETRY_TRAVEL_US);
-            self.schedule.add_after(at_us, retry_after_us + travel_us, Step::Receive, request);
+            request.manager = self.sample_manager();
+            let retry_latency_us =
+                MIN_RETRY_LATENCY_US + self.sample_exponential(MEAN_EXTRA_RETRY_LATENCY_US);
+            self.schedule.add_after(at_us, retry_after_us + retry_latency_us, Step::Receive, request);
         }
         Ok(())
     }
@@ -309,7 +312,7 @@
         let engine = trace.writer.string(&engine_name(request.engine));
         let dispatched = AttemptDispatched { attempt, engine };
         trace.record(at_us as i64, request.number, Event::AttemptDispatched(dispatched))?;
-        let execution_us = self.draw_exponential(CLASSES[request.class].mean_execution_us);
+        let execution_us = self.sample_exponential(CLASSES[request.class].mean_execution_us);
         let execution_us = execution_us.max(MIN_EXECUTION_US);
         self.schedule.add_after(at_us, execution_us, Step::EndAttempt { attempt }, request);
         Ok(())
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,4 +1,4 @@
-//! Trace files of requests and of the decisions made about them: format, writer, reader and tools.
+//! Format, writer, reader and tools for trace files, which record requests and the scheduling decisions about them.
 //! `docs/trace-format.md` specifies the format byte by byte.
 //!
 //! ```text
@@ -6,9 +6,9 @@
 //!           each block: frame with lengths and checksums, then a compressed protobuf message
 //! ```
 //!
-//! Each block of records has its own string table, so it can be decoded alone: of a truncated or damaged file all
-//! intact blocks can be read. Tools that copy records preserve what they do not know: fields 16 to 31 of every event
-//! are references to strings, and all other fields are copied as they are.
+//! Each block of records has its own string table and is decoded independently of the others, so all intact blocks of
+//! a truncated or corrupted file are readable. Tools that copy records preserve fields and events that they do not
+//! know: fields 16 to 31 of every event are references to strings, and all other fields are copied unchanged.
 //!
 //! ```
 //! use sanddyke_trace::{Header, Reader, Record, RequestReceived, Event, Writer};
@@ -49,15 +49,19 @@
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// The input does not begin with [`MAGIC`].
-    #[error("this is no trace: it does not begin as one does")]
+    #[error("not a trace file: the input does not begin with the {} magic bytes of the format", MAGIC.len())]
     NotATrace,
-    /// The file has this later format version, in which fields may mean something else.
-    #[error("written in form {0}, this version reads up to {FORMAT_VERSION}")]
+    /// The file has this format version, later than [`FORMAT_VERSION`]. Its fields may have another meaning.
+    #[error("unsupported trace format version {0}: this program reads versions up to {FORMAT_VERSION}")]
     LaterVersion(u32),
     /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A record of this length (bytes) does not fit into a block, or cannot be copied.
-    #[error("a record of {0} bytes")]
+    /// A record or block of this length (bytes) exceeds the limit of the format, or a record to be copied is not a
+    /// valid protobuf message.
+    #[error(
+        "cannot write {0} bytes as a record or block: not a valid message, or over the limit (block: {max} bytes)",
+        max = frame::MAX_PAYLOAD_BYTES
+    )]
     TooLarge(usize),
 }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,8 +1,8 @@
-//! Merging traces of managers whose clocks differ.
+//! Merges traces of managers whose clocks differ into one file.
 //!
-//! A merged file lists its managers with their clock offsets, and each record names its manager. Merging a merged file
-//! first takes it apart again, so the result does not depend on the order of the files, nor on which were merged
-//! before.
+//! A merged file lists its managers with their clock offsets, and each record has its manager's number. A merged input
+//! file is split into its managers again, so the result does not depend on the order of the files or on earlier
+//! merges.
 
 use crate::clocks::{ClockConstraints, ClockError, LocalTime, Offset};
 use crate::{Entry, Event, Header, Manager, Reader, TraceError, Writer};
@@ -11,47 +11,51 @@
 use std::io::{Read, Seek, Write};
 use thiserror::Error;
 
-/// Maximum number of managers in one file: their numbers share 64 bits with those of the requests.
+/// Maximum number of managers in one file. A manager's number shares the 64 bits of [`crate::Record::key`] with the
+/// request's number.
 pub const MAX_MANAGERS: usize = 1000;
 
-/// Maximum number of attempts that are matched at once. Past it, all are forgotten, which costs constraints only.
+/// Maximum number of attempts that are held for matching. Beyond it all of them are discarded. This bounds the memory
+/// and loses only constraints.
 const MAX_TRACKED_ATTEMPTS: usize = 1_000_000;
 
 /// Why files cannot be merged.
 #[derive(Debug, Error)]
 pub enum MergeError {
-    /// A file cannot be read or written.
+    /// A trace file cannot be read or written.
     #[error("{0}")]
     Trace(#[from] TraceError),
     /// The clock offsets cannot be estimated.
     #[error("{0}")]
     Clocks(#[from] ClockError),
-    /// Two files contain this manager.
-    #[error("{0} is in two of the files")]
+    /// The manager with this name is in two of the files.
+    #[error("manager {0} is in two of the files")]
     DuplicateManager(String),
-    /// The files contain more than [`MAX_MANAGERS`] managers.
-    #[error("at most {MAX_MANAGERS} managers")]
-    TooManyManagers,
+    /// The files contain this many managers, more than [`MAX_MANAGERS`].
+    #[error("the files contain {0} managers; a merged file holds at most {MAX_MANAGERS}")]
+    TooManyManagers(usize),
 }
 
 /// The result of a merge.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Merged {
-    /// The estimated clock offsets, by the managers' names.
+    /// The estimated clock offsets, sorted by the managers' names.
     pub offsets: Vec<Offset>,
-    /// Number of constraints between two clocks on which the estimate is based.
+    /// Number of constraints between two clocks from which the offsets were estimated.
     #[serde(rename = "ties")]
     pub constraints: u64,
-    /// Number of records.
+    /// Number of records in the merged file.
     pub records: u64,
 }
 
-/// Merges files into one that is ordered by the estimated true times.
+/// Merges files into one file whose records are ordered by estimated true time.
 ///
-/// `open` is called for a file's position: once, and twice more for each manager of the file.
+/// `open` opens the file at a position from 0 to `files - 1`. It is called once for each file, and twice more for each
+/// manager of the file.
 ///
 /// # Errors
-/// Fails where a file cannot be read or written, a manager is in two files, or the clock offsets cannot be estimated.
+/// Fails if a file cannot be read or written, a manager is in two files, there are more than [`MAX_MANAGERS`], or the
+/// clock offsets cannot be estimated.
 pub fn merge<R: Read + Seek, W: Write>(
     files: usize,
     mut open: impl FnMut(usize) -> Result<Reader<R>, TraceError>,
@@ -67,16 +71,16 @@
     Ok(Merged { offsets, constraints: constraints.count(), records })
 }
 
-/// Where the records of one manager are.
+/// One manager in one of the input files.
 struct Source {
-    /// Position of the file.
+    /// Position of the file, as passed to `open`.
     file: usize,
-    /// Number of the manager in that file; 0 in an unmerged one.
+    /// Number of the manager in that file; 0 in an unmerged file.
     number_in_file: u32,
     manager: Manager,
 }
 
-/// The managers of all files, sorted by name.
+/// Lists the managers of all files, sorted by name.
 fn list_sources<R: Read + Seek>(
     files: usize,
     open: &mut impl FnMut(usize) -> Result<Reader<R>, TraceError>,
@@ -91,7 +95,7 @@
         }
     }
     if sources.len() > MAX_MANAGERS {
-        return Err(MergeError::TooManyManagers);
+        return Err(MergeError::TooManyManagers(sources.len()));
     }
     sources.sort_by(|a, b| a.manager.name.cmp(&b.manager.name));
     Ok(sources)
@@ -147,7 +151,7 @@
     }
 }
 
-/// One attempt of a client, which all attempts with the same idempotency key are matched by.
+/// Identifies one attempt of a client. Attempts with the same idempotency key belong to the same request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct AttemptKey {
     idempotency_key: String,
@@ -155,14 +159,15 @@
     client_attempt: u32,
 }
 
-/// When an attempt was received and when it got its response.
+/// The times at which an attempt was received and its response was sent.
 #[derive(Debug, Clone, Copy, Default)]
 struct AttemptTimes {
     received: Option<LocalTime>,
     responded: Option<LocalTime>,
 }
 
-/// Constrains the clocks by each client's attempts: the next one is received after the response to the one before.
+/// Derives clock constraints from retries: a client's next attempt is received after the response to the previous
+/// one.
 fn collect_constraints<R: Read + Seek>(
     sources: &[Source],
     open: &mut impl FnMut(usize) -> Result<Reader<R>, TraceError>,
@@ -184,7 +189,7 @@
     Ok(constraints)
 }
 
-/// Adds the times of the keyed attempts at one manager.
+/// Collects the times of one manager's attempts that have an idempotency key and an attempt number.
 fn collect_attempts<R: Read + Seek>(
     entries: SourceReader<R>,
     manager: usize,
@@ -216,22 +221,24 @@
     Ok(())
 }
 
-/// The next record of a source: ordered by its time on the first manager's clock (us), then by its manager's name.
+/// Heap entry for the next record of a source, ordered by time, then by source, which is the order of the managers'
+/// names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct NextRecord {
+    /// Time on the first manager's clock (us).
     at_us: i64,
-    /// Position of the source.
+    /// Position in the list of sources.
     source: usize,
 }
 
-/// Merges the records of all sources, of which it holds one each.
+/// Merges the records of all sources. Only the next record of each source is held, besides the readers' blocks.
 struct RecordMerger<'a, R> {
     readers: Vec<SourceReader<R>>,
     offsets: &'a [Offset],
     next_records: BinaryHeap<Reverse<NextRecord>>,
-    /// The next record of each source, `None` at its end.
+    /// The next record of each source; `None` at the end of the source.
     next_entries: Vec<Option<Entry>>,
-    /// The time of the last record that was read of each source (us on the first manager's clock).
+    /// Time of the last record read from each source (us, on the first manager's clock).
     last_at_us: Vec<i64>,
 }
 
@@ -252,11 +259,11 @@
         Ok(merger)
     }
 
-    /// Reads the next record of a source and queues it.
+    /// Reads the next record of a source, adds it to the heap and returns it.
     fn read(&mut self, source: usize) -> Result<Option<Entry>, TraceError> {
         let entry = self.readers[source].next().transpose()?;
         if let Some(entry) = &entry {
-            // The maximum preserves a manager's own order where its times go back.
+            // The maximum preserves the order of a manager's records if its clock went backwards.
             let at_us = (entry.record.at_us - self.offsets[source].ahead_us).max(self.last_at_us[source]);
             self.last_at_us[source] = at_us;
             self.next_records.push(Reverse(NextRecord { at_us, source }));
@@ -264,7 +271,7 @@
         Ok(entry)
     }
 
-    /// Writes all records; returns their number.
+    /// Writes all records and returns their number.
     fn write_to<W: Write>(mut self, mut writer: Writer<W>) -> Result<u64, TraceError> {
         let mut records = 0;
         while let Some(Reverse(NextRecord { source, .. })) = self.next_records.pop() {
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a trace record by record, and past its damaged parts.
+//! Reads a trace record by record and skips its corrupted ranges.
 
 use crate::frame::{BlockKind, FORMAT_VERSION, FRAME_BYTES, FRAME_MARKER, Frame, MAGIC};
 use crate::{Block, Header, Index, Record, Strings, TraceError};
@@ -7,41 +7,41 @@
 use std::io::{Read, Seek, SeekFrom};
 use std::sync::Arc;
 
-/// Bytes read at once in the search for the next intact block.
+/// Size of the buffer for the search for the next intact block.
 const SEARCH_BYTES: usize = 64 * 1024;
-/// Length of the offset of the index at the end of a file.
+/// Length of the trailer of a file, which is the offset of the index as a 64-bit number.
 const INDEX_OFFSET_BYTES: u64 = 8;
 
-/// A part of the file that cannot be read.
+/// A byte range of the file that cannot be read or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Offset of its first byte.
+    /// Offset of the first byte of the range.
     pub offset: u64,
     /// Offset of the next readable byte, or the length of the file.
     pub until: u64,
-    /// What is wrong with it.
+    /// Why the range cannot be read, for display.
     pub reason: &'static str,
 }
 
-/// A record with the strings that it refers to.
+/// A record with the string table that its references point into.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The record, without fields of a later version.
+    /// The decoded record, without fields of later versions.
     pub record: Record,
-    /// The encoded record, with all fields.
+    /// The encoded record, with all fields including those of later versions.
     pub bytes: Vec<u8>,
-    /// The string table of its block.
+    /// The string table of the record's block.
     pub strings: Arc<Strings>,
 }
 
 impl Entry {
-    /// The string of a reference; empty where there is none.
+    /// Returns the string of a reference, or an empty string if the table has no such reference.
     pub fn string(&self, reference: u32) -> &str {
         self.strings.text(reference)
     }
 }
 
-/// A block that was read and is intact.
+/// An intact block with its decompressed payload.
 struct ReadBlock {
     kind: BlockKind,
     payload: Vec<u8>,
@@ -49,16 +49,16 @@
     end: u64,
 }
 
-/// Reads a trace from its beginning to its end, with the memory of one block.
+/// Reads a trace sequentially. At most one block is held in memory.
 #[derive(Debug)]
 pub struct Reader<R> {
     input: R,
     header: Header,
     /// Offset of the next block.
     offset: u64,
-    /// Length of the file.
+    /// Length of the file (bytes).
     length: u64,
-    /// Records of the current block that are still to be returned.
+    /// Records of the current block that have not been returned yet.
     entries: VecDeque<Entry>,
     faults: Vec<Fault>,
     index: Option<Index>,
@@ -66,10 +66,10 @@
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Opens a trace and reads its header; a damaged header is replaced by an empty one.
+    /// Opens a trace and reads its header. If the header is corrupted, [`Reader::header`] returns an empty one.
     ///
     /// # Errors
-    /// Fails where the input cannot be read, is not a trace, or has a later format version.
+    /// Fails if the input cannot be read, is not a trace, or has a later format version.
     pub fn new(mut input: R) -> Result<Reader<R>, TraceError> {
         let length = input.seek(SeekFrom::End(0))?;
         input.seek(SeekFrom::Start(0))?;
@@ -95,7 +95,8 @@
         Ok(reader)
     }
 
-    /// Reads the first block where it is an intact header. Any other is left to the reading of records.
+    /// Reads the first block if it is an intact header. Otherwise the position stays, and reading of records starts at
+    /// this block.
     fn read_header(&mut self) -> Result<(), TraceError> {
         let Some(block) = self.read_block(self.offset)? else { return Ok(()) };
         if block.kind != BlockKind::Header {
@@ -111,27 +112,29 @@
         Ok(())
     }
 
-    /// The header of the file.
+    /// The header of the file; empty if it is corrupted.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// The parts that could not be read so far.
+    /// The unreadable ranges found so far.
     pub fn faults(&self) -> &[Fault] {
         &self.faults
     }
 
-    /// The number of intact blocks of records so far.
+    /// The number of intact blocks of records read so far.
     pub fn blocks(&self) -> u64 {
         self.blocks
     }
 
-    /// The index, once reading has reached it; `None` where the file has none.
+    /// The index; `None` until reading has reached it, or if the file has none.
     pub fn index(&self) -> Option<&Index> {
         self.index.as_ref()
     }
 
-    /// Reads the index at the end of the file; reading of records continues where it was.
+    /// Reads the index at the end of the file. The position for reading records does not change.
+    ///
+    /// Returns `None` if the file has no intact index.
     pub fn seek_index(&mut self) -> Result<Option<Index>, TraceError> {
         if self.length < INDEX_OFFSET_BYTES + MAGIC.len() as u64 {
             return Ok(None);
@@ -147,13 +150,13 @@
         Ok(index.and_then(|block| Index::decode(&block.payload[..]).ok()))
     }
 
-    /// Continues reading at the block with this offset, which is in the index.
-    pub fn go_to(&mut self, offset: u64) {
+    /// Moves the read position to the block at this offset, which is taken from the index.
+    pub fn seek_to_block(&mut self, offset: u64) {
         self.offset = offset;
         self.entries.clear();
     }
 
-    /// Reads the block at an offset; `None` where there is no intact one.
+    /// Reads the block at an offset. Returns `None` if there is no intact block.
     fn read_block(&mut self, offset: u64) -> Result<Option<ReadBlock>, TraceError> {
         if offset + FRAME_BYTES as u64 > self.length {
             return Ok(None);
@@ -172,7 +175,7 @@
         Ok(payload.map(|payload| ReadBlock { kind: frame.kind, payload, end }))
     }
 
-    /// The offset of the next intact block.
+    /// Searches for the next intact block at or after `from` and returns its offset.
     fn find_block(&mut self, from: u64) -> Result<Option<u64>, TraceError> {
         let mut offset = from;
         let mut buffer = vec![0; SEARCH_BYTES];
@@ -188,18 +191,18 @@
                     return Ok(Some(candidate));
                 }
             }
-            // The parts overlap, because a marker may cross the end of one.
+            // Consecutive reads overlap because a marker may cross the end of a buffer.
             offset += (length - (FRAME_MARKER.len() - 1)).max(1) as u64;
         }
         Ok(None)
     }
 
-    /// Reads blocks until there are entries; false at the end of the file.
+    /// Reads blocks until there are entries to return. Returns false at the end of the file.
     fn fill_entries(&mut self) -> Result<bool, TraceError> {
         while self.entries.is_empty() {
-            let left = self.length.saturating_sub(self.offset);
-            // Only the offset of the index follows the index.
-            if left == 0 || (left == INDEX_OFFSET_BYTES && self.index.is_some()) {
+            let remaining_bytes = self.length.saturating_sub(self.offset);
+            // After the index, only the trailer with its offset is left.
+            if remaining_bytes == 0 || (remaining_bytes == INDEX_OFFSET_BYTES && self.index.is_some()) {
                 return Ok(false);
             }
             match self.read_block(self.offset)? {
@@ -211,7 +214,7 @@
                     }
                     self.offset = block.end;
                 }
-                None => self.skip_damaged_part()?,
+                None => self.skip_corrupted_range()?,
             }
         }
         Ok(true)
@@ -220,27 +223,27 @@
     fn decode_records(&mut self, read: &ReadBlock) {
         self.blocks += 1;
         let Ok(block) = Block::decode(&read.payload[..]) else {
-            return self.add_fault(read.end, "a block that is no message");
+            return self.add_fault(read.end, "block of records is not a valid protobuf message");
         };
         let strings = Arc::new(Strings::from(block.strings));
         for bytes in block.records {
             match Record::decode(&bytes[..]) {
                 Ok(record) => self.entries.push_back(Entry { record, bytes, strings: strings.clone() }),
-                Err(_) => self.add_fault(read.end, "a record that is no message"),
+                Err(_) => self.add_fault(read.end, "record is not a valid protobuf message"),
             }
         }
     }
 
-    fn skip_damaged_part(&mut self) -> Result<(), TraceError> {
+    fn skip_corrupted_range(&mut self) -> Result<(), TraceError> {
         let next_block = self.find_block(self.offset + 1)?;
         let until = next_block.unwrap_or(self.length);
-        let reason = if next_block.is_some() { "damaged" } else { "cut short or damaged" };
+        let reason = if next_block.is_some() { "damaged" } else { "truncated or damaged" };
         self.add_fault(until, reason);
         self.offset = until;
         Ok(())
     }
 
-    /// Adds a fault that begins at the current block.
+    /// Records a fault that begins at the current block and ends before offset `until`.
     fn add_fault(&mut self, until: u64, reason: &'static str) {
         self.faults.push(Fault { offset: self.offset, until, reason });
     }
--- a/crates/trace/src/reader/tests.rs
+++ b/crates/trace/src/reader/tests.rs
@@ -1,10 +1,10 @@
-//! Files of other versions.
+//! Files of later format versions.
 
 use super::*;
 use crate::frame;
 use std::io::Cursor;
 
-/// Fields of a later format version may mean something else.
+/// Guards against decoding a file of a later format version, whose fields may have another meaning.
 #[test]
 fn a_later_format_version_is_rejected() {
     let open_with_version = |format_version| {
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,12 +1,12 @@
 //! The protobuf messages of a trace file.
 //!
-//! Fields 16 to 31 of each event are references into the string table of its block; 0 stands for no string. Later
-//! versions keep to this rule, so that the tools of this version can copy their records. The tags are the file
-//! format: they never change.
+//! Fields 16 to 31 of each event are references into the string table of the block; 0 stands for no string. Later
+//! versions must follow this rule, so that the tools of this version can copy their records. The tags define the file
+//! format and must never change.
 
 use prost::{Message, Oneof};
 
-/// The first block: where and by what the trace was recorded.
+/// The content of the first block: which manager and program version recorded the trace, and with which settings.
 #[derive(Clone, PartialEq, Message)]
 pub struct Header {
     /// Version of the file format.
@@ -15,7 +15,7 @@
     /// Version of the program that recorded the trace.
     #[prost(string, tag = "2")]
     pub program: String,
-    /// The manager's name.
+    /// Name of the manager that recorded the trace; `merged` in a merged file, `anonymous` in an anonymised one.
     #[prost(string, tag = "3")]
     pub manager: String,
     /// Unix time (us) at time 0 of the manager's clock.
@@ -27,7 +27,7 @@
     /// The tool steps that derived this file from others, oldest first.
     #[prost(string, repeated, tag = "6")]
     pub derivation: Vec<String>,
-    /// The managers of a merged file, by their number from 1; empty in an unmerged one.
+    /// The managers of a merged file, in the order of their numbers from 1; empty in an unmerged file.
     #[prost(message, repeated, tag = "7")]
     pub managers: Vec<Manager>,
 }
@@ -35,13 +35,13 @@
 /// A manager of a merged file.
 #[derive(Clone, PartialEq, Message)]
 pub struct Manager {
-    /// Its name.
+    /// Name of the manager, unique in the file.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Unix time (us) at time 0 of its clock.
+    /// Unix time (us) at time 0 of the manager's clock.
     #[prost(sint64, tag = "2")]
     pub unix_us: i64,
-    /// Estimated offset of its clock from the first manager's (us), positive where it is ahead.
+    /// Estimated offset of this manager's clock from the first manager's (us), positive if this clock is ahead.
     #[prost(sint64, tag = "3")]
     pub offset_us: i64,
     /// Maximum error of `offset_us` (us).
@@ -49,7 +49,7 @@
     pub error_bound_us: i64,
 }
 
-/// One event at one time.
+/// An event with its time, request and manager.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
     /// Time on the manager's clock (us).
@@ -58,10 +58,10 @@
     /// Number of the request that the event concerns, 0 for none.
     #[prost(uint64, tag = "2")]
     pub request: u64,
-    /// Number of the manager in a merged file, 0 in an unmerged one.
+    /// Number of the manager in a merged file; 0 in an unmerged file.
     #[prost(uint32, tag = "14")]
     pub manager: u32,
-    /// The event; `None` for a kind of a later version.
+    /// The event; `None` if its kind was added by a later version.
     #[prost(oneof = "Event", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub event: Option<Event>,
 }
@@ -72,16 +72,16 @@
     /// A request was received.
     #[prost(message, tag = "3")]
     RequestReceived(RequestReceived),
-    /// The request waits in the queue.
+    /// A request was queued.
     #[prost(message, tag = "4")]
     RequestQueued(RequestQueued),
-    /// An engine was selected for the request, or the request was given up.
+    /// An engine was selected for the request, or the request was abandoned without one.
     #[prost(message, tag = "5")]
     Decision(Decision),
     /// An attempt was dispatched to an engine.
     #[prost(message, tag = "6")]
     AttemptDispatched(AttemptDispatched),
-    /// A running attempt reported a figure.
+    /// A measurement of a running attempt was reported.
     #[prost(message, tag = "7")]
     AttemptProgress(AttemptProgress),
     /// An attempt ended.
@@ -96,7 +96,7 @@
     /// A tenant changed.
     #[prost(message, tag = "11")]
     TenantChanged(TenantChanged),
-    /// The program started, stopped or read its configuration.
+    /// The program started, stopped or loaded its configuration.
     #[prost(message, tag = "12")]
     ProgramEvent(ProgramEvent),
     /// The recorder dropped records because its buffer was full.
@@ -113,7 +113,7 @@
     /// Length of the statement (bytes).
     #[prost(uint32, tag = "2")]
     pub statement_bytes: u32,
-    /// Number of the client's attempt, from 1; 0 where the client did not state it.
+    /// Number of the client's attempt, from 1; 0 if the client did not state it.
     #[prost(uint32, tag = "3")]
     pub client_attempt: u32,
     /// Query class (string).
@@ -122,7 +122,7 @@
     /// Tenant (string).
     #[prost(uint32, tag = "17")]
     pub tenant: u32,
-    /// The client's name for the request (string).
+    /// Client request id (string).
     #[prost(uint32, tag = "18")]
     pub name: u32,
     /// Idempotency key (string).
@@ -133,30 +133,30 @@
     pub frontend: u32,
 }
 
-/// A request waits in the queue.
+/// A request was queued.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestQueued {
-    /// Code of what it waits for (string).
+    /// Code of the reason why the request has to wait (string).
     #[prost(uint32, tag = "16")]
     pub reason: u32,
 }
 
-/// The state of a sampled engine on which a decision was based.
+/// The state of a sampled engine at the time of a decision, on which the decision was based.
 #[derive(Clone, PartialEq, Message)]
 pub struct EngineSnapshot {
-    /// Number of the engine.
+    /// Number of the engine, as opposed to its name in `engine`.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// This manager's attempts in flight at the engine.
     #[prost(uint32, tag = "2")]
     pub own_in_flight: u32,
-    /// Other managers' queries in flight at the engine, by its load reports.
+    /// Other managers' queries in flight at the engine, according to its load reports.
     #[prost(float, tag = "3")]
     pub other_in_flight: f32,
-    /// Factor by which the engine is slower than with a single query.
+    /// Factor by which the engine is slower than when it executes a single query.
     #[prost(float, tag = "4")]
     pub slowdown: f32,
-    /// Weight in the comparison of the sampled engines; the lowest is selected.
+    /// Weight by which the sampled engines are compared. The engine with the lowest weight is selected.
     #[prost(float, tag = "5")]
     pub weight: f32,
     /// Name of the engine (string).
@@ -164,13 +164,13 @@
     pub engine: u32,
 }
 
-/// An engine was selected for a request, or the request was given up.
+/// An engine was selected for a request, or the request was abandoned without one.
 #[derive(Clone, PartialEq, Message)]
 pub struct Decision {
-    /// The selected engine.
+    /// The selected engine; `None` if no engine was selected.
     #[prost(message, optional, tag = "1")]
     pub selected: Option<EngineSnapshot>,
-    /// The sampled engine that was not selected.
+    /// The sampled engine that was not selected; `None` if there is none.
     #[prost(message, optional, tag = "2")]
     pub alternative: Option<EngineSnapshot>,
     /// Code of the reason (string).
@@ -189,16 +189,16 @@
     pub engine: u32,
 }
 
-/// A running attempt reported a figure.
+/// A measurement of a running attempt was reported.
 #[derive(Clone, PartialEq, Message)]
 pub struct AttemptProgress {
-    /// Number of the attempt.
+    /// Number of the attempt, from 0.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// The figure, such as the completed fraction.
+    /// The measured value, such as the completed fraction.
     #[prost(float, tag = "2")]
     pub value: f32,
-    /// What the figure measures (string).
+    /// Name of the measured quantity (string).
     #[prost(uint32, tag = "16")]
     pub measure: u32,
 }
@@ -206,10 +206,10 @@
 /// An attempt ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct AttemptEnded {
-    /// Number of the attempt.
+    /// Number of the attempt, from 0.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// Work done, as single-thread time (us); 0 where it was not reported.
+    /// Work done, as single-thread time (us); 0 if it was not reported.
     #[prost(uint64, tag = "2")]
     pub work_us: u64,
     /// Outcome (string).
@@ -223,16 +223,16 @@
 /// The final response to a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct Response {
-    /// Advised wait before a retry (us), 0 for none.
+    /// Recommended wait before a retry (us); 0 for none.
     #[prost(uint64, tag = "1")]
     pub retry_after_us: u64,
     /// Length of the result (bytes).
     #[prost(uint64, tag = "2")]
     pub bytes: u64,
-    /// How the request ended (string): `served`, `refused`, `failed`, `cancelled`, `left` or `invalid`.
+    /// Final status of the request (string): `served`, `refused`, `failed`, `cancelled`, `left` or `invalid`.
     #[prost(uint32, tag = "16")]
     pub end: u32,
-    /// Code of the reason, where there is one (string).
+    /// Code of the reason (string); 0 for none.
     #[prost(uint32, tag = "17")]
     pub reason: u32,
 }
@@ -271,7 +271,7 @@
     pub state: u32,
 }
 
-/// The program started, stopped or read its configuration.
+/// The program started, stopped or loaded its configuration.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProgramEvent {
     /// `start`, `stop` or `configuration` (string).
@@ -279,10 +279,10 @@
     pub name: u32,
 }
 
-/// The recorder dropped records.
+/// The recorder dropped records, for the reason in `reason`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordsDropped {
-    /// Number of records.
+    /// Number of dropped records.
     #[prost(uint64, tag = "1")]
     pub records: u64,
     /// Code of the reason (string).
@@ -290,7 +290,7 @@
     pub reason: u32,
 }
 
-/// A block of records. The records stay encoded, so that unknown fields survive a copy.
+/// A block of records. The records are stored encoded, so that a copy preserves unknown fields.
 #[derive(Clone, PartialEq, Message)]
 pub struct Block {
     /// The string table; references count from 1.
@@ -304,7 +304,7 @@
 /// The index entry of a block of records.
 #[derive(Clone, PartialEq, Message)]
 pub struct BlockSummary {
-    /// Offset of its frame in the file (bytes).
+    /// Offset of the block's frame in the file (bytes).
     #[prost(uint64, tag = "1")]
     pub offset: u64,
     /// Earliest time in the block (us).
@@ -313,39 +313,39 @@
     /// Latest time in the block (us).
     #[prost(sint64, tag = "3")]
     pub last_us: i64,
-    /// Number of records.
+    /// Number of records in the block.
     #[prost(uint64, tag = "4")]
     pub records: u64,
-    /// Keys of the requests in the block, ascending, each as the difference to the previous one.
+    /// Keys of the requests in the block in ascending order, each stored as the difference from the previous key.
     #[prost(uint64, repeated, tag = "5")]
     pub requests: Vec<u64>,
-    /// The tenants in the block, by their position in [`Index::tenants`].
+    /// Positions in [`Index::tenants`] of the tenants in the block.
     #[prost(uint32, repeated, tag = "6")]
     pub tenants: Vec<u32>,
 }
 
-/// The index, in the last block. The last 8 bytes of the file are the offset of its frame.
+/// The index, which is the last block. The last 8 bytes of the file contain the offset of its frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Index {
     /// One entry for each block of records.
     #[prost(message, repeated, tag = "1")]
     pub blocks: Vec<BlockSummary>,
-    /// Names of the tenants.
+    /// Names of the tenants in the file, in the order of first occurrence.
     #[prost(string, repeated, tag = "2")]
     pub tenants: Vec<String>,
-    /// Number of records of each kind of event, by its tag in [`Record`].
+    /// Number of records of each kind of event, indexed by the tag of the event in [`Record`].
     #[prost(uint64, repeated, tag = "3")]
     pub kinds: Vec<u64>,
 }
 
 impl Record {
-    /// A key of the request that is unique in the file, also in a merged one: the manager's number is in the upper
-    /// 16 bits.
+    /// Returns a key of the request that is unique in the file, also in a merged one. The upper 16 bits contain the
+    /// manager's number.
     pub fn key(&self) -> u64 {
         u64::from(self.manager) << 48 | self.request
     }
 
-    /// The protobuf tag of the event; 0 for an unknown kind.
+    /// Returns the protobuf tag of the event; 0 for an unknown kind.
     pub fn event_tag(&self) -> usize {
         match &self.event {
             None => 0,
--- a/crates/trace/src/strings.rs
+++ b/crates/trace/src/strings.rs
@@ -1,16 +1,17 @@
-//! String tables, and the translation of encoded records from one table to another.
+//! String tables, and translation of the references in encoded records from one table to another.
 //!
-//! The translation works on the protobuf encoding alone, so it also applies to fields and events of later versions.
+//! The translation uses only the protobuf encoding, not the message types, so it also applies to fields and events of
+//! later versions.
 
 use prost::encoding::{WireType, decode_key, decode_varint, encode_key, encode_varint};
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
 
-/// Fields whose varints are references to strings, in every message within a record.
+/// Numbers of the varint fields that are references to strings, in every message nested in a record.
 const REFERENCE_FIELDS: RangeInclusive<u32> = 16..=31;
-/// The field of a record with the number of its manager.
+/// Tag of [`crate::Record::manager`].
 const MANAGER_FIELD: u32 = 14;
-/// Maximum depth of messages whose references are translated; it bounds the recursion for files that are not trusted.
+/// Maximum nesting depth at which references are translated. It bounds the recursion for untrusted files.
 const MAX_DEPTH: u32 = 8;
 
 /// A string table. References count from 1; 0 is the empty string.
@@ -22,7 +23,7 @@
 }
 
 impl From<Vec<String>> for Strings {
-    /// The table of a block that was read.
+    /// Builds the string table of a block that was read.
     fn from(all: Vec<String>) -> Strings {
         let references = all.iter().zip(1..).map(|(text, reference)| (text.clone(), reference)).collect();
         let bytes = all.iter().map(String::len).sum();
@@ -31,7 +32,7 @@
 }
 
 impl Strings {
-    /// The reference to a string, which is added where it is new.
+    /// Returns the reference to a string, which is added if it is new.
     pub fn reference(&mut self, text: &str) -> u32 {
         if text.is_empty() {
             return 0;
@@ -46,7 +47,7 @@
         reference
     }
 
-    /// The string of a reference; empty where there is none.
+    /// Returns the string of a reference, or an empty string if the table has no such reference.
     pub fn text(&self, reference: u32) -> &str {
         let position = (reference as usize).checked_sub(1);
         position.and_then(|position| self.all.get(position)).map_or("", String::as_str)
@@ -63,9 +64,9 @@
     }
 }
 
-/// Copies an encoded record with its references to strings translated; all other fields are copied unchanged.
+/// Copies an encoded record and translates its references to strings. All other fields are copied unchanged.
 ///
-/// Returns `None` where the bytes are not a valid message.
+/// Returns `None` if the bytes are not a valid protobuf message.
 pub fn remap(record: &[u8], translate: &mut impl FnMut(u32) -> u32) -> Option<Vec<u8>> {
     remap_message(record, translate, 0)
 }
@@ -78,7 +79,7 @@
         match wire_type {
             WireType::Varint => {
                 let value = decode_varint(&mut bytes).ok()?;
-                // The fields of the record itself are numbers; only the messages within it have references.
+                // The record's own fields are numbers. Only the messages nested in it contain references.
                 let is_reference = depth > 0 && REFERENCE_FIELDS.contains(&field);
                 let value = match u32::try_from(value) {
                     Ok(reference) if is_reference => translate(reference).into(),
@@ -90,7 +91,7 @@
             WireType::ThirtyTwoBit => out.extend(take(&mut bytes, 4)?),
             WireType::LengthDelimited => {
                 let inner = take_length_delimited(&mut bytes)?;
-                // The format allows no length-delimited fields but messages.
+                // In this format every length-delimited field is a message.
                 let inner = match depth < MAX_DEPTH {
                     true => remap_message(inner, translate, depth + 1)?,
                     false => inner.to_vec(),
@@ -104,9 +105,9 @@
     Some(out)
 }
 
-/// Copies an encoded record with another number of its manager, 0 for none.
+/// Copies an encoded record and replaces its manager's number; 0 removes it.
 ///
-/// Returns `None` where the bytes are not a valid message.
+/// Returns `None` if the bytes are not a valid protobuf message.
 pub fn with_manager(record: &[u8], manager: u32) -> Option<Vec<u8>> {
     let mut bytes = record;
     let mut out = Vec::with_capacity(record.len() + 3);
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing a trace block by block.
+//! Writes a trace block by block.
 
 use crate::frame::{self, BlockKind, FORMAT_VERSION, MAGIC, MAX_PAYLOAD_BYTES};
 use crate::strings::with_manager;
@@ -7,12 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
-/// Length of the records and strings (bytes, uncompressed) at which a block is written.
+/// Total length of records and strings (bytes, uncompressed) at which a block is written.
 pub const BLOCK_BYTES: usize = 128 * 1024;
-/// Maximum length of an encoded record: half a block's payload, which leaves as much for its strings.
+/// Maximum length of an encoded record. The other half of a block's payload is left for the strings.
 const MAX_RECORD_BYTES: usize = MAX_PAYLOAD_BYTES / 2;
 
-/// Writes a trace. Without [`Writer::finish`] the file has no index; its records can be read all the same.
+/// Writes a trace. Without [`Writer::finish`] the file has no index, and the records of the last block are lost unless
+/// [`Writer::flush`] wrote them. The written records are readable without the index.
 #[derive(Debug)]
 pub struct Writer<W> {
     out: W,
@@ -20,7 +21,7 @@
     offset: u64,
     block: OpenBlock,
     index: Index,
-    /// Positions of the tenants in [`Index::tenants`].
+    /// Positions of the tenants in [`Index::tenants`], by name.
     tenant_positions: BTreeMap<String, u32>,
 }
 
@@ -32,9 +33,9 @@
     record_bytes: usize,
     first_us: i64,
     last_us: i64,
-    /// Keys of the requests in the block.
+    /// Keys ([`Record::key`]) of the requests in the block.
     requests: BTreeSet<u64>,
-    /// Positions of the tenants in the block.
+    /// Positions in [`Index::tenants`] of the tenants in the block.
     tenants: BTreeSet<u32>,
 }
 
@@ -54,7 +55,7 @@
         self.record_bytes + self.strings.bytes() >= BLOCK_BYTES
     }
 
-    /// The index entry of the block at this offset.
+    /// The index entry of the block, which is written at this offset.
     fn summary(&self, offset: u64) -> BlockSummary {
         let mut previous = 0;
         let mut difference = |request: &u64| request - std::mem::replace(&mut previous, *request);
@@ -70,7 +71,7 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a trace with its header; the format version is set here.
+    /// Starts a trace with its header. The header's format version is replaced by [`FORMAT_VERSION`].
     pub fn new(mut out: W, header: Header) -> Result<Writer<W>, TraceError> {
         out.write_all(&MAGIC)?;
         let header = Header { format_version: FORMAT_VERSION, ..header };
@@ -84,17 +85,19 @@
         })
     }
 
-    /// The reference to a string in the current block; it is valid for the next record only.
+    /// Returns the reference to a string in the current block, to which the string is added if it is new. The reference
+    /// is valid only for the next record.
     pub fn string(&mut self, text: &str) -> u32 {
         self.block.strings.reference(text)
     }
 
-    /// Writes a record whose references are of the current block.
+    /// Writes a record whose references were returned by [`Writer::string`] since the previous record.
     pub fn write(&mut self, record: &Record) -> Result<(), TraceError> {
         self.add(record, record.encode_to_vec())
     }
 
-    /// Copies an encoded record of another file with all its fields; `text` gives the string of a reference there.
+    /// Copies an encoded record of another file with all its fields. `text` returns the string of a reference in that
+    /// file.
     pub fn copy(
         &mut self,
         record: &Record,
@@ -104,12 +107,12 @@
         let strings = &mut self.block.strings;
         let copied = remap(bytes, &mut |reference| strings.reference(&text(reference)));
         let copied = copied.ok_or(TraceError::TooLarge(bytes.len()))?;
-        // The index needs the references of the current block.
+        // The index is built from the references of the current block, not from those of the other file.
         let record = Record::decode(&copied[..]).unwrap_or_else(|_| record.clone());
         self.add(&record, copied)
     }
 
-    /// Copies an encoded record like [`Writer::copy`], with its manager's number in this file.
+    /// Copies an encoded record like [`Writer::copy`] and sets its manager's number to `manager`.
     pub fn copy_as(
         &mut self,
         record: &Record,
@@ -156,7 +159,7 @@
         counts[tag] += 1;
     }
 
-    /// Writes the current block and flushes the output.
+    /// Writes the current block, unless it is empty, and flushes the output.
     pub fn flush(&mut self) -> Result<(), TraceError> {
         if self.block.records.is_empty() {
             return Ok(());
@@ -171,7 +174,7 @@
         Ok(())
     }
 
-    /// Writes the last block and the index; returns the output.
+    /// Writes the last block, the index and its offset, and returns the output.
     pub fn finish(mut self) -> Result<W, TraceError> {
         self.flush()?;
         frame::write(&mut self.out, BlockKind::Index, &self.index.encode_to_vec())?;
